--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -12,8 +12,8 @@
 
 from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier, compute_priority
+from eelgrassmount.load.dispatcher import LimitedGate
 from eelgrassmount.load.exchange import open_threshold
-from eelgrassmount.load.gate import LimitedGate
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.state import rank_call
 from eelgrassmount.members.table import Identity, ServerState
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -17,7 +17,7 @@
 from eelgrassmount.edge.probes import ServerProbes
 from eelgrassmount.edge.server import ServerClient
 from eelgrassmount.load.control import LoadControl
-from eelgrassmount.load.gate import LimitedGate
+from eelgrassmount.load.dispatcher import LimitedGate
 from eelgrassmount.retry.budget import RetryRatio
 from eelgrassmount.retry.exchange import QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -13,27 +13,27 @@
 from eelgrassmount.platform.store import StoreClient
 from eelgrassmount.platform.topics import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
-from eelgrassmount.relay.answers import Answering
+from eelgrassmount.relay.admitted_fractions import ServiceLevels
 from eelgrassmount.relay.backend import BackendPool
-from eelgrassmount.relay.beliefs import Beliefs
 from eelgrassmount.relay.budget import RetryBudget
+from eelgrassmount.relay.call_attribution import Lineage
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
-from eelgrassmount.relay.entry import Entry
-from eelgrassmount.relay.gate import Gate
+from eelgrassmount.relay.dispatcher import Gate
 from eelgrassmount.relay.inbound import Inbound
+from eelgrassmount.relay.ingress import Entry
 from eelgrassmount.relay.learning import make_tally
-from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.lineage import Lineage
 from eelgrassmount.relay.link import LinkEvents
 from eelgrassmount.relay.links import LinkKeeper
 from eelgrassmount.relay.members import MemberTable
 from eelgrassmount.relay.metrics import RelayMetrics
-from eelgrassmount.relay.news import News
-from eelgrassmount.relay.refused import RefusedMessages
+from eelgrassmount.relay.peer_updates import News
+from eelgrassmount.relay.rejected_messages import RefusedMessages
+from eelgrassmount.relay.responder import Answering
 from eelgrassmount.relay.routing import Router
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.relay.server import LocalServer
+from eelgrassmount.relay.shared_state import Beliefs
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.teams.exchange import QuotaExchange, call_later
 from eelgrassmount.timers import MonotonicClock, TimerService
@@ -41,7 +41,7 @@
 from eelgrassmount.topics.readers import LogReaders
 
 if TYPE_CHECKING:
-    from eelgrassmount.relay.gate import Job
+    from eelgrassmount.relay.dispatcher import Job
     from eelgrassmount.relay.settings import RelaySettings
 
 INCARNATION_BYTES = 6
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -14,7 +14,7 @@
 from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay.announcements import check_server
 from eelgrassmount.relay.frames import decode_struct
-from eelgrassmount.relay.refused import MessageKind
+from eelgrassmount.relay.rejected_messages import MessageKind
 
 if TYPE_CHECKING:
     import random
@@ -24,19 +24,19 @@
     from eelgrassmount.http1.server import HttpListener
     from eelgrassmount.platform.store import StoreClient
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.beliefs import Beliefs
     from eelgrassmount.relay.controllers import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.entry import Entry
-    from eelgrassmount.relay.gate import Gate
+    from eelgrassmount.relay.dispatcher import Gate
     from eelgrassmount.relay.heartbeats import Heartbeat
     from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.ingress import Entry
     from eelgrassmount.relay.links import LinkKeeper
     from eelgrassmount.relay.metrics import RelayMetrics
-    from eelgrassmount.relay.news import News
-    from eelgrassmount.relay.refused import RefusedMessages
+    from eelgrassmount.relay.peer_updates import News
+    from eelgrassmount.relay.rejected_messages import RefusedMessages
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.settings import RelaySettings
+    from eelgrassmount.relay.shared_state import Beliefs
     from eelgrassmount.teams.exchange import QuotaExchange
     from eelgrassmount.timers import TimerService
     from eelgrassmount.topics.follower import TopicFollower
@@ -221,7 +221,7 @@
         """Answer with all metrics as text, or with the state of the node as JSON."""
         if exchange.target == STATE_PATH:
             # only people ask for it, and most nodes are never asked
-            from eelgrassmount.relay.state import read_state
+            from eelgrassmount.relay.status import read_state
 
             state = json.dumps(asdict(read_state(self))).encode()
             exchange.respond(200, JSON_TYPE, state)
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -21,13 +21,13 @@
     LEARNED_KEY,
     NODES_TOPIC,
 )
-from eelgrassmount.policy.levels import STEP_S
+from eelgrassmount.policy.admission_controller import STEP_S
 from eelgrassmount.relay.announcements import AnnouncementListener
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.learning import apply_vectors, count_calls
 from eelgrassmount.relay.reload import WATCH_PERIOD_S, SettingsWatch
+from eelgrassmount.relay.shutdown import Stopping
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
-from eelgrassmount.relay.stopping import Stopping
 from eelgrassmount.relay.vectors import INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.learned import PERIOD_S
--- a/eelgrassmount/platform/headers.py
+++ b/eelgrassmount/platform/headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eelgrassmount.relay.dialect import AnswerHead, Dialect, RequestHead
+from eelgrassmount.relay.header_codec import AnswerHead, Dialect, RequestHead
 from eelgrassmount.util.fields import is_identity
 
 REQUEST_ID = b"eelgrassmount-attempt-id"
--- a/eelgrassmount/platform/store.py
+++ b/eelgrassmount/platform/store.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from eelgrassmount.errors import PlatformDocumentError
-from eelgrassmount.relay.calls import KeptConnections
+from eelgrassmount.relay.persistent_connections import KeptConnections
 from eelgrassmount.topics.era import UNKNOWN_ERA, EraWatch
 from eelgrassmount.topics.store import (
     Batch,
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -9,8 +9,8 @@
 from attrs import define, field
 from loguru import logger
 
-from eelgrassmount.policy.levels import STEP_S
-from eelgrassmount.policy.piles import AskedCalls, Demand, divide_level
+from eelgrassmount.policy.admission_controller import STEP_S
+from eelgrassmount.policy.shedding import AskedCalls, Demand, divide_level
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/eelgrassmount/relay/levels.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -8,9 +8,9 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
+from eelgrassmount.policy.admission_controller import STEP_S, LevelControl
 from eelgrassmount.policy.forecast import foresee_demand
-from eelgrassmount.policy.levels import STEP_S, LevelControl
-from eelgrassmount.policy.loads import measure_load
+from eelgrassmount.policy.service_load import measure_load
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.measures import GateLoad
 from eelgrassmount.relay.members import REPORT_LIMIT_S
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from eelgrassmount.relay.beliefs import Beliefs
     from eelgrassmount.relay.members import Member, MemberLoad
+    from eelgrassmount.relay.shared_state import Beliefs
 
 
 def tell_level_change(
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -8,14 +8,14 @@
 from loguru import logger
 
 from eelgrassmount.errors import PlatformDocumentError, WrongServerError
-from eelgrassmount.relay.refused import MessageKind
+from eelgrassmount.relay.rejected_messages import MessageKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.heartbeats import Heartbeat
-    from eelgrassmount.relay.refused import RefusedMessages
+    from eelgrassmount.relay.rejected_messages import RefusedMessages
     from eelgrassmount.relay.server import LocalServer
 
 ACCEPTED = b"content-type: application/json\r\n"
--- a/eelgrassmount/relay/budget.py
+++ b/eelgrassmount/relay/budget.py
@@ -9,7 +9,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.policy.repeats import (
+from eelgrassmount.policy.retries import (
     find_allowance,
     find_kept,
     refill_tokens,
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.policy.repeats import Allowance
+    from eelgrassmount.policy.retries import Allowance
     from eelgrassmount.relay.messages import Origin
 
 # sendings are counted in so many spans of a window
--- a/eelgrassmount/relay/gate.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -12,7 +12,12 @@
 from loguru import logger
 
 from eelgrassmount.http1.client import Break, ClientAnswer
-from eelgrassmount.policy.queues import allow_wait, find_patience, find_slack, limit_run
+from eelgrassmount.policy.scheduling import (
+    allow_wait,
+    find_patience,
+    find_slack,
+    limit_run,
+)
 from eelgrassmount.relay.measures import RunMeasures
 from eelgrassmount.relay.messages import Fate, Reply
 from eelgrassmount.verdict import Reason
@@ -22,7 +27,7 @@
 
     from eelgrassmount.relay.backend import BackendPool, Sending
     from eelgrassmount.relay.budget import RetryBudget
-    from eelgrassmount.relay.dialect import Dialect
+    from eelgrassmount.relay.header_codec import Dialect
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.messages import Call
     from eelgrassmount.relay.routes import Route
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -9,8 +9,8 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import FrameConnection, FrameKind, encode_frame
-from eelgrassmount.relay.gate import Job
 from eelgrassmount.relay.messages import Call, Fate, Origin, Reply
 from eelgrassmount.verdict import Reason
 
@@ -18,8 +18,8 @@
     from collections.abc import Callable
 
     from eelgrassmount.errors import BadFrameError
+    from eelgrassmount.relay.dispatcher import Gate
     from eelgrassmount.relay.frames import FrameTaker
-    from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.routes import Route
 
 # replies to calls that must not run twice are kept for a sender that asks again
--- a/eelgrassmount/relay/learning.py
+++ b/eelgrassmount/relay/learning.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from eelgrassmount.relay.asked import (
+from eelgrassmount.relay.internal_routes import (
     find_client_routes,
     find_inner_routes,
     update_counts,
@@ -13,8 +13,8 @@
 from eelgrassmount.relay.vectors import merge_vectors, pool_vectors
 
 if TYPE_CHECKING:
-    from eelgrassmount.policy.piles import Demand
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.policy.shedding import Demand
+    from eelgrassmount.relay.shared_state import Beliefs
 
 # for so long after its start, a node goes by what others have learned or kept, if
 # there is any: from the calls of its first second, routes seemed to call nothing
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -8,7 +8,7 @@
 from attrs import define, frozen
 
 from eelgrassmount.context import compute_digest
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import Demand
 
 if TYPE_CHECKING:
     from eelgrassmount.relay.routes import Route
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -8,8 +8,8 @@
 
 from attrs import define, evolve, field
 
-from eelgrassmount.policy.repeats import is_in_vain
-from eelgrassmount.relay.gate import Job
+from eelgrassmount.policy.retries import is_in_vain
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.measures import SILENT_SHARE, SILENT_TIMES
 from eelgrassmount.relay.messages import Call, Fate, Reply
 from eelgrassmount.verdict import Reason
@@ -19,9 +19,9 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
+    from eelgrassmount.relay.call_attribution import MadeCall
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.gate import Gate
-    from eelgrassmount.relay.lineage import MadeCall
+    from eelgrassmount.relay.dispatcher import Gate
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.routing import Router
--- a/eelgrassmount/relay/beliefs.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -16,7 +16,7 @@
     import random
     from collections.abc import Callable
 
-    from eelgrassmount.policy.levels import LevelControl
+    from eelgrassmount.policy.admission_controller import LevelControl
     from eelgrassmount.relay.admission import CallGraph
     from eelgrassmount.relay.members import MemberTable
     from eelgrassmount.relay.server import LocalServer
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -14,7 +14,7 @@
 from attrs import define, field
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import Demand
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/tests/cmd/test_status.py
+++ b/tests/cmd/test_status.py
@@ -6,8 +6,8 @@
 
 from eelgrassmount.cmd.status import _format_relay
 from eelgrassmount.compose.relay import build_relay
-from eelgrassmount.relay.refused import MessageKind
-from eelgrassmount.relay.state import read_state
+from eelgrassmount.relay.rejected_messages import MessageKind
+from eelgrassmount.relay.status import read_state
 from tests.relay.lone_node import SETTINGS
 
 
--- a/tests/load/test_gate.py
+++ b/tests/load/test_dispatcher.py
@@ -11,7 +11,7 @@
 from benchmarks.admission import SCENARIOS, measure
 from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier
-from eelgrassmount.load.gate import LimitedGate
+from eelgrassmount.load.dispatcher import LimitedGate
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.queue import Waiting
 from eelgrassmount.members.table import Identity, ServerState
--- a/tests/policy/test_levels.py
+++ b/tests/policy/test_admission_controller.py
@@ -7,7 +7,7 @@
 import pytest
 from attrs import define, field
 
-from eelgrassmount.policy.levels import (
+from eelgrassmount.policy.admission_controller import (
     MAX_AGE_STEPS,
     MIN_LEVEL,
     STEP_S,
--- a/tests/policy/test_forecast.py
+++ b/tests/policy/test_forecast.py
@@ -5,12 +5,12 @@
 import pytest
 from attrs import define, field
 
+from eelgrassmount.policy.admission_controller import LevelControl
 from eelgrassmount.policy.forecast import (
     combine_offered,
     foresee_demand,
     measure_capacity,
 )
-from eelgrassmount.policy.levels import LevelControl
 from eelgrassmount.relay.members import MemberLoad
 
 PART, ITEM = "shop/part/", "shop/item/"
--- a/tests/policy/test_repeats.py
+++ b/tests/policy/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 from attrs import define, field
 
-from eelgrassmount.policy.repeats import find_kept, is_in_vain
+from eelgrassmount.policy.retries import find_kept, is_in_vain
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.messages import Origin
 
--- a/tests/policy/test_queues.py
+++ b/tests/policy/test_scheduling.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassmount.policy.queues import (
+from eelgrassmount.policy.scheduling import (
     MAX_PATIENCE,
     allow_wait,
     find_patience,
--- a/tests/policy/test_piles.py
+++ b/tests/policy/test_shedding.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassmount.policy.piles import AskedCalls, Demand, divide_level
+from eelgrassmount.policy.shedding import AskedCalls, Demand, divide_level
 
 BOOK = Demand("shop/book/", 0)
 PRICE = Demand("shop/price/", 2)
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import evolve
 
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import Demand
 from eelgrassmount.relay.admission import (
     MAX_CHAIN,
     Admission,
--- a/tests/relay/test_budget.py
+++ b/tests/relay/test_budget.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eelgrassmount.policy.repeats import (
+from eelgrassmount.policy.retries import (
     KEPT_FOR_FIRST,
     RATIO_SHARE,
     SLACK_SHARE,
--- a/tests/relay/test_lineage.py
+++ b/tests/relay/test_call_attribution.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from eelgrassmount.relay.lineage import (
+from eelgrassmount.relay.call_attribution import (
     CONTINUES_S,
     LOSS_S,
     MAX_COMPARED,
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -16,7 +16,7 @@
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import UNKNOWN_START
 from eelgrassmount.relay.rows import write_rows
-from eelgrassmount.relay.stopping import CLIENTS_GONE_S, PEERS_GONE_S
+from eelgrassmount.relay.shutdown import CLIENTS_GONE_S, PEERS_GONE_S
 from standins.platform_log import Trouble
 from tests.relay.deployment import (
     Deployment,
--- a/tests/relay/test_gate.py
+++ b/tests/relay/test_dispatcher.py
@@ -11,7 +11,7 @@
 from eelgrassmount.http1.client import Break, ClientAnswer
 from eelgrassmount.platform.headers import DIALECT
 from eelgrassmount.relay.budget import RetryBudget
-from eelgrassmount.relay.gate import CRASH_SPAN_S, Gate, Job
+from eelgrassmount.relay.dispatcher import CRASH_SPAN_S, Gate, Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.measures import (
     DEFAULT_RUN_S,
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -13,8 +13,8 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.http1.client import ClientAnswer
 from eelgrassmount.relay.controllers import MAX_ROWS
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import encode_struct
-from eelgrassmount.relay.gate import Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.learning import count_calls
 from eelgrassmount.relay.measures import MAX_MEAN_WAIT_S
@@ -25,7 +25,7 @@
 from tests.relay.deployment import make_document, make_rule
 from tests.relay.lone_node import SETTINGS
 from tests.relay.samples import make_call
-from tests.relay.test_gate import SIGNED, FakePool
+from tests.relay.test_dispatcher import SIGNED, FakePool
 
 LIST = make_rule("/list/", "list")
 # one call of it may take a tenth of the time of others
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -21,7 +21,7 @@
 from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay import frames
 from eelgrassmount.relay.frames import decode_struct, encode_struct
-from eelgrassmount.relay.refused import MAX_TOLD
+from eelgrassmount.relay.rejected_messages import MAX_TOLD
 from eelgrassmount.topics.store import StoredRecord
 from eelgrassmount.util.addresses import parse_address
 from eelgrassmount.util.fields import find_field
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from eelgrassmount.policy.loads import measure_load
+from eelgrassmount.policy.service_load import measure_load
 from eelgrassmount.relay.admission import CallGraph
-from eelgrassmount.relay.beliefs import Beliefs
+from eelgrassmount.relay.admitted_fractions import ServiceLevels
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
@@ -15,13 +15,13 @@
     apply_vectors,
     count_calls,
 )
-from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.links import MAX_LINKS, LinkKeeper
 from eelgrassmount.relay.measures import RunMeasures
 from eelgrassmount.relay.members import MemberLoad, MemberTable
 from eelgrassmount.relay.routes import RouteTable
 from eelgrassmount.relay.rows import read_rows, write_rows
 from eelgrassmount.relay.server import LocalServer
+from eelgrassmount.relay.shared_state import Beliefs
 from eelgrassmount.util.addresses import Address
 from tests.relay.samples import make_route, make_table
 
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_rejected_messages.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from eelgrassmount.relay.refused import (
+from eelgrassmount.relay.rejected_messages import (
     LINE_PERIOD_S,
     MAX_SHOWN,
     MAX_TOLD,
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from eelgrassmount.policy.repeats import SLACK_SHARE
+from eelgrassmount.policy.retries import SLACK_SHARE
 from eelgrassmount.relay.sender import MAX_REJECTIONS
 from tests.relay.deployment import Deployment, Vm, ask, make_rule
 from tests.relay.virtual import run_virtually
--- a/tests/relay/test_state.py
+++ b/tests/relay/test_status.py
@@ -12,7 +12,7 @@
 from eelgrassmount.cmd.main import main
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
-from eelgrassmount.relay.state import read_state
+from eelgrassmount.relay.status import read_state
 from eelgrassmount.topics.subscriptions import Subscription
 from tests.relay.lone_node import SETTINGS
 
--- a/tests/relay/test_tallies.py
+++ b/tests/relay/test_tallies.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import Demand
 from eelgrassmount.relay.frames import decode_struct, encode_struct
 from eelgrassmount.relay.tallies import (
     MAX_ROWS,
--- a/tests/relay/test_vectors.py
+++ b/tests/relay/test_vectors.py
@@ -10,7 +10,7 @@
 import pytest
 
 from eelgrassmount.relay import vectors as vectors_module
-from eelgrassmount.relay.asked import (
+from eelgrassmount.relay.internal_routes import (
     COUNT_FADE,
     find_client_routes,
     find_inner_routes,
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -9,7 +9,7 @@
 import pytest
 from attrs import asdict
 
-from eelgrassmount.relay.state import read_state
+from eelgrassmount.relay.status import read_state
 from standins.platform_log import Trouble
 from tests.relay.deployment import Deployment, Vm, ask, make_rule, make_team
 from tests.relay.virtual import run_virtually
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -9,8 +9,8 @@
 import pytest
 from attrs import define
 
-from eelgrassmount.policy.piles import Demand
 from eelgrassmount.policy.readers import LISTENED
+from eelgrassmount.policy.shedding import Demand
 from eelgrassmount.relay.tallies import Tally
 from eelgrassmount.topics.readers import (
     CALM_PERIOD_S,
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -13,13 +13,13 @@
 from typing import TYPE_CHECKING
 
 from eelgrassmount.cmd.relay import run_relay
-from eelgrassmount.policy import levels
-from eelgrassmount.relay import admission, budget, gate, routing, sender
+from eelgrassmount.policy import admission_controller
+from eelgrassmount.relay import admission, budget, dispatcher, routing, sender
 from eelgrassmount.relay.admission import Admission, CallGraph
+from eelgrassmount.relay.admitted_fractions import ServiceLevels
 from eelgrassmount.relay.backend import BackendPool
+from eelgrassmount.relay.call_attribution import Lineage
 from eelgrassmount.relay.controllers import Controllers
-from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.lineage import Lineage
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.topics.learned import LearnedCalls
@@ -52,7 +52,7 @@
 
 def ignore_order() -> None:
     """Queue by the due time alone."""
-    gate.find_patience = lambda origin: 1.0
+    dispatcher.find_patience = lambda origin: 1.0
 
 
 def ignore_lineage() -> None:
@@ -124,16 +124,18 @@
     """Seek a level as if the present one had always been in force."""
 
     def update(
-        self: levels.LevelControl,
+        self: admission_controller.LevelControl,
         demand: float,
         wait: float,
         age_steps: int = 0,
         foreseen: float = 0.0,
     ) -> float:
-        sought = levels.seek_level(self.level, demand, wait, foreseen)
-        return self._move(self.level + levels.STEP_GAIN * (sought - self.level))
+        sought = admission_controller.seek_level(self.level, demand, wait, foreseen)
+        return self._move(
+            self.level + admission_controller.STEP_GAIN * (sought - self.level)
+        )
 
-    levels.LevelControl.update = update
+    admission_controller.LevelControl.update = update
 
 
 def count_alone() -> None:
@@ -143,7 +145,7 @@
 
 def foresee_nothing() -> None:
     """Go by the demand that arrives."""
-    levels.combine_offered = lambda counted, foreseen, arriving: counted
+    admission_controller.combine_offered = lambda counted, foreseen, arriving: counted
 
 
 def blame_servers() -> None:
