--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -114,7 +114,7 @@
             bucket = self.buckets[name] = TokenBucket(now_s)
             whole = self.team.rate * BOUNDS.window_s + self.team.burst
             bucket.resize(self.team.rate, self.team.burst, 0.0, whole, now_s)
-            bucket.level = self.team.burst
+            bucket.tokens = self.team.burst
         return bucket
 
 
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -21,7 +21,7 @@
     LEARNED_KEY,
     NODES_TOPIC,
 )
-from eelgrassmount.policy.levels import STEP_S
+from eelgrassmount.policy.admission_controller import CONTROL_INTERVAL_S
 from eelgrassmount.relay.announcements import AnnouncementListener
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.learning import apply_vectors, count_calls
@@ -172,10 +172,10 @@
     )
     timers.subscribe(LINK_PERIOD_S, stalls.check)
     timers.subscribe(LINK_PERIOD_S, node.links.watch_links)
-    timers.subscribe(STEP_S, node.readers.step)
-    timers.subscribe(STEP_S, node.quotas.step)
-    timers.subscribe(STEP_S, node.controllers.step)
-    timers.subscribe(STEP_S, node.gate.sweep)
+    timers.subscribe(CONTROL_INTERVAL_S, node.readers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.quotas.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.controllers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.gate.sweep)
     timers.subscribe(INTERVAL_S, lambda: count_calls(node.beliefs))
     timers.subscribe(INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
--- a/eelgrassmount/policy/placement.py
+++ b/eelgrassmount/policy/placement.py
@@ -9,30 +9,30 @@
 
 # part of the time allowed that another failure domain has to be faster by, for a call
 # of a usual size: bytes between failure domains cost more than a few milliseconds
-FAR_SHARE = 0.12
+CROSS_DOMAIN_SHARE = 0.12
 # bytes of a call with its answer for which this holds, and by how much it is less or
 # more for others, so that long bodies stay where they are
-USUAL_BYTES = 4000.0
-LEAST_TIMES = 0.5
-MOST_TIMES = 6.0
+TYPICAL_CALL_BYTES = 4000.0
+MIN_SIZE_FACTOR = 0.5
+MAX_SIZE_FACTOR = 6.0
 # weight of a new sample in the mean size of a route's calls
-SIZE_WEIGHT = 0.1
+SIZE_SMOOTHING = 0.1
 
 
-def measure_far(size_bytes: float) -> float:
+def compute_cross_domain_share(size_bytes: float) -> float:
     """Return by which part of its time allowed a call avoids other failure domains.
 
-    >>> measure_far(4000.0)
+    >>> compute_cross_domain_share(4000.0)
     0.12
     """
-    times = min(MOST_TIMES, max(LEAST_TIMES, size_bytes / USUAL_BYTES))
-    return FAR_SHARE * times
+    times = min(MAX_SIZE_FACTOR, max(MIN_SIZE_FACTOR, size_bytes / TYPICAL_CALL_BYTES))
+    return CROSS_DOMAIN_SHARE * times
 
 
-def expect_time(run_s: float, ahead: int, slots: int) -> float:
+def estimate_completion_s(run_s: float, ahead: int, slots: int) -> float:
     """Return the seconds that a call takes at a server behind ``ahead`` others.
 
-    >>> expect_time(0.1, ahead=14, slots=10)
+    >>> estimate_completion_s(0.1, ahead=14, slots=10)
     0.15
     """
     waiting = ahead + 1 - slots
@@ -41,7 +41,7 @@
     return run_s + run_s * waiting / slots
 
 
-def measure_cost(
+def compute_cost(
     expected_s: float, allowed_s: float, failure_share: float, objective_s: float
 ) -> float:
     """Return what a call costs at a server, in seconds.
@@ -50,7 +50,7 @@
     below it weighs little against bytes between failure domains. A call that fails
     fails its whole request.
 
-        >>> measure_cost(0.2, allowed_s=0.4, failure_share=0.0, objective_s=0.4)
+        >>> compute_cost(0.2, allowed_s=0.4, failure_share=0.0, objective_s=0.4)
         0.1
     """
     return expected_s * expected_s / allowed_s + failure_share * objective_s
--- a/eelgrassmount/policy/quotas.py
+++ b/eelgrassmount/policy/quotas.py
@@ -21,22 +21,22 @@
 
 # part of what may be run beyond the quota that holders may hand out. The rest is for
 # those that start, and for what is begun without asking while holders change
-DEBT_PART = 0.5
+DEBT_SHARE = 0.5
 # part of it that a holder has at its start, for the first requests that come to it
-FIRST_PART = 0.16
+INITIAL_DEBT_SHARE = 0.16
 # part of a full bucket from which on nodes may take without asking, and below which
 # they are told to ask: the first requests of a surge need not wait for it
-FREE_FROM = 0.6
-FREE_UNTIL = 0.4
+MIN_FILL_WITHOUT_GRANT = 0.6
+GRANT_REQUIRED_FILL = 0.4
 # of the requests in a bucket, one in so many may be taken by nodes that don't ask
-FREE_NODES_PART = 0.25
+NODES_WITHOUT_GRANT_PER_TOKEN = 0.25
 # a holder keeps for itself what its own nodes are likely to ask for in this time
-RESERVE_S = 0.25
+RESERVE_PERIOD_S = 0.25
 # requests that are borrowed at once, as the time for which they are likely to last
-BORROW_S = 0.5
-ROUNDING = 1e-9
+BORROW_PERIOD_S = 0.5
+ROUNDING_TOLERANCE = 1e-9
 # a rate below it, in requests a second, stands for none
-LEAST_RATE = 0.01
+MIN_RATE_PER_S = 0.01
 
 
 @frozen
@@ -51,10 +51,10 @@
     overage: float
     slack: float
 
-    def find_debt(self, team: Team) -> float:
+    def compute_max_debt(self, team: Team) -> float:
         """Return the requests that all holders together may hand out beyond a quota."""
         allowed = team.rate * self.window_s + team.burst
-        return DEBT_PART * (self.overage * allowed + self.slack)
+        return DEBT_SHARE * (self.overage * allowed + self.slack)
 
 
 @define
@@ -62,7 +62,7 @@
     """Requests that may begin now: ``rate`` more each second, up to ``burst``.
 
     Its level may fall to ``-debt`` by what is asked for, and lower by what was taken
-    without asking, but to no more than ``worst`` below zero. It begins with hardly any,
+    without asking, but to no more than ``max_deficit`` below zero. It begins with hardly any,
     also where it grows, since whoever takes it over can't know what was taken before.
     Times are in seconds::
 
@@ -71,105 +71,113 @@
         bucket.take(3, now_s=0.2)  # 2
     """
 
-    read_s: float
+    refilled_s: float
     rate: float = 0.0
     burst: float = 0.0
-    debt: float = 0.0
-    worst: float = 0.0
-    level: float = 0.0
+    max_debt: float = 0.0
+    max_deficit: float = 0.0
+    tokens: float = 0.0
 
     def resize(
-        self, rate: float, burst: float, debt: float, worst: float, now_s: float
+        self,
+        rate: float,
+        burst: float,
+        max_debt: float,
+        max_deficit: float,
+        now_s: float,
     ) -> None:
         """Change the size; what is beyond a smaller one is lost."""
         self.refill(now_s)
-        self.level -= (1.0 - FIRST_PART) * max(0.0, debt - self.debt)
+        self.tokens -= (1.0 - INITIAL_DEBT_SHARE) * max(0.0, max_debt - self.max_debt)
         self.rate = rate
         self.burst = burst
-        self.debt = debt
-        self.worst = worst
-        self.level = min(self.level, burst)
+        self.max_debt = max_debt
+        self.max_deficit = max_deficit
+        self.tokens = min(self.tokens, burst)
 
     def refill(self, now_s: float) -> None:
         """Add what the time since the last call has brought."""
-        earned = self.rate * max(0.0, now_s - self.read_s)
-        self.read_s = max(self.read_s, now_s)
+        earned = self.rate * max(0.0, now_s - self.refilled_s)
+        self.refilled_s = max(self.refilled_s, now_s)
         # what was lent by others may lie above the burst and is not lost
-        if self.level < self.burst:
-            self.level = min(self.burst, self.level + earned)
+        if self.tokens < self.burst:
+            self.tokens = min(self.burst, self.tokens + earned)
 
-    def find_there(self, now_s: float) -> float:
+    def compute_available(self, now_s: float) -> float:
         """Return how many requests may begin now, with parts of one."""
         self.refill(now_s)
-        return self.level + self.debt
+        return self.tokens + self.max_debt
 
-    def take(self, wanted: int, now_s: float) -> int:
+    def take(self, requested: int, now_s: float) -> int:
         """Take as many requests as there are, and return their number."""
         # a sum of tenths may lie just below the whole number that it stands for
-        there = math.floor(self.find_there(now_s) + ROUNDING)
-        taken = max(0, min(wanted, there))
-        self.level -= taken
+        available = math.floor(self.compute_available(now_s) + ROUNDING_TOLERANCE)
+        taken = max(0, min(requested, available))
+        self.tokens -= taken
         return taken
 
     def charge(self, used: float, now_s: float) -> None:
         """Take what has begun without asking, or give back if it is negative."""
         self.refill(now_s)
         if used >= 0:
-            self.level = max(-self.worst, self.level - used)
+            self.tokens = max(-self.max_deficit, self.tokens - used)
         else:
-            self.level = max(self.level, min(self.burst, self.level - used))
+            self.tokens = max(self.tokens, min(self.burst, self.tokens - used))
 
-    def find_wait(self, ahead: float, now_s: float) -> float:
+    def compute_wait_s(self, ahead: float, now_s: float) -> float:
         """Return the seconds until a request may begin behind ``ahead`` others."""
-        missing = max(0.0, 1.0 + ahead - self.find_there(now_s))
-        return missing * self.find_gap()
+        missing = max(0.0, 1.0 + ahead - self.compute_available(now_s))
+        return missing * self.compute_interval_s()
 
-    def find_gap(self) -> float:
+    def compute_interval_s(self) -> float:
         """Return the seconds between two requests of a team that sends many."""
-        return 1.0 / max(self.rate, LEAST_RATE)
+        return 1.0 / max(self.rate, MIN_RATE_PER_S)
 
-    def may_be_free(self, free_nodes: int) -> bool:
+    def may_admit_without_grant(self, nodes_without_grant: int) -> bool:
         """Tell whether one more node may take without asking, beside so many."""
-        enough = self.level >= FREE_FROM * self.burst
-        return enough and free_nodes + 1 <= FREE_NODES_PART * self.level
+        enough = self.tokens >= MIN_FILL_WITHOUT_GRANT * self.burst
+        return (
+            enough
+            and nodes_without_grant + 1 <= NODES_WITHOUT_GRANT_PER_TOKEN * self.tokens
+        )
 
-    def is_low(self) -> bool:
+    def requires_grants(self) -> bool:
         """Tell whether nodes must no longer take without asking."""
-        return self.level < FREE_UNTIL * self.burst
+        return self.tokens < GRANT_REQUIRED_FILL * self.burst
 
 
-def find_portion(lenders: int, nodes: int) -> float:
+def compute_allocator_share(lenders: int, nodes: int) -> float:
     """Return the part of all quotas that one holder hands out.
 
     Each node of the deployment stands for an equal part, which it lends to one holder
     at a time; so all parts together are never more than the whole, whoever takes
     himself for a holder.
 
-        >>> find_portion(18, nodes=72)
+        >>> compute_allocator_share(18, nodes=72)
         0.25
     """
     return min(1.0, lenders / max(1, nodes, lenders))
 
 
-def plan_borrowing(missing: float, asked_per_s: float) -> float:
+def compute_loan_request(missing: float, requested_per_s: float) -> float:
     """Return the requests to ask each other holder for, as only one may have any.
 
-    >>> plan_borrowing(1.0, asked_per_s=10.0)
+    >>> compute_loan_request(1.0, requested_per_s=10.0)
     6.0
     """
-    return missing + BORROW_S * asked_per_s
+    return missing + BORROW_PERIOD_S * requested_per_s
 
 
-def find_spare(there: float, asked_per_s: float) -> float:
+def compute_spare_tokens(available: float, requested_per_s: float) -> float:
     """Return the requests that a holder may lend to another, also parts of one.
 
-    >>> find_spare(10.0, asked_per_s=8.0)
+    >>> compute_spare_tokens(10.0, requested_per_s=8.0)
     8.0
     """
-    return max(0.0, there - RESERVE_S * asked_per_s)
+    return max(0.0, available - RESERVE_PERIOD_S * requested_per_s)
 
 
-def choose_holder(team_name: str, holders: Sequence[str]) -> str | None:
+def choose_allocator(team_name: str, holders: Sequence[str]) -> str | None:
     """Return the holder of a team, which is another one only if that one is gone."""
 
     def rank(name: str) -> tuple[int, str]:
--- a/eelgrassmount/policy/readers.py
+++ b/eelgrassmount/policy/readers.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable, Iterable
 
 # readers that a node listens to: with two, the loss of one goes unnoticed
-LISTENED = 2
+SUBSCRIBED_READERS = 2
 # nodes of a failure domain for which there is one reader, so that it answers twice as
 # many, which takes it little of its processor time
 NODES_PER_READER = 32
@@ -28,7 +28,7 @@
     >>> count_readers(33), count_readers(1700)
     (2, 54)
     """
-    return max(LISTENED, math.ceil(nodes / NODES_PER_READER))
+    return max(SUBSCRIBED_READERS, math.ceil(nodes / NODES_PER_READER))
 
 
 def choose_readers(
@@ -50,13 +50,13 @@
     return readers
 
 
-def choose_listened(
-    own: str, readers: Iterable[str], count: int = LISTENED
+def choose_subscribed_readers(
+    node_name: str, readers: Iterable[str], count: int = SUBSCRIBED_READERS
 ) -> list[str]:
     """Return the readers that a node listens to, which differ from node to node.
 
     Where there are no more than two, it listens to both.
     """
-    others = [name for name in readers if name != own]
-    others.sort(key=lambda name: zlib.crc32(f"{own} {name}".encode()))
+    others = [name for name in readers if name != node_name]
+    others.sort(key=lambda name: zlib.crc32(f"{node_name} {name}".encode()))
     return others[:count]
--- a/eelgrassmount/policy/loads.py
+++ b/eelgrassmount/policy/service_load.py
@@ -16,10 +16,10 @@
 # a server that fails half of its calls more than the best one has as good as no slots,
 # and at least this part of them
 FAILURE_WEIGHT = 2.0
-LEAST_HEALTH = 0.1
+MIN_HEALTH_WEIGHT = 0.1
 
 
-def measure_load(loads: list[MemberLoad]) -> GateLoad:
+def combine_server_loads(loads: list[MemberLoad]) -> GateLoad:
     """Return the load of a service from that of its servers, by their slots.
 
     The slots of a server that fails more than the best one count for less: routing
@@ -29,7 +29,7 @@
     least = min(load.failure_share for load in loads)
     weights = [
         load.limit
-        * max(LEAST_HEALTH, 1.0 - FAILURE_WEIGHT * (load.failure_share - least))
+        * max(MIN_HEALTH_WEIGHT, 1.0 - FAILURE_WEIGHT * (load.failure_share - least))
         for load in loads
     ]
     total = sum(weights)
--- a/eelgrassmount/policy/piles.py
+++ b/eelgrassmount/policy/shedding.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable
 
 
-class Demand(NamedTuple):
+class RequestClass(NamedTuple):
     """Requests of one route and rank; 0 is refused last."""
 
     route_name: str
@@ -22,14 +22,16 @@
 
 
 @frozen
-class AskedCalls:
+class RequiredCalls:
     """The calls that the offered requests of one demand ask of a service."""
 
-    demand: Demand
+    request_class: RequestClass
     calls: float
 
 
-def divide_level(asked: Iterable[AskedCalls], level: float) -> dict[Demand, float]:
+def compute_admitted_shares(
+    asked: Iterable[RequiredCalls], level: float
+) -> dict[RequestClass, float]:
     """Return the part of each demand that a service has room for.
 
     ``level`` is the part of all calls asked of it that it can do. Demands stand one
@@ -41,14 +43,14 @@
         divide_level([AskedCalls(book, 20.0), AskedCalls(price, 20.0)], 0.75)
         # {book: 1.0, price: 0.5}
     """
-    by_rank: dict[int, list[AskedCalls]] = {}
+    by_rank: dict[int, list[RequiredCalls]] = {}
     for one in asked:
-        by_rank.setdefault(one.demand.rank, []).append(one)
+        by_rank.setdefault(one.request_class.rank, []).append(one)
     heights = {rank: sum(one.calls for one in by_rank[rank]) for rank in by_rank}
     room = level * sum(heights.values())
-    shares: dict[Demand, float] = {}
+    shares: dict[RequestClass, float] = {}
     for rank in sorted(by_rank):
         share = max(0.0, min(1.0, room / heights[rank]))
-        shares.update({one.demand: share for one in by_rank[rank]})
+        shares.update({one.request_class: share for one in by_rank[rank]})
         room -= heights[rank]
     return shares
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -9,8 +9,12 @@
 from attrs import define, field
 from loguru import logger
 
-from eelgrassmount.policy.levels import STEP_S
-from eelgrassmount.policy.piles import AskedCalls, Demand, divide_level
+from eelgrassmount.policy.admission_controller import CONTROL_INTERVAL_S
+from eelgrassmount.policy.shedding import (
+    RequestClass,
+    RequiredCalls,
+    compute_admitted_shares,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -214,16 +218,16 @@
 
     graph: CallGraph
     find_level: Callable[[str], float]
-    find_offered: Callable[[], dict[Demand, float]] = dict
+    find_offered: Callable[[], dict[RequestClass, float]] = dict
     is_of_clients: Callable[[str], bool] = lambda name: True
     rng: random.Random = field(factory=random.Random)
-    offered: dict[Demand, float] = field(factory=dict)
-    rates: dict[Demand, float] = field(factory=dict)
-    shares: dict[Demand, float] = field(factory=dict)
-    _credits: dict[Demand, float] = field(factory=dict)
-    _counted: dict[Demand, int] = field(factory=dict)
+    offered: dict[RequestClass, float] = field(factory=dict)
+    rates: dict[RequestClass, float] = field(factory=dict)
+    shares: dict[RequestClass, float] = field(factory=dict)
+    _credits: dict[RequestClass, float] = field(factory=dict)
+    _counted: dict[RequestClass, int] = field(factory=dict)
 
-    def allows(self, demand: Demand) -> bool:
+    def allows(self, demand: RequestClass) -> bool:
         """Decide on one request, dividing evenly over time."""
         self.offered[demand] = self.offered.get(demand, 0.0) + 1.0
         self._counted[demand] = self._counted.get(demand, 0) + 1
@@ -244,7 +248,7 @@
     def update(self, table: RouteTable) -> None:
         """Work out the shares anew from the levels and what was offered lately.
 
-        It is called once each `STEP_S`.
+        It is called once each `CONTROL_INTERVAL_S`.
         """
         self._update_rates(table)
         self.shares = {}
@@ -253,7 +257,7 @@
         if short and (self.graph.is_mature() or table.teams.is_required):
             for service, asked in self._pile(table, short).items():
                 if service in short:
-                    self._limit(divide_level(asked, short[service]))
+                    self._limit(compute_admitted_shares(asked, short[service]))
         self.offered = {
             demand: count * OFFERED_FADE
             for demand, count in self.offered.items()
@@ -268,14 +272,14 @@
     def _update_rates(self, table: RouteTable) -> None:
         for demand in self.rates.keys() | self._counted.keys():
             rate = self.rates.get(demand, 0.0)
-            counted = self._counted.get(demand, 0) / STEP_S
+            counted = self._counted.get(demand, 0) / CONTROL_INTERVAL_S
             rate += RATE_WEIGHT * (counted - rate)
             self.rates[demand] = rate
             if rate < LEAST_RATE or demand.route_name not in table.routes:
                 del self.rates[demand]
         self._counted.clear()
 
-    def _list_offered(self) -> dict[Demand, float]:
+    def _list_offered(self) -> dict[RequestClass, float]:
         """Return what is offered of each demand, for how much one is of all."""
         return self.find_offered() or {
             demand: count
@@ -285,9 +289,9 @@
 
     def _pile(
         self, table: RouteTable, short: dict[str, float]
-    ) -> dict[str, list[AskedCalls]]:
+    ) -> dict[str, list[RequiredCalls]]:
         """Return what the offered requests ask of each service, by demand."""
-        piles: dict[str, list[AskedCalls]] = {}
+        piles: dict[str, list[RequiredCalls]] = {}
         for demand, count in self._list_offered().items():
             route = table.routes.get(demand.route_name)
             if route is None or self.graph.is_called(demand.route_name):
@@ -296,7 +300,7 @@
             if self._may_lead_anywhere(route, table):
                 reached = {**dict.fromkeys(short, 1.0), **reached}
             for service, calls in reached.items():
-                asked = AskedCalls(demand, count * calls)
+                asked = RequiredCalls(demand, count * calls)
                 piles.setdefault(service, []).append(asked)
         return piles
 
@@ -305,6 +309,6 @@
         known = route.name in self.graph.vectors or route.name in self.graph.settled
         return table.teams.is_required and route.needs_key and not known
 
-    def _limit(self, shares: dict[Demand, float]) -> None:
+    def _limit(self, shares: dict[RequestClass, float]) -> None:
         for demand, share in shares.items():
             self.shares[demand] = min(self.shares.get(demand, 1.0), share)
--- a/eelgrassmount/relay/beliefs.py
+++ b/eelgrassmount/relay/beliefs.py
@@ -16,7 +16,7 @@
     import random
     from collections.abc import Callable
 
-    from eelgrassmount.policy.levels import LevelControl
+    from eelgrassmount.policy.admission_controller import AdmissionController
     from eelgrassmount.relay.admission import CallGraph
     from eelgrassmount.relay.members import MemberTable
     from eelgrassmount.relay.server import LocalServer
@@ -56,7 +56,7 @@
     completed: CompletedRuns = field(factory=CompletedRuns)
     started_s: float = field(init=False)
     called: dict[str, int] = field(factory=dict)
-    levels: dict[str, LevelControl] = field(factory=dict)
+    levels: dict[str, AdmissionController] = field(factory=dict)
     called_before: dict[str, float] = field(factory=dict)
     own_vectors: dict[str, dict[str, float]] = field(factory=dict)
     outlook: Tally = field(factory=Tally)
@@ -102,7 +102,7 @@
         if service in self.unreachable:
             return 0.0
         control = self.levels.get(service)
-        return 1.0 if control is None else control.level
+        return 1.0 if control is None else control.admitted_fraction
 
     def note_routes(self) -> None:
         """Note which routes there are now; it is done about once a second."""
--- a/eelgrassmount/relay/budget.py
+++ b/eelgrassmount/relay/budget.py
@@ -9,17 +9,17 @@
 
 from attrs import define, field
 
-from eelgrassmount.policy.repeats import (
-    find_allowance,
-    find_kept,
+from eelgrassmount.policy.retries import (
+    compute_reserved_share,
+    compute_retry_allowance,
     refill_tokens,
-    round_allowance,
+    round_randomly,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.policy.repeats import Allowance
+    from eelgrassmount.policy.retries import RetryAllowance
     from eelgrassmount.relay.messages import Origin
 
 # sendings are counted in so many spans of a window
@@ -93,7 +93,7 @@
         )
         return max(self.requests.count(now_s, 0, SPANS), EARLIER_WEIGHT * earlier)
 
-    def refill(self, allowed: Allowance, now_s: float) -> None:
+    def refill(self, allowed: RetryAllowance, now_s: float) -> None:
         """Add the tokens of the time since the last call."""
         windows = (now_s - self.refilled_s) / self.window_s
         self.tokens = refill_tokens(self.tokens, allowed, windows)
@@ -141,24 +141,24 @@
         """
         budget = self._find(service)
         now_s = self.clock()
-        allowed = find_allowance(
+        allowed = compute_retry_allowance(
             budget.count_requests(now_s),
             self.ratio,
             self.slack,
             self.count_nodes(),
             ends_chain,
         )
-        if budget.count_repeats(now_s) + 1 > self._round(budget, allowed.whole, now_s):
+        if budget.count_repeats(now_s) + 1 > self._round(budget, allowed.total, now_s):
             return False
         budget.refill(allowed, now_s)
-        kept = allowed.at_once * find_kept(origin.left, origin.priority)
+        kept = allowed.burst * compute_reserved_share(origin.left, origin.priority)
         # what may be sent at once is less than one on a node with few requests
-        if budget.tokens < max(kept, min(1.0, allowed.at_once)):
+        if budget.tokens < max(kept, min(1.0, allowed.burst)):
             return False
         budget.spend(now_s)
         return True
 
-    def _round(self, budget: ServiceBudget, whole: float, now_s: float) -> float:
+    def _round(self, budget: ServiceBudget, total: float, now_s: float) -> float:
         """Return the repeats of a window, where a share below one is one by chance.
 
         A new draw is made in each window, so that of many gates with a fifth of a
@@ -168,7 +168,7 @@
         if window != budget.drawn_window:
             budget.drawn_window = window
             budget.drawn = self.rng.random()
-        return round_allowance(whole, budget.drawn)
+        return round_randomly(total, budget.drawn)
 
     def list_services(self) -> list[tuple[str, int, int]]:
         """Return each service with its requests and repeats in the window now."""
--- a/eelgrassmount/relay/gate.py
+++ b/eelgrassmount/relay/gate.py
@@ -12,7 +12,12 @@
 from loguru import logger
 
 from eelgrassmount.http1.client import Break, ClientAnswer
-from eelgrassmount.policy.queues import allow_wait, find_patience, find_slack, limit_run
+from eelgrassmount.policy.scheduling import (
+    compute_due_factor,
+    compute_max_wait_s,
+    compute_run_timeout_s,
+    compute_slack_s,
+)
 from eelgrassmount.relay.measures import RunMeasures
 from eelgrassmount.relay.messages import Fate, Reply
 from eelgrassmount.verdict import Reason
@@ -141,12 +146,12 @@
             return
         self._integrate(now_s)
         route = job.call.route
-        slack_s = find_slack(
+        slack_s = compute_slack_s(
             route.objective_s,
             self.find_allowance(route),
             self.measures.find_usual(route.name),
         )
-        due_s = now_s + slack_s * find_patience(job.call.origin)
+        due_s = now_s + slack_s * compute_due_factor(job.call.origin)
         heapq.heappush(self._queue, (due_s, next(self._numbers), job))
         self._count_waiting(job, 1)
         left_s = job.call.deadline_s - now_s - EXPIRY_MARGIN_S
@@ -297,7 +302,7 @@
 
     def _allow_wait(self, call: Call) -> float:
         run_s = self.measures.find_usual(call.route.name)
-        return allow_wait(call.route.objective_s, run_s, call.origin.inner)
+        return compute_max_wait_s(call.route.objective_s, run_s, call.origin.inner)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
         job.ended = True
@@ -308,7 +313,7 @@
         self.running.add(job)
         job.started_s = now_s
         call = job.call
-        left_s = limit_run(
+        left_s = compute_run_timeout_s(
             call.deadline_s - now_s,
             self.find_call_limit(call.route.name),
             self.measures.find_usual(call.route.name),
--- a/eelgrassmount/relay/learning.py
+++ b/eelgrassmount/relay/learning.py
@@ -13,7 +13,7 @@
 from eelgrassmount.relay.vectors import merge_vectors, pool_vectors
 
 if TYPE_CHECKING:
-    from eelgrassmount.policy.piles import Demand
+    from eelgrassmount.policy.shedding import RequestClass
     from eelgrassmount.relay.beliefs import Beliefs
 
 # for so long after its start, a node goes by what others have learned or kept, if
@@ -47,7 +47,7 @@
     return Tally(1, asked={beliefs.server.service: counts})
 
 
-def make_tally(beliefs: Beliefs, rates: dict[Demand, float]) -> Tally:
+def make_tally(beliefs: Beliefs, rates: dict[RequestClass, float]) -> Tally:
     """Return what this node counts, for those that add it up.
 
     ``rates`` holds the requests a second that clients offer to it.
--- a/eelgrassmount/relay/levels.py
+++ b/eelgrassmount/relay/levels.py
@@ -8,9 +8,12 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.forecast import foresee_demand
-from eelgrassmount.policy.levels import STEP_S, LevelControl
-from eelgrassmount.policy.loads import measure_load
+from eelgrassmount.policy.admission_controller import (
+    CONTROL_INTERVAL_S,
+    AdmissionController,
+)
+from eelgrassmount.policy.forecast import forecast_demand
+from eelgrassmount.policy.service_load import combine_server_loads
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.measures import GateLoad
 from eelgrassmount.relay.members import REPORT_LIMIT_S
@@ -43,7 +46,7 @@
     beliefs: Beliefs
 
     def update(self) -> None:
-        """Work out the levels of all services anew, once each `STEP_S`."""
+        """Work out the levels of all services anew, once each `CONTROL_INTERVAL_S`."""
         asked = self._list_asked()
         for service, found in self.beliefs.members.by_service.items():
             self._update_service(service, found.values(), asked.get(service, {}))
@@ -53,18 +56,18 @@
     ) -> None:
         beliefs = self.beliefs
         oldest_s = beliefs.clock() - REPORT_LIMIT_S
-        control = beliefs.levels.setdefault(service, LevelControl())
-        before = control.level
+        control = beliefs.levels.setdefault(service, AdmissionController())
+        before = control.admitted_fraction
         load = GateLoad()
         fresh = self._list_fresh(members, oldest_s)
         if fresh:
-            load = measure_load(fresh)
-            foreseen = foresee_demand(asked, fresh, self._count_usable(members))
+            load = combine_server_loads(fresh)
+            forecast = forecast_demand(asked, fresh, self._count_usable(members))
             age = self._measure_age(fresh)
-            control.update(load.demand, load.wait, age, foreseen)
+            control.update(load.demand, load.wait, age, forecast)
         else:
-            control.relax()
-        tell_level_change(service, before, control.level, load)
+            control.increase_without_reports()
+        tell_level_change(service, before, control.admitted_fraction, load)
         self._note_reach(service, members)
         if beliefs.find_level(service) < 1.0:
             self._ask_for_reports(members, oldest_s)
@@ -146,4 +149,4 @@
         """Return the mean age of reports in steps."""
         now_s = self.beliefs.clock()
         age_s = sum(now_s - load.reported_s for load in loads) / len(loads)
-        return int(age_s / STEP_S)
+        return int(age_s / CONTROL_INTERVAL_S)
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -8,7 +8,7 @@
 from attrs import define, frozen
 
 from eelgrassmount.context import compute_digest
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import RequestClass
 
 if TYPE_CHECKING:
     from eelgrassmount.relay.routes import Route
@@ -81,9 +81,9 @@
     _digest: str = ""
 
     @property
-    def demand(self) -> Demand:
+    def demand(self) -> RequestClass:
         """Return the demand that a request of a client belongs to."""
-        return Demand(self.route.name, self.origin.priority)
+        return RequestClass(self.route.name, self.origin.priority)
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
         """Tell whether servers may not be given this content, which crashed others."""
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -8,11 +8,11 @@
 from attrs import define, field
 
 from eelgrassmount.policy.placement import (
-    SIZE_WEIGHT,
-    USUAL_BYTES,
-    expect_time,
-    measure_cost,
-    measure_far,
+    SIZE_SMOOTHING,
+    TYPICAL_CALL_BYTES,
+    compute_cost,
+    compute_cross_domain_share,
+    estimate_completion_s,
 )
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     def note_size(self, route_name: str, size_bytes: int) -> None:
         """Take up the size of a call's body with that of its answer."""
         known = self._sizes.get(route_name, float(size_bytes))
-        self._sizes[route_name] = known + SIZE_WEIGHT * (size_bytes - known)
+        self._sizes[route_name] = known + SIZE_SMOOTHING * (size_bytes - known)
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
         """Forget the sizes of all other routes."""
@@ -74,7 +74,10 @@
         name = route.name
         own_domain = self.failure_domain
         allowed_s = self.find_allowance(route)
-        far_s = measure_far(self._sizes.get(name, USUAL_BYTES)) * allowed_s
+        far_s = (
+            compute_cross_domain_share(self._sizes.get(name, TYPICAL_CALL_BYTES))
+            * allowed_s
+        )
         typical_s = -1.0
         draw = self.rng.random
         best = candidates[0]
@@ -86,10 +89,10 @@
                 if typical_s < 0.0:
                     typical_s = self._find_typical(candidates, route)
                 run_s = typical_s
-            expected_s = expect_time(
+            expected_s = estimate_completion_s(
                 run_s, load.in_flight + load.queued + member.sent_since, load.limit
             )
-            score = measure_cost(
+            score = compute_cost(
                 expected_s, allowed_s, load.failure_share, route.objective_s
             )
             if member.failure_domain != own_domain:
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -8,7 +8,7 @@
 
 from attrs import define, evolve, field
 
-from eelgrassmount.policy.repeats import is_in_vain
+from eelgrassmount.policy.retries import is_retry_futile
 from eelgrassmount.relay.gate import Job
 from eelgrassmount.relay.measures import SILENT_SHARE, SILENT_TIMES
 from eelgrassmount.relay.messages import Call, Fate, Reply
@@ -314,7 +314,7 @@
     def _is_in_vain(self, call: Call) -> bool:
         """Tell whether a run that makes calls would only fail by them again."""
         calls = self.admission.graph.vectors.get(call.route.name)
-        return bool(calls) and is_in_vain(self.router.list_failures(call.service))
+        return bool(calls) and is_retry_futile(self.router.list_failures(call.service))
 
     def _may_send_again(self, call: Call) -> bool:
         return call.deadline_s - self.clock() >= REPEAT_ROOM_S
--- a/eelgrassmount/relay/state.py
+++ b/eelgrassmount/relay/state.py
@@ -187,7 +187,7 @@
         dict(node.refused.totals),
         _read_teams(node, now_s),
         _read_server(node, now_s),
-        {name: round(one.level, 3) for name, one in beliefs.levels.items()},
+        {name: round(one.admitted_fraction, 3) for name, one in beliefs.levels.items()},
         [
             ShareState(demand.route_name, demand.rank, round(share, 3))
             for demand, share in sorted(node.admission.shares.items())
@@ -241,7 +241,7 @@
                     teams[name].rate,
                     teams[name].burst,
                     round(one.bucket.rate, 2),
-                    round(one.bucket.level, 2),
+                    round(one.bucket.tokens, 2),
                     round(one.asked_per_s, 2),
                 )
             )
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -14,7 +14,7 @@
 from attrs import define, field
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import RequestClass
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -42,7 +42,7 @@
     """
 
     nodes: int = 0
-    offered: dict[Demand, float] = field(factory=dict)
+    offered: dict[RequestClass, float] = field(factory=dict)
     asked: dict[str, ServiceCounts] = field(factory=dict)
     runs: dict[str, float] = field(factory=dict)
     calls: dict[tuple[str, str], float] = field(factory=dict)
@@ -116,7 +116,7 @@
     """Return the tally that another node has sent."""
     return Tally(
         struct.nodes,
-        {Demand(row.route_name, row.rank): row.rate for row in struct.offered},
+        {RequestClass(row.route_name, row.rank): row.rate for row in struct.offered},
         {
             one.service_name: ServiceCounts(one.nodes, _read_counts(one.counts))
             for one in struct.asked
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.quotas import choose_holder
+from eelgrassmount.policy.quotas import choose_allocator
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.teams.holder import FREE_S, Ask, Grant, QuotaHolder
 from eelgrassmount.teams.taker import QuotaTaker
@@ -98,12 +98,12 @@
 
     def list_holders(self, team_name: str) -> list[str]:
         """Return the holders of a team, that of the own failure domain first."""
-        near = choose_holder(team_name, self.near)
+        near = choose_allocator(team_name, self.near)
         return [*([near] if near else []), *self.list_lenders(team_name)]
 
     def list_lenders(self, team_name: str) -> list[str]:
         """Return the holders of a team in other failure domains."""
-        found = [choose_holder(team_name, names) for names in self.far.values()]
+        found = [choose_allocator(team_name, names) for names in self.far.values()]
         return [name for name in found if name]
 
     def take_frame(
@@ -174,7 +174,7 @@
         uses = [
             ttypes.QuotaUse(team_name, self.taker.drain_used(team_name), 0)
             for team_name, taking in self.taker.teams.items()
-            if taking.used and choose_holder(team_name, self.near) == name
+            if taking.used and choose_allocator(team_name, self.near) == name
         ]
         ask = ttypes.RelayQuotaAsk(self.beliefs.name, 0, list(holders), uses)
         if self._send_ask(name, ask):
--- a/eelgrassmount/teams/holder.py
+++ b/eelgrassmount/teams/holder.py
@@ -10,10 +10,10 @@
 
 from eelgrassmount.policy.quotas import (
     TokenBucket,
-    choose_holder,
-    find_portion,
-    find_spare,
-    plan_borrowing,
+    choose_allocator,
+    compute_allocator_share,
+    compute_loan_request,
+    compute_spare_tokens,
 )
 
 if TYPE_CHECKING:
@@ -185,7 +185,7 @@
         if held.waiting:
             held.waiting.append(ask)
             return
-        missing = ask.wanted - held.bucket.find_there(now_s)
+        missing = ask.wanted - held.bucket.compute_available(now_s)
         if missing > 0.0 and self._start_borrowing(team, held, missing, now_s):
             held.waiting.append(ask)
         else:
@@ -196,7 +196,9 @@
         held = self._find(team)
         now_s = self.clock()
         held.note_asked(0, now_s)
-        spare = find_spare(held.bucket.find_there(now_s), held.asked_per_s)
+        spare = compute_spare_tokens(
+            held.bucket.compute_available(now_s), held.asked_per_s
+        )
         lent = min(wanted, spare)
         held.bucket.charge(lent, now_s)
         self.count(QuotaEvent.LENT, lent)
@@ -210,7 +212,7 @@
         if team is None or held is None or held.borrowing is None:
             return
         held.bucket.refill(self.clock())
-        held.bucket.level += amount
+        held.bucket.tokens += amount
         self.count(QuotaEvent.BORROWED, amount)
         held.borrowing.borrowed += amount
         held.borrowing.open_numbers.discard(number)
@@ -234,7 +236,7 @@
             held.bucket.resize(
                 portion * team.rate,
                 portion * team.burst,
-                portion * self.bounds.find_debt(team),
+                portion * self.bounds.compute_max_debt(team),
                 whole,
                 now_s,
             )
@@ -244,16 +246,16 @@
         lenders = sum(
             count
             for holders, count in self._lenders.items()
-            if count and choose_holder(team_name, holders) == self.name
+            if count and choose_allocator(team_name, holders) == self.name
         )
-        return find_portion(lenders, self.count_nodes())
+        return compute_allocator_share(lenders, self.count_nodes())
 
     def _start_borrowing(
         self, team: Team, held: HeldQuota, missing: float, now_s: float
     ) -> bool:
         if now_s < held.borrow_again_s:
             return False
-        amount = plan_borrowing(missing, held.asked_per_s)
+        amount = compute_loan_request(missing, held.asked_per_s)
         numbers = set()
         for name in self.list_lenders(team.name):
             self._numbers += 1
@@ -291,8 +293,8 @@
         self.count(QuotaEvent.GRANTED, grant.granted)
         if grant.granted < ask.wanted:
             self.count(QuotaEvent.REFUSED, ask.wanted - grant.granted)
-            grant.wait_s = held.bucket.find_wait(held.promised, now_s)
-            grant.gap_s = held.bucket.find_gap()
+            grant.wait_s = held.bucket.compute_wait_s(held.promised, now_s)
+            grant.gap_s = held.bucket.compute_interval_s()
             promised = held.promised + ask.wanted - grant.granted
             # who is told to come back later than this mostly doesn't
             most = held.bucket.rate * self.bounds.window_s
@@ -307,14 +309,14 @@
             for name, until_s in held.free_until_s.items()
             if until_s > now_s and name != node_name
         }
-        if not held.bucket.may_be_free(len(held.free_until_s)):
+        if not held.bucket.may_admit_without_grant(len(held.free_until_s)):
             return False
         held.free_until_s[node_name] = now_s + FREE_S
         return True
 
     def _call_in(self, team_name: str, held: HeldQuota) -> None:
         """Let all nodes ask again once little is left."""
-        if not held.free_until_s or not held.bucket.is_low():
+        if not held.free_until_s or not held.bucket.requires_grants():
             return
         names = list(held.free_until_s)
         held.free_until_s.clear()
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.readers import LISTENED, choose_listened
+from eelgrassmount.policy.readers import SUBSCRIBED_READERS, choose_subscribed_readers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.tallies import Tally, add_tallies, read_tally, write_tally
 from eelgrassmount.topics.era import EraWatch
@@ -151,7 +151,7 @@
         self._forget_unconfirmed(now_s)
         readers = self.list_readers(self.beliefs.failure_domain, now_s)
         self.is_reader = self.beliefs.name in readers
-        listened = choose_listened(self.beliefs.name, readers)
+        listened = choose_subscribed_readers(self.beliefs.name, readers)
         if self._hears_far(readers):
             listened += self._choose_far(now_s)
         self.subscriptions = {
@@ -206,7 +206,7 @@
         One reader is enough where all nodes listen to it: with two, bytes between
         failure domains were twice as many.
         """
-        if len(readers) <= LISTENED:
+        if len(readers) <= SUBSCRIBED_READERS:
             return self.is_reader and readers[0] == self.beliefs.name
         return self.is_reader
 
@@ -217,7 +217,7 @@
             name
             for domain in sorted(self.ranking.list_domains())
             if domain != own
-            for name in choose_listened(
+            for name in choose_subscribed_readers(
                 self.beliefs.name, self.list_readers(domain, now_s), 1
             )
         ]
@@ -271,7 +271,9 @@
         """Return the seconds between two exchanges of counts."""
         beliefs = self.beliefs
         known = beliefs.graph.is_mature()
-        short = any(control.level < 1.0 for control in beliefs.levels.values())
+        short = any(
+            control.admitted_fraction < 1.0 for control in beliefs.levels.values()
+        )
         return self._find_period() if short or not known else CALM_PERIOD_S
 
     def note_linked(self, member: Member) -> None:
@@ -417,7 +419,7 @@
         tally = add_tallies([self.make_tally(), *heard])
         domain = self.beliefs.failure_domain
         nodes = len(self.ranking.list_domains().get(domain, []))
-        if len(self.ranking.list_first(domain)) > LISTENED:
+        if len(self.ranking.list_first(domain)) > SUBSCRIBED_READERS:
             # with more readers than a node listens to, each hears only of a part
             tally.scale(nodes / max(1, tally.nodes))
         return tally
--- a/tests/policy/test_levels.py
+++ b/tests/policy/test_admission_controller.py
@@ -7,66 +7,66 @@
 import pytest
 from attrs import define, field
 
-from eelgrassmount.policy.levels import (
-    MAX_AGE_STEPS,
-    MIN_LEVEL,
-    STEP_S,
+from eelgrassmount.policy.admission_controller import (
+    CONTROL_INTERVAL_S,
+    MAX_REPORT_AGE_STEPS,
+    MIN_ADMITTED_FRACTION,
     TARGET_DEMAND,
-    LevelControl,
+    AdmissionController,
 )
 
 
 def test_level_falls_with_demand_and_comes_back():
-    control = LevelControl()
+    control = AdmissionController()
     for _ in range(200):
         control.update(3.0, 2.0)
-    assert control.level == MIN_LEVEL
+    assert control.admitted_fraction == MIN_ADMITTED_FRACTION
     for _ in range(100):
         control.update(0.3, 0.0)
-    assert control.level == 1.0
+    assert control.admitted_fraction == 1.0
 
 
 def test_level_settles_where_demand_meets_its_target_though_it_shows_late():
-    control = LevelControl()
+    control = AdmissionController()
     late = [2.0, 2.0, 2.0]
     levels = []
     for _ in range(100):
-        late.append(2.0 * control.level)
+        late.append(2.0 * control.admitted_fraction)
         levels.append(control.update(late.pop(0), 0.0))
     assert levels[-1] * 2.0 == pytest.approx(TARGET_DEMAND, abs=0.02)
     assert min(levels) * 2.0 > 0.7
 
 
 def test_backlog_lowers_the_level_by_less_than_a_quarter_in_a_second():
-    control = LevelControl(0.5)
+    control = AdmissionController(0.5)
     for _ in range(5):
         control.update(0.95, 2.0)
-    assert 0.375 < control.level < 0.5
+    assert 0.375 < control.admitted_fraction < 0.5
 
 
 def test_level_falls_with_the_wait_though_little_demand_is_counted():
-    control = LevelControl()
+    control = AdmissionController()
     control.update(0.73, 1.51)
-    assert control.level < 1.0
+    assert control.admitted_fraction < 1.0
 
 
 def test_report_that_is_old_moves_the_level_no_further_than_a_new_one():
     """A report was taken for new at each step: it lowered the level again and again."""
-    new, old = LevelControl(), LevelControl()
-    for age in range(MAX_AGE_STEPS):
+    new, old = AdmissionController(), AdmissionController()
+    for age in range(MAX_REPORT_AGE_STEPS):
         new.update(1.5, 0.0)
         old.update(1.5, 0.0, age)
-    assert old.level == pytest.approx(TARGET_DEMAND / 1.5, abs=0.02)
-    assert new.level < old.level
+    assert old.admitted_fraction == pytest.approx(TARGET_DEMAND / 1.5, abs=0.02)
+    assert new.admitted_fraction < old.admitted_fraction
 
 
 def test_level_rises_slowly_while_nothing_is_known():
-    control = LevelControl(0.5)
-    control.relax()
-    assert 0.5 < control.level < 0.6
+    control = AdmissionController(0.5)
+    control.increase_without_reports()
+    assert 0.5 < control.admitted_fraction < 0.6
     for _ in range(10):
-        control.relax()
-    assert control.level == 1.0
+        control.increase_without_reports()
+    assert control.admitted_fraction == 1.0
 
 
 @define(eq=False)
@@ -79,7 +79,7 @@
 
     report_steps: int
     rng: random.Random
-    control: LevelControl = field(factory=LevelControl)
+    control: AdmissionController = field(factory=AdmissionController)
     admitted: list[float] = field(factory=lambda: [0.8] * 6)
     backlog: float = 0.0
     demand: float = 0.8
@@ -91,7 +91,7 @@
     def step(self, offered: float) -> float:
         """Play one step; return the part of the offered work that was admitted."""
         arrived = sum(self.admitted[-6:-1]) / 5 * self.rng.uniform(0.95, 1.05)
-        self.backlog = max(0.0, self.backlog + (arrived - 1.0) * STEP_S)
+        self.backlog = max(0.0, self.backlog + (arrived - 1.0) * CONTROL_INTERVAL_S)
         self.demand += 0.4 * (arrived - self.demand)
         self.age += 1
         if self.steps % self.report_steps == 0:
--- a/tests/policy/test_forecast.py
+++ b/tests/policy/test_forecast.py
@@ -5,12 +5,12 @@
 import pytest
 from attrs import define, field
 
+from eelgrassmount.policy.admission_controller import AdmissionController
 from eelgrassmount.policy.forecast import (
-    combine_offered,
-    foresee_demand,
-    measure_capacity,
+    estimate_capacity,
+    estimate_offered_load,
+    forecast_demand,
 )
-from eelgrassmount.policy.levels import LevelControl
 from eelgrassmount.relay.members import MemberLoad
 
 PART, ITEM = "shop/part/", "shop/item/"
@@ -23,29 +23,29 @@
 def test_capacity_follows_slots_and_speed_of_each_server():
     loads = [make_load(10, part=0.1), make_load(20, part=0.4), make_load(10)]
     # the third is taken for as fast as the others are on the mean
-    assert measure_capacity(loads, PART) == pytest.approx(100 + 50 + 40)
-    assert measure_capacity(loads, ITEM) == 0.0
+    assert estimate_capacity(loads, PART) == pytest.approx(100 + 50 + 40)
+    assert estimate_capacity(loads, ITEM) == 0.0
 
 
 def test_demand_is_added_up_over_the_routes_that_run_there():
     loads = [make_load(10, part=0.1, item=0.2)]
-    asked = {PART: 50.0, ITEM: 25.0, "shop/new/": 9.0}
-    assert foresee_demand(asked, loads, 1) == pytest.approx(1.0)
+    required_rates = {PART: 50.0, ITEM: 25.0, "shop/new/": 9.0}
+    assert forecast_demand(required_rates, loads, 1) == pytest.approx(1.0)
     # one of two servers has reported
-    assert foresee_demand(asked, loads, 2) == pytest.approx(0.5)
-    assert foresee_demand(asked, [], 2) == 0.0
+    assert forecast_demand(required_rates, loads, 2) == pytest.approx(0.5)
+    assert forecast_demand(required_rates, [], 2) == 0.0
 
 
 def test_forecast_keeps_no_service_idle_that_has_room():
-    control = LevelControl()
+    control = AdmissionController()
     for _ in range(50):
-        control.update(0.5, 0.0, foreseen=3.0)
-    assert control.level == 1.0
+        control.update(0.5, 0.0, forecast=3.0)
+    assert control.admitted_fraction == 1.0
 
 
 @pytest.mark.parametrize("arriving", [0.0, 0.7, 0.95, 2.0])
 def test_lower_forecast_leaves_what_was_counted(arriving):
-    assert combine_offered(1.3, 0.4, arriving) == 1.3
+    assert estimate_offered_load(1.3, 0.4, arriving) == 1.3
 
 
 CALLS = 8
@@ -62,14 +62,14 @@
 
     room: float
     foresees: bool
-    control: LevelControl = field(factory=LevelControl)
+    control: AdmissionController = field(factory=AdmissionController)
     open_calls: list[float] = field(factory=lambda: [0.0] * CALLS)
     demand: float = 0.0
     finished: float = 0.0
 
     def step(self, offered: float) -> None:
         """Let so many requests be offered in a step."""
-        level = self.control.level
+        level = self.control.admitted_fraction
         self.open_calls = [offered * level, *self.open_calls[: CALLS - 1]]
         arriving = sum(self.open_calls)
         accepted = min(1.0, self.room / max(arriving, 1e-9))
@@ -77,8 +77,8 @@
         self.finished += self.open_calls[-1]
         self.demand += 0.4 * (arriving / self.room - self.demand)
         wait = 2.0 if arriving > self.room else 0.0
-        foreseen = offered * CALLS / self.room if self.foresees else 0.0
-        self.control.update(self.demand, wait, foreseen=foreseen)
+        forecast = offered * CALLS / self.room if self.foresees else 0.0
+        self.control.update(self.demand, wait, forecast=forecast)
 
 
 def play(foresees: bool, surge: float = 15.0, seconds: int = 10) -> list[float]:
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from eelgrassmount.policy.placement import FAR_SHARE, measure_cost, measure_far
+from eelgrassmount.policy.placement import (
+    CROSS_DOMAIN_SHARE,
+    compute_cost,
+    compute_cross_domain_share,
+)
 
 ALLOWED_S = 0.8
 NEAR_RUN_S = 0.37
@@ -11,9 +15,9 @@
 
 def compare(size_bytes: float, near_run_s: float = NEAR_RUN_S) -> bool:
     """Tell whether the slower server of the own failure domain is chosen."""
-    near = measure_cost(near_run_s, ALLOWED_S, 0.0, ALLOWED_S)
-    far = measure_cost(FAR_RUN_S, ALLOWED_S, 0.0, ALLOWED_S)
-    return near < far + measure_far(size_bytes) * ALLOWED_S
+    near = compute_cost(near_run_s, ALLOWED_S, 0.0, ALLOWED_S)
+    far = compute_cost(FAR_RUN_S, ALLOWED_S, 0.0, ALLOWED_S)
+    return near < far + compute_cross_domain_share(size_bytes) * ALLOWED_S
 
 
 def test_large_bodies_stay_in_their_failure_domain():
@@ -29,4 +33,10 @@
 
 
 def test_other_failure_domain_always_costs_something():
-    assert 0.0 < measure_far(0.0) < FAR_SHARE < measure_far(1e9) < 1.0
+    assert (
+        0.0
+        < compute_cross_domain_share(0.0)
+        < CROSS_DOMAIN_SHARE
+        < compute_cross_domain_share(1e9)
+        < 1.0
+    )
--- a/tests/policy/test_readers.py
+++ b/tests/policy/test_readers.py
@@ -5,10 +5,10 @@
 import pytest
 
 from eelgrassmount.policy.readers import (
-    LISTENED,
     NODES_PER_READER,
-    choose_listened,
+    SUBSCRIBED_READERS,
     choose_readers,
+    choose_subscribed_readers,
     count_readers,
 )
 
@@ -35,18 +35,18 @@
 @pytest.mark.parametrize("nodes", [1, 4, 33, 50, 170, 1700])
 def test_calls_of_the_log_grow_by_one_reader_for_many_nodes(nodes):
     readers = count_readers(nodes)
-    assert readers >= LISTENED
-    assert readers <= max(LISTENED, nodes / NODES_PER_READER + 1)
+    assert readers >= SUBSCRIBED_READERS
+    assert readers <= max(SUBSCRIBED_READERS, nodes / NODES_PER_READER + 1)
 
 
 def test_each_reader_of_a_large_domain_is_listened_to_by_some():
     readers = NAMES[: count_readers(200)]
-    heard = [choose_listened(name, readers) for name in NAMES[len(readers) :]]
+    heard = [choose_subscribed_readers(name, readers) for name in NAMES[len(readers) :]]
     counts = [sum(reader in found for found in heard) for reader in readers]
-    assert all(len(found) == LISTENED for found in heard)
+    assert all(len(found) == SUBSCRIBED_READERS for found in heard)
     assert min(counts) > 0.5 * sum(counts) / len(readers)
 
 
 def test_a_reader_listens_to_others_only():
-    assert choose_listened("n0", ["n0", "n1"]) == ["n1"]
-    assert choose_listened("n9", ["n0", "n1"], 1) in (["n0"], ["n1"])
+    assert choose_subscribed_readers("n0", ["n0", "n1"]) == ["n1"]
+    assert choose_subscribed_readers("n9", ["n0", "n1"], 1) in (["n0"], ["n1"])
--- a/tests/policy/test_repeats.py
+++ b/tests/policy/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 from attrs import define, field
 
-from eelgrassmount.policy.repeats import find_kept, is_in_vain
+from eelgrassmount.policy.retries import compute_reserved_share, is_retry_futile
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.messages import Origin
 
@@ -95,13 +95,13 @@
 
 
 def test_little_is_kept_from_what_is_nearly_done_and_urgent():
-    assert find_kept(1, 0) == 0.0
-    assert find_kept(2, 0) < find_kept(9, 0) < 1.0
-    assert find_kept(3, 0) < find_kept(3, 2)
-    assert find_kept(10_000, 5) < 1.0
+    assert compute_reserved_share(1, 0) == 0.0
+    assert compute_reserved_share(2, 0) < compute_reserved_share(9, 0) < 1.0
+    assert compute_reserved_share(3, 0) < compute_reserved_share(3, 2)
+    assert compute_reserved_share(10_000, 5) < 1.0
 
 
 def test_repeats_are_in_vain_only_where_all_servers_fail():
-    assert is_in_vain([0.5, 0.3])
-    assert not is_in_vain([0.5, 0.01])
-    assert not is_in_vain([])
+    assert is_retry_futile([0.5, 0.3])
+    assert not is_retry_futile([0.5, 0.01])
+    assert not is_retry_futile([])
--- /dev/null
+++ b/tests/policy/test_shedding.py
@@ -0,0 +1,41 @@
+"""Which routes are cut when a service that they lead to is short."""
+
+from __future__ import annotations
+
+import pytest
+
+from eelgrassmount.policy.shedding import (
+    RequestClass,
+    RequiredCalls,
+    compute_admitted_shares,
+)
+
+BOOK = RequestClass("shop/book/", 0)
+PRICE = RequestClass("shop/price/", 2)
+LISTING = RequestClass("shop/list/", 2)
+
+
+@pytest.mark.parametrize(
+    ("level", "book", "price"),
+    [(1.0, 1.0, 1.0), (0.75, 1.0, 0.5), (0.5, 1.0, 0.0), (0.2, 0.4, 0.0)],
+)
+def test_least_urgent_routes_are_cut_first(level, book, price):
+    asked = [
+        RequiredCalls(BOOK, 20.0),
+        RequiredCalls(PRICE, 15.0),
+        RequiredCalls(LISTING, 5.0),
+    ]
+    shares = compute_admitted_shares(asked, level)
+    assert shares[BOOK] == pytest.approx(book)
+    assert shares[PRICE] == shares[LISTING] == pytest.approx(price)
+
+
+def test_what_is_admitted_asks_for_the_level():
+    asked = [
+        RequiredCalls(BOOK, 20.0),
+        RequiredCalls(PRICE, 15.0),
+        RequiredCalls(LISTING, 5.0),
+    ]
+    shares = compute_admitted_shares(asked, 0.8)
+    admitted = sum(one.calls * shares[one.request_class] for one in asked)
+    assert admitted == pytest.approx(0.8 * 40.0)
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import evolve
 
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import RequestClass
 from eelgrassmount.relay.admission import (
     MAX_CHAIN,
     Admission,
@@ -25,8 +25,8 @@
 TABLE = make_table(BOOK, STATUS, PRICE, PART)
 
 
-def demand(route: Route) -> Demand:
-    return Demand(route.name, route.priority)
+def demand(route: Route) -> RequestClass:
+    return RequestClass(route.name, route.priority)
 
 
 def make_admission(level: float, book: int = 10, status: int = 10, price: int = 20):
@@ -256,7 +256,7 @@
     first = Team("first", priority=0)
     second = Team("second", priority=1)
     offered = {
-        Demand(route.name, TABLE.find_rank(route, team)): 10.0
+        RequestClass(route.name, TABLE.find_rank(route, team)): 10.0
         for route in (BOOK, PRICE)
         for team in (first, second)
     }
--- a/tests/relay/test_budget.py
+++ b/tests/relay/test_budget.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from eelgrassmount.policy.repeats import (
-    KEPT_FOR_FIRST,
-    RATIO_SHARE,
-    SLACK_SHARE,
-    find_kept,
+from eelgrassmount.policy.retries import (
+    FIRST_PRIORITY_RESERVED_SHARE,
+    RETRY_RATIO_SHARE,
+    RETRY_SLACK_SHARE,
+    compute_reserved_share,
 )
 from eelgrassmount.relay.budget import EARLIER_WEIGHT, RetryBudget
 from eelgrassmount.relay.messages import Origin
@@ -52,7 +52,7 @@
         for _ in range(100):
             budget.note_request("list")
         retries += take_all(budget, ends_chain=ends_chain)
-    assert 0 < retries <= RATIO * 1000 * RATIO_SHARE + SLACK * SLACK_SHARE
+    assert 0 < retries <= RATIO * 1000 * RETRY_RATIO_SHARE + SLACK * RETRY_SLACK_SHARE
 
 
 def test_repeats_along_a_chain_of_four_services_stay_in_the_budget():
@@ -104,7 +104,7 @@
         budget.slack = 500.0
         budget.rng = random.Random(seed)
     taken = sum(take_all(budget) for budget in budgets)
-    assert 0.8 * SLACK_SHARE * 500 < taken < 1.2 * SLACK_SHARE * 500
+    assert 0.8 * RETRY_SLACK_SHARE * 500 < taken < 1.2 * RETRY_SLACK_SHARE * 500
 
 
 def test_gates_with_a_part_of_a_repeat_stay_in_the_budget_in_any_window():
@@ -138,7 +138,7 @@
     for _ in range(100):
         budget.note_request("list")
     clock[0] += 11.0
-    allowed = RATIO * RATIO_SHARE * EARLIER_WEIGHT * 100
+    allowed = RATIO * RETRY_RATIO_SHARE * EARLIER_WEIGHT * 100
     assert allowed - 2 < take_long(budget, clock, 8.0) <= allowed
     clock[0] += 15.0
     assert take_all(budget) == 0
@@ -151,7 +151,7 @@
     far = take_all(budget, Origin(0, True, left=11))
     near = take_all(budget, Origin(0, True, left=1))
     assert far > 0
-    assert near == pytest.approx(find_kept(11, 0) * (far + near), abs=2)
+    assert near == pytest.approx(compute_reserved_share(11, 0) * (far + near), abs=2)
 
 
 def test_last_repeats_are_for_the_first_priority():
@@ -161,7 +161,9 @@
     other = take_all(budget, Origin(2, True, left=2))
     first = take_all(budget, Origin(0, True, left=2))
     assert other > 0
-    assert first == pytest.approx(KEPT_FOR_FIRST * (other + first), rel=0.1)
+    assert first == pytest.approx(
+        FIRST_PRIORITY_RESERVED_SHARE * (other + first), rel=0.1
+    )
 
 
 def count_between(times: list[float], begin_s: float, end_s: float) -> int:
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassmount.policy.loads import measure_load
+from eelgrassmount.policy.service_load import combine_server_loads
 from eelgrassmount.relay.admission import CallGraph
 from eelgrassmount.relay.beliefs import Beliefs
 from eelgrassmount.relay.controllers import Controllers
@@ -237,22 +237,22 @@
 def test_slots_of_a_failing_server_are_not_counted_on():
     loads = [MemberLoad(limit=10, demand=1.2) for _ in range(3)]
     idle = MemberLoad(limit=10, demand=0.1)
-    before = measure_load([*loads, idle]).demand
+    before = combine_server_loads([*loads, idle]).demand
     idle.failure_share = 0.6
     assert before < 1.0
-    assert measure_load([*loads, idle]).demand > 1.15
+    assert combine_server_loads([*loads, idle]).demand > 1.15
 
 
 def test_servers_that_all_fail_alike_keep_their_slots():
     loads = [MemberLoad(limit=10, demand=0.6, failure_share=0.5) for _ in range(3)]
-    assert measure_load(loads).demand == pytest.approx(0.6)
+    assert combine_server_loads(loads).demand == pytest.approx(0.6)
 
 
 def test_service_whose_runs_fail_by_their_calls_keeps_its_slots():
     """One idle server made the others seem to have a tenth of their slots."""
     idle = MemberLoad(limit=10, demand=0.5)
     lost = [MemberLoad(limit=10, demand=0.5, lost_share=0.8) for _ in range(15)]
-    assert measure_load([idle, *lost]).demand == pytest.approx(0.5)
+    assert combine_server_loads([idle, *lost]).demand == pytest.approx(0.5)
 
 
 def test_what_leads_to_a_service_that_cannot_be_reached_is_refused():
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from eelgrassmount.policy.repeats import SLACK_SHARE
+from eelgrassmount.policy.retries import RETRY_SLACK_SHARE
 from eelgrassmount.relay.sender import MAX_REJECTIONS
 from tests.relay.deployment import Deployment, Vm, ask, make_rule
 from tests.relay.virtual import run_virtually
@@ -100,7 +100,7 @@
         for _ in range(10):
             assert (await ask(front, "/book/1", "POST")).status == 503
         # the two gates take no more together than the service may have
-        allowed = 0.2 * 10 + SLACK_SHARE * 10.0
+        allowed = 0.2 * 10 + RETRY_SLACK_SHARE * 10.0
         assert 10 < sum(count_arrivals(backs)) <= 10 + allowed
 
     play(scenario, 2, ALWAYS, 10.0)
--- a/tests/relay/test_tallies.py
+++ b/tests/relay/test_tallies.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eelgrassmount.policy.piles import Demand
+from eelgrassmount.policy.shedding import RequestClass
 from eelgrassmount.relay.frames import decode_struct, encode_struct
 from eelgrassmount.relay.tallies import (
     MAX_ROWS,
@@ -17,7 +17,7 @@
 def make_tally(service: str = "desk") -> Tally:
     return Tally(
         1,
-        {Demand("shop/book/", 3): 0.5},
+        {RequestClass("shop/book/", 3): 0.5},
         {service: ServiceCounts(1, {"shop/book/": 4.0})},
         {"shop/book/": 3.0},
         {("shop/book/", "shop/list/"): 6.0},
@@ -32,7 +32,7 @@
 def test_counts_are_added_by_route_and_service():
     total = add_tallies([make_tally(), make_tally(), make_tally("rate")])
     assert total.nodes == 3
-    assert total.offered == {Demand("shop/book/", 3): 1.5}
+    assert total.offered == {RequestClass("shop/book/", 3): 1.5}
     assert total.asked["desk"] == ServiceCounts(2, {"shop/book/": 8.0})
     assert total.asked["rate"] == ServiceCounts(1, {"shop/book/": 4.0})
     assert total.calls == {("shop/book/", "shop/list/"): 18.0}
@@ -55,7 +55,8 @@
 
 def test_of_very_many_routes_the_largest_are_told():
     rates = {
-        Demand(f"shop/{number}/", 0): float(number) for number in range(3 * MAX_ROWS)
+        RequestClass(f"shop/{number}/", 0): float(number)
+        for number in range(3 * MAX_ROWS)
     }
     told = carry(Tally(1, rates)).offered
     assert len(told) == MAX_ROWS
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -9,8 +9,8 @@
 import pytest
 from attrs import define
 
-from eelgrassmount.policy.piles import Demand
-from eelgrassmount.policy.readers import LISTENED
+from eelgrassmount.policy.readers import SUBSCRIBED_READERS
+from eelgrassmount.policy.shedding import RequestClass
 from eelgrassmount.relay.tallies import Tally
 from eelgrassmount.topics.readers import (
     CALM_PERIOD_S,
@@ -31,7 +31,7 @@
     from tests.relay.virtual import Network, Place
 
 LIST = make_rule("/list/", "list")
-DEMAND = Demand("shop.example/list/", 0)
+DEMAND = RequestClass("shop.example/list/", 0)
 DOMAINS = ("a", "b", "c")
 NODES = 6
 # the bound of the smallest deployments for a configuration to be in force
@@ -126,14 +126,14 @@
 
     async def scenario(fleet: Fleet) -> None:
         for domain in DOMAINS:
-            assert len(fleet.list_readers(domain)) == LISTENED
+            assert len(fleet.list_readers(domain)) == SUBSCRIBED_READERS
         before = fleet.count_calls()
         for version in range(2, 12):
             fleet.configure(version)
             await fleet.expect_version(version)
             await anyio.sleep(1.0)
         # one read a reader and record
-        assert fleet.count_calls() - before <= 10 * LISTENED * len(DOMAINS)
+        assert fleet.count_calls() - before <= 10 * SUBSCRIBED_READERS * len(DOMAINS)
 
     play(scenario, seed=seed)
 
@@ -153,7 +153,7 @@
 def test_a_start_takes_few_calls_of_each_node():
     async def scenario(fleet: Fleet) -> None:
         # each reads the newest and appends its record; the readers follow two topics
-        readers = LISTENED * len(DOMAINS)
+        readers = SUBSCRIBED_READERS * len(DOMAINS)
         events = len(fleet.vms)
         assert fleet.count_calls() <= 2 * len(fleet.vms) + readers * (4 + events)
         before = fleet.count_calls()
@@ -171,7 +171,7 @@
         fleet.configure(2)
         await fleet.expect_version(2)
         await anyio.sleep(READ_ON_S + HEARD_S + 2.0)
-        assert len(fleet.list_readers("a")) == LISTENED
+        assert len(fleet.list_readers("a")) == SUBSCRIBED_READERS
 
     play(scenario)
 
@@ -232,8 +232,8 @@
         await anyio.sleep(seconds)
         calls = fleet.count_calls() - before
         per_reader = 2 * seconds / 0.75
-        others = len(fleet.vms) - LISTENED * len(DOMAINS)
-        assert calls <= LISTENED * len(DOMAINS) * per_reader + 2 * others * (
+        others = len(fleet.vms) - SUBSCRIBED_READERS * len(DOMAINS)
+        assert calls <= SUBSCRIBED_READERS * len(DOMAINS) * per_reader + 2 * others * (
             seconds / LOST_S[0]
         )
         fleet.deployment.log.trouble = Trouble.NONE
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from eelgrassmount.cmd.relay import run_relay
-from eelgrassmount.policy import levels
+from eelgrassmount.policy import admission_controller
 from eelgrassmount.relay import admission, budget, gate, routing, sender
 from eelgrassmount.relay.admission import Admission, CallGraph
 from eelgrassmount.relay.backend import BackendPool
@@ -42,7 +42,9 @@
 
 def ignore_priority() -> None:
     """Cut all routes that lead to a short service alike."""
-    admission.divide_level = lambda asked, level: {one.demand: level for one in asked}
+    admission.compute_admitted_shares = lambda asked, level: {
+        one.request_class: level for one in asked
+    }
 
 
 def ignore_allowance() -> None:
@@ -52,7 +54,7 @@
 
 def ignore_order() -> None:
     """Queue by the due time alone."""
-    gate.find_patience = lambda origin: 1.0
+    gate.compute_due_factor = lambda origin: 1.0
 
 
 def ignore_lineage() -> None:
@@ -62,7 +64,7 @@
 
 def share_repeats_alike() -> None:
     """Give repeats to whoever asks first."""
-    budget.find_kept = lambda left, priority: 0.0
+    budget.compute_reserved_share = lambda left, priority: 0.0
 
 
 def spend_repeats_at_once() -> None:
@@ -92,12 +94,12 @@
 
 def choose_at_random() -> None:
     """Send each call to any server that takes it."""
-    routing.measure_cost = lambda *inputs: random.random()
+    routing.compute_cost = lambda *inputs: random.random()
 
 
 def ignore_failure_domain() -> None:
     """Take all servers for equally near."""
-    routing.measure_far = lambda size_bytes: 0.0
+    routing.compute_cross_domain_share = lambda size_bytes: 0.0
 
 
 def keep_no_connections() -> None:
@@ -124,16 +126,22 @@
     """Seek a level as if the present one had always been in force."""
 
     def update(
-        self: levels.LevelControl,
+        self: admission_controller.AdmissionController,
         demand: float,
         wait: float,
         age_steps: int = 0,
-        foreseen: float = 0.0,
+        forecast: float = 0.0,
     ) -> float:
-        sought = levels.seek_level(self.level, demand, wait, foreseen)
-        return self._move(self.level + levels.STEP_GAIN * (sought - self.level))
+        target_fraction = admission_controller.compute_admitted_fraction(
+            self.admitted_fraction, demand, wait, forecast
+        )
+        return self._set_fraction(
+            self.admitted_fraction
+            + admission_controller.FRACTION_SMOOTHING
+            * (target_fraction - self.admitted_fraction)
+        )
 
-    levels.LevelControl.update = update
+    admission_controller.AdmissionController.update = update
 
 
 def count_alone() -> None:
@@ -143,7 +151,9 @@
 
 def foresee_nothing() -> None:
     """Go by the demand that arrives."""
-    levels.combine_offered = lambda counted, foreseen, arriving: counted
+    admission_controller.estimate_offered_load = (
+        lambda measured, forecast, arriving_demand: measured
+    )
 
 
 def blame_servers() -> None:
