--- a/eelgrassmount/policy/__init__.py
+++ b/eelgrassmount/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under overload, as functions of what is known, without input or output."""
+"""Overload control decisions as pure functions, without input or output."""
--- a/eelgrassmount/policy/admission_controller.py
+++ b/eelgrassmount/policy/admission_controller.py
@@ -1,10 +1,7 @@
-"""How much of what is offered a short service can take.
+"""Computes the fraction of the offered load that an overloaded service admits.
 
-The load that this answers: demand surges within a second, the calls that it leads to
-arrive over the next one, and reports of them come later still. A level that is moved
-step by step by what it sees is too late, and then goes on moving for what it has
-changed already. So the level in force when the calls were admitted is taken into
-account: it tells how much is offered, and that tells the level at once.
+Calls arrive up to a second after their requests were admitted, and load reports later
+still. A feedback loop that ignores this delay reacts late and then overshoots.
 """
 
 from __future__ import annotations
@@ -15,57 +12,64 @@
 
 from eelgrassmount.policy.forecast import estimate_offered_load
 
-# demand, as a part of what the servers can do, that admission aims at, and while
-# calls wait longer than allowed
+# Target demand, and the target while calls wait longer than allowed.
 TARGET_DEMAND = 0.97
 TARGET_DEMAND_WITH_DELAY = 0.87
-# demand that waits above the allowed stand for, whatever was counted: servers that slow
-# down make the count too small, and the level would rise while requests fail
+# Demand assumed while calls wait longer than allowed. Measured demand is too low when
+# servers slow down, and would raise the admitted fraction while requests fail.
 MIN_DEMAND_WITH_DELAY = 0.95
 DEMAND_PER_WAIT = 0.05
 MAX_DEMAND_WITH_DELAY = 1.1
 MIN_ADMITTED_FRACTION = 0.02
-# less demand than this says nothing about how much was offered
+# Lower demand is too little to estimate the offered load.
 MIN_DEMAND = 0.02
 CONTROL_INTERVAL_S = 0.2
-# steps after which what was admitted shows in the demand: calls follow each other for
-# about a second, and the mean of the demand is some steps old
+# Range of control steps after which admitted requests show up in measured demand.
 MIN_EFFECT_DELAY_STEPS = 2
 MAX_EFFECT_DELAY_STEPS = 8
-# part of the way to the level sought that one step takes: with all of it, the level
-# swings by what is counted at random
+# Smoothing factor of the admitted fraction, per control step.
 FRACTION_SMOOTHING = 0.4
-# a level this near to the one sought is set to it, so that it comes to an end
+# Smaller differences are applied at once, so that the fraction reaches its target.
 SNAP_DISTANCE = 0.01
-# growth in one step while nothing is known
+# Growth factor per control step while no server reports its load.
 MAX_GROWTH_FACTOR = 1.15
-# reports that are older are not waited for
 MAX_REPORT_AGE_STEPS = 8
 
 
 def adjust_for_wait(demand: float, wait: float) -> tuple[float, float]:
-    """Return the demand to aim at and the one to go by.
+    """Return the target demand and the demand to compare with it.
 
-    Both are parts of what the servers can do; ``wait`` is a part of what is allowed.
+    Both are fractions of capacity; ``wait`` is relative to the allowed wait.
     """
     if wait <= 1.0:
         return TARGET_DEMAND, demand
-    by_wait = min(MAX_DEMAND_WITH_DELAY, MIN_DEMAND_WITH_DELAY + DEMAND_PER_WAIT * wait)
-    return TARGET_DEMAND_WITH_DELAY, max(demand, by_wait)
+    demand_by_wait = min(
+        MAX_DEMAND_WITH_DELAY, MIN_DEMAND_WITH_DELAY + DEMAND_PER_WAIT * wait
+    )
+    return TARGET_DEMAND_WITH_DELAY, max(demand, demand_by_wait)
 
 
 def compute_admitted_fraction(
     applied_fraction: float, demand: float, wait: float, forecast: float = 0.0
 ) -> float:
-    """Return the level at which demand would meet its target.
+    """Return the fraction of the offered load at which demand meets its target.
 
-    ``applied_fraction`` is the mean level at which the demand was admitted: demand over it is
-    what was offered. ``forecast`` is what clients offer by their requests, and more
-    where the calls of those that failed never came.
+    ``applied_fraction`` is the mean fraction at which the demand was admitted.
+    ``forecast`` is the demand that follows from the requests that clients send.
 
-        >>> round(compute_admitted_fraction(applied_fraction=0.5, demand=0.485, wait=0.0), 2)
+        >>> round(
+        ...     compute_admitted_fraction(
+        ...         applied_fraction=0.5, demand=0.485, wait=0.0
+        ...     ),
+        ...     2,
+        ... )
         1.0
-        >>> round(compute_admitted_fraction(applied_fraction=0.5, demand=0.97, wait=0.0, forecast=4.0), 2)
+        >>> round(
+        ...     compute_admitted_fraction(
+        ...         applied_fraction=0.5, demand=0.97, wait=0.0, forecast=4.0
+        ...     ),
+        ...     2,
+        ... )
         0.24
     """
     target, demand = adjust_for_wait(demand, wait)
@@ -76,53 +80,52 @@
 
 @define
 class AdmissionController:
-    """The level of a service: the part of what is offered that is admitted.
+    """Sets the admitted fraction of a service from its demand.
 
-    Each step compares the work that arrives at the servers with what they can do.
-    The length of the queues says little, since a backlog stays for a while after
-    the demand has fallen, and since fast servers have queues where slow ones don't.
+    Queue lengths are no control signal: a backlog outlasts the demand that caused it,
+    and they differ between fast and slow servers.
     """
 
     admitted_fraction: float = 1.0
     _history: deque[float] = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin as if the level had been in force for long."""
+        """Fill the history with the initial fraction."""
         steps = MAX_EFFECT_DELAY_STEPS + MAX_REPORT_AGE_STEPS
         self._history = deque([self.admitted_fraction] * steps, maxlen=steps)
 
     def update(
         self, demand: float, wait: float, age_steps: int = 0, forecast: float = 0.0
     ) -> float:
-        """Take up demand and wait, as parts of what is possible and allowed.
+        """Run one control step and return the admitted fraction.
 
-        They were reported so many steps ago; ``forecast`` is the demand that follows
-        from what clients offer now.
+        ``demand`` is relative to capacity and ``wait`` to the allowed wait, as reported
+        ``age_steps`` ago. ``forecast`` is the demand forecast from current requests.
         """
         age = min(MAX_REPORT_AGE_STEPS, age_steps)
-        known = list(self._history)
-        seen = known[
-            -MAX_EFFECT_DELAY_STEPS - age : len(known)
+        history = list(self._history)
+        applied = history[
+            -MAX_EFFECT_DELAY_STEPS - age : len(history)
             - MIN_EFFECT_DELAY_STEPS
             - age
             + 1
         ]
         target_fraction = compute_admitted_fraction(
-            sum(seen) / len(seen), demand, wait, forecast
+            sum(applied) / len(applied), demand, wait, forecast
         )
-        missing = target_fraction - self.admitted_fraction
-        near = abs(missing) < SNAP_DISTANCE
+        difference = target_fraction - self.admitted_fraction
+        is_near = abs(difference) < SNAP_DISTANCE
         return self._set_fraction(
             target_fraction
-            if near
-            else self.admitted_fraction + FRACTION_SMOOTHING * missing
+            if is_near
+            else self.admitted_fraction + FRACTION_SMOOTHING * difference
         )
 
     def increase_without_reports(self) -> float:
-        """Rise while nothing is known: to go on refusing would keep it so."""
+        """Raise the fraction, since a service without calls may report no load."""
         return self._set_fraction(min(1.0, self.admitted_fraction * MAX_GROWTH_FACTOR))
 
-    def _set_fraction(self, level: float) -> float:
-        self.admitted_fraction = level
-        self._history.append(level)
-        return level
+    def _set_fraction(self, fraction: float) -> float:
+        self.admitted_fraction = fraction
+        self._history.append(fraction)
+        return fraction
--- a/eelgrassmount/policy/forecast.py
+++ b/eelgrassmount/policy/forecast.py
@@ -1,9 +1,7 @@
-"""How much work the requests that clients offer will ask of a service.
+"""Forecasts the demand that client requests will place on a service.
 
-The load that this answers: servers of the scarcest service leave while demand surges.
-Most requests that are begun then end at their first call there, so that the calls they
-would still have made never come. By what arrives, demand then seems a small part of
-what is offered, and hardly a request with many such calls is finished.
+Requests that fail at their first call to an overloaded service never make their
+further calls, so demand measured by arriving calls is far below the offered load.
 """
 
 from __future__ import annotations
@@ -15,17 +13,16 @@
 
     from eelgrassmount.relay.members import MemberLoad
 
-# demand that arrives, from which on a forecast is gone by, and from which on it counts
-# whole. A service that is less busy has room whatever was foreseen: calls per run are
-# learned and may be wrong, and a forecast that is too high must not keep it idle
+# The weight of a forecast grows from 0 to 1 between these levels of arriving demand:
+# a forecast that is too high must not limit a service that has free capacity.
 MIN_FORECAST_DEMAND = 0.6
 FULL_FORECAST_DEMAND = 0.9
 
 
 def estimate_capacity(loads: Sequence[MemberLoad], route_name: str) -> float:
-    """Return how many runs of a route a second some servers can do together.
+    """Return how many runs of a route per second the given servers can complete.
 
-    It is 0 if none of them has run it yet.
+    The result is 0 if none of them has run the route yet.
     """
     measured_run_s = [
         load.run_s[route_name] for load in loads if route_name in load.run_s
@@ -41,13 +38,13 @@
 def forecast_demand(
     required_rates: Mapping[str, float], loads: Sequence[MemberLoad], nodes: int
 ) -> float:
-    """Return the work that is asked of a service, as a part of what it can do.
+    """Return the demand on a service, as a fraction of its capacity.
 
-    ``required_rates`` holds the runs a second of each route, and ``loads`` describes those of
-    the service's ``nodes`` that have reported lately::
+    ``required_rates`` holds the required runs per second by route; ``loads`` holds the
+    recent reports of the service's ``nodes``, some of which may be missing::
 
-        # 30 runs a second of 0.1 s, at 4 servers of 2 slots
-        foresee_demand({"shop/part/": 30.0}, loads, 4)
+        # 30 runs per second of 0.1 s, on 4 servers of 2 slots
+        forecast_demand({"shop/part/": 30.0}, loads, 4)
         # 0.375
     """
     if not loads:
@@ -64,11 +61,10 @@
 def estimate_offered_load(
     measured: float, forecast: float, arriving_demand: float
 ) -> float:
-    """Return what is offered, by what was counted and what is foreseen.
+    """Return the offered load, as a fraction of capacity.
 
-    ``measured`` follows from the demand that arrives and the level at which it was
-    admitted, and ``arriving_demand`` is that demand. Only a higher forecast is gone by: a
-    lower one leaves out repeats.
+    ``measured`` is ``arriving_demand`` divided by the fraction at which it was
+    admitted. A forecast below it is ignored, since forecasts leave out retries.
 
         >>> estimate_offered_load(1.2, forecast=2.0, arriving_demand=0.95)
         2.0
--- a/eelgrassmount/policy/quotas.py
+++ b/eelgrassmount/policy/quotas.py
@@ -1,9 +1,8 @@
-"""How the quota of a team is divided among those who hand it out.
+"""Divides the quota of a team among the nodes that allocate it.
 
-The load that this answers: a team sends many times its usual through a few of many
-nodes, so that equal parts would refuse most of what it may have, and counts that go
-round among the nodes are too old by the time at which it has used up its quota. Nodes
-that are cut off, stand still or start anew must not hand out more than the quota.
+A team may send its whole quota through a few nodes, so equal parts would refuse most of
+it, and counts exchanged among nodes arrive after it is used up. Partitioned, stalled or
+restarted nodes must not exceed the quota.
 """
 
 from __future__ import annotations
@@ -19,32 +18,31 @@
 
     from eelgrassmount.teams.directory import Team
 
-# part of what may be run beyond the quota that holders may hand out. The rest is for
-# those that start, and for what is begun without asking while holders change
+# Share of the permitted overrun that allocators may grant in advance. The rest covers
+# allocators that start and requests admitted without a grant while allocators change.
 DEBT_SHARE = 0.5
-# part of it that a holder has at its start, for the first requests that come to it
+# Share of its debt that a new allocator may grant at once.
 INITIAL_DEBT_SHARE = 0.16
-# part of a full bucket from which on nodes may take without asking, and below which
-# they are told to ask: the first requests of a surge need not wait for it
+# Nodes may admit requests without a grant from the first fill level of the bucket on,
+# and need grants again below the second.
 MIN_FILL_WITHOUT_GRANT = 0.6
 GRANT_REQUIRED_FILL = 0.4
-# of the requests in a bucket, one in so many may be taken by nodes that don't ask
 NODES_WITHOUT_GRANT_PER_TOKEN = 0.25
-# a holder keeps for itself what its own nodes are likely to ask for in this time
+# An allocator lends no tokens that its own clients will probably request in this time.
 RESERVE_PERIOD_S = 0.25
-# requests that are borrowed at once, as the time for which they are likely to last
+# Time for which a loan should last.
 BORROW_PERIOD_S = 0.5
 ROUNDING_TOLERANCE = 1e-9
-# a rate below it, in requests a second, stands for none
+# Requests per second; bounds the wait of a team with a rate near 0.
 MIN_RATE_PER_S = 0.01
 
 
 @frozen
 class QuotaBounds:
-    """How much more than its quota a team may have run in any window.
+    """Permitted overrun of a quota.
 
-    In ``window_s`` seconds it is ``overage`` of the quota of the window, and ``slack``
-    requests.
+    In any window of ``window_s`` seconds a team may exceed its quota by the share
+    ``overage`` of the window's quota plus ``slack`` requests.
     """
 
     window_s: float
@@ -52,22 +50,23 @@
     slack: float
 
     def compute_max_debt(self, team: Team) -> float:
-        """Return the requests that all holders together may hand out beyond a quota."""
+        """Return how many requests all allocators may grant beyond the quota."""
         allowed = team.rate * self.window_s + team.burst
         return DEBT_SHARE * (self.overage * allowed + self.slack)
 
 
 @define
 class TokenBucket:
-    """Requests that may begin now: ``rate`` more each second, up to ``burst``.
+    """A token bucket of ``rate`` requests per second, up to ``burst``.
 
-    Its level may fall to ``-debt`` by what is asked for, and lower by what was taken
-    without asking, but to no more than ``max_deficit`` below zero. It begins with hardly any,
-    also where it grows, since whoever takes it over can't know what was taken before.
-    Times are in seconds::
+    Grants may take ``tokens`` down to ``-max_debt``. Requests admitted without a grant
+    may take it further down, but not below ``-max_deficit``. New and added capacity
+    starts almost empty, since earlier use of it is unknown. Times are in seconds::
 
-        bucket = TokenBucket(read_s=0.0)
-        bucket.resize(rate=10.0, burst=20.0, debt=0.0, worst=60.0, now_s=0.0)
+        bucket = TokenBucket(refilled_s=0.0)
+        bucket.resize(
+            rate=10.0, burst=20.0, max_debt=0.0, max_deficit=60.0, now_s=0.0
+        )
         bucket.take(3, now_s=0.2)  # 2
     """
 
@@ -86,7 +85,7 @@
         max_deficit: float,
         now_s: float,
     ) -> None:
-        """Change the size; what is beyond a smaller one is lost."""
+        """Change the bucket's size; tokens above a smaller burst are dropped."""
         self.refill(now_s)
         self.tokens -= (1.0 - INITIAL_DEBT_SHARE) * max(0.0, max_debt - self.max_debt)
         self.rate = rate
@@ -96,28 +95,28 @@
         self.tokens = min(self.tokens, burst)
 
     def refill(self, now_s: float) -> None:
-        """Add what the time since the last call has brought."""
+        """Add the tokens earned since the last refill."""
         earned = self.rate * max(0.0, now_s - self.refilled_s)
         self.refilled_s = max(self.refilled_s, now_s)
-        # what was lent by others may lie above the burst and is not lost
+        # Borrowed tokens may exceed the burst and are retained.
         if self.tokens < self.burst:
             self.tokens = min(self.burst, self.tokens + earned)
 
     def compute_available(self, now_s: float) -> float:
-        """Return how many requests may begin now, with parts of one."""
+        """Return how many requests may start now, as a fractional number."""
         self.refill(now_s)
         return self.tokens + self.max_debt
 
     def take(self, requested: int, now_s: float) -> int:
-        """Take as many requests as there are, and return their number."""
-        # a sum of tenths may lie just below the whole number that it stands for
+        """Take up to ``requested`` whole tokens and return their number."""
+        # Floating-point sums may lie just below the whole number.
         available = math.floor(self.compute_available(now_s) + ROUNDING_TOLERANCE)
         taken = max(0, min(requested, available))
         self.tokens -= taken
         return taken
 
     def charge(self, used: float, now_s: float) -> None:
-        """Take what has begun without asking, or give back if it is negative."""
+        """Charge requests admitted without a grant; return tokens if negative."""
         self.refill(now_s)
         if used >= 0:
             self.tokens = max(-self.max_deficit, self.tokens - used)
@@ -125,16 +124,16 @@
             self.tokens = max(self.tokens, min(self.burst, self.tokens - used))
 
     def compute_wait_s(self, ahead: float, now_s: float) -> float:
-        """Return the seconds until a request may begin behind ``ahead`` others."""
+        """Return the seconds until a request may start behind ``ahead`` others."""
         missing = max(0.0, 1.0 + ahead - self.compute_available(now_s))
         return missing * self.compute_interval_s()
 
     def compute_interval_s(self) -> float:
-        """Return the seconds between two requests of a team that sends many."""
+        """Return the seconds between two requests at the full rate."""
         return 1.0 / max(self.rate, MIN_RATE_PER_S)
 
     def may_admit_without_grant(self, nodes_without_grant: int) -> bool:
-        """Tell whether one more node may take without asking, beside so many."""
+        """Return whether one more node may admit requests without a grant."""
         enough = self.tokens >= MIN_FILL_WITHOUT_GRANT * self.burst
         return (
             enough
@@ -142,16 +141,15 @@
         )
 
     def requires_grants(self) -> bool:
-        """Tell whether nodes must no longer take without asking."""
+        """Return whether all nodes must request grants."""
         return self.tokens < GRANT_REQUIRED_FILL * self.burst
 
 
 def compute_allocator_share(lenders: int, nodes: int) -> float:
-    """Return the part of all quotas that one holder hands out.
+    """Return the share of all quotas that an allocator with so many lenders grants.
 
-    Each node of the deployment stands for an equal part, which it lends to one holder
-    at a time; so all parts together are never more than the whole, whoever takes
-    himself for a holder.
+    Each node lends an equal share to one allocator at a time, so the shares never add
+    up to more than 1, however many nodes act as allocators.
 
         >>> compute_allocator_share(18, nodes=72)
         0.25
@@ -160,7 +158,7 @@
 
 
 def compute_loan_request(missing: float, requested_per_s: float) -> float:
-    """Return the requests to ask each other holder for, as only one may have any.
+    """Return how many tokens to request from each of the other allocators.
 
     >>> compute_loan_request(1.0, requested_per_s=10.0)
     6.0
@@ -169,7 +167,7 @@
 
 
 def compute_spare_tokens(available: float, requested_per_s: float) -> float:
-    """Return the requests that a holder may lend to another, also parts of one.
+    """Return how many tokens an allocator may lend to another one.
 
     >>> compute_spare_tokens(10.0, requested_per_s=8.0)
     8.0
@@ -177,10 +175,13 @@
     return max(0.0, available - RESERVE_PERIOD_S * requested_per_s)
 
 
-def choose_allocator(team_name: str, holders: Sequence[str]) -> str | None:
-    """Return the holder of a team, which is another one only if that one is gone."""
+def choose_allocator(team_name: str, allocators: Sequence[str]) -> str | None:
+    """Return the allocator of a team, by rendezvous hashing.
+
+    The choice changes only when that allocator leaves or one of higher rank joins.
+    """
 
     def rank(name: str) -> tuple[int, str]:
         return zlib.crc32(f"{team_name} {name}".encode()), name
 
-    return max(holders, key=rank, default=None)
+    return max(allocators, key=rank, default=None)
--- a/eelgrassmount/policy/readers.py
+++ b/eelgrassmount/policy/readers.py
@@ -1,9 +1,8 @@
-"""Which nodes read the log for the others of their failure domain.
+"""Chooses the nodes of a failure domain that read the log for its other nodes.
 
-The load that this answers: each record of the log wakes all that wait for it. When
-every node reads the log itself, its calls are nodes times events. A failure domain that
-is cut off needs readers of its own, and a reader that fails has to be replaced by what
-each node sees for itself, without an election.
+If each node read the log itself, the log would serve as many calls per event as there
+are nodes. Readers are chosen without an election, from the failures that each node
+observes, so that a partitioned failure domain has readers of its own.
 """
 
 from __future__ import annotations
@@ -15,15 +14,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# readers that a node listens to: with two, the loss of one goes unnoticed
+# With two readers, a node notices nothing of the loss of one.
 SUBSCRIBED_READERS = 2
-# nodes of a failure domain for which there is one reader, so that it answers twice as
-# many, which takes it little of its processor time
+# Each reader serves up to this number of nodes times `SUBSCRIBED_READERS`.
 NODES_PER_READER = 32
 
 
 def count_readers(nodes: int) -> int:
-    """Return how many readers a failure domain of so many nodes has.
+    """Return how many readers a failure domain with this number of nodes has.
 
     >>> count_readers(33), count_readers(1700)
     (2, 54)
@@ -34,9 +32,9 @@
 def choose_readers(
     ranked: Iterable[str], is_usable: Callable[[str], bool], count: int
 ) -> list[str]:
-    """Return the first nodes that can be used, in an order that all nodes share.
+    """Return the first ``count`` usable nodes, in an order that all nodes share.
 
-    Nodes that see the same failures choose the same readers::
+    Nodes that observe the same failures choose the same readers::
 
         choose_readers(["a", "b", "c", "d"], lambda name: name != "b", 2)
         # ["a", "c"]
@@ -53,9 +51,9 @@
 def choose_subscribed_readers(
     node_name: str, readers: Iterable[str], count: int = SUBSCRIBED_READERS
 ) -> list[str]:
-    """Return the readers that a node listens to, which differ from node to node.
+    """Return the readers that a node subscribes to, spread by a hash over all nodes.
 
-    Where there are no more than two, it listens to both.
+    A node subscribes to all readers if there are no more than ``count``.
     """
     others = [name for name in readers if name != node_name]
     others.sort(key=lambda name: zlib.crc32(f"{node_name} {name}".encode()))
--- a/eelgrassmount/policy/scheduling.py
+++ b/eelgrassmount/policy/scheduling.py
@@ -1,8 +1,7 @@
-"""Which calls a server is given first.
+"""Schedules the calls of a backend server: start order, longest wait and run timeout.
 
-The load that this answers: more calls arrive at the scarcest service than it can run,
-of requests that differ in urgency. In the order of their times alone, the most urgent
-requests fail as often as the least urgent ones, and more often if they make more calls.
+In the order of arrival, urgent requests on an overloaded service fail as often as other
+requests, and more often if they make more calls.
 """
 
 from __future__ import annotations
@@ -13,61 +12,58 @@
 if TYPE_CHECKING:
     from eelgrassmount.relay.messages import Origin
 
-# part of its slack after which a call is due, for the first priority, and more for each
-# further one. The step is small, so that what was begun of the least urgent requests is
-# still finished
+# A call is due after this share of its slack, which grows with the priority number.
 BASE_DUE_FACTOR = 0.8
 DUE_FACTOR_PER_PRIORITY = 0.15
 MAX_DUE_FACTOR = 2.0
-# runs that a request still needs at which a call has half of that. One that needs fewer
-# is due sooner: what was done for it would be lost, and it is over soon. For a request
-# that comes straight from its client, nothing was done yet
+# Remaining runs at which the due factor of a downstream call is half of its scale.
+# Requests with fewer remaining runs are due sooner, since their work would be lost.
 HALF_FACTOR_RUNS = 3.0
-# makes up for it: a request that needs seven runs is due after its whole slack
 REMAINING_RUNS_SCALE = 1.4
 
 
-# part of a route's objective that a client's request may be expected to wait; a call of
-# a running server may wait longer, since to refuse it wastes its whole request
+# Longest expected wait, as a share of the route's objective. Downstream calls may wait
+# longer, since refusing one wastes the work done for its request.
 MAX_CLIENT_WAIT_SHARE = 0.5
 MAX_DOWNSTREAM_WAIT_SHARE = 1.0
-# a request waits no longer than leaves it so many times its usual run: one that would
-# be late is better offered to another server
+# Multiple of the usual run time that must remain after the wait.
 RUN_TIME_MARGIN_FACTOR = 1.3
-# where less than this part of its objective is left, it will be late wherever it runs
+# If less than this share of the objective remains for the wait, the request is late on
+# any server.
 MIN_WAIT_SHARE = 0.1
-# a run is given so much of the time that its calls may take, and only if it usually
-# takes so much less than that
+# Timeout of a run, as a share of the time allowed for its calls. It applies only to
+# runs that usually take less than the timeout divided by the factor.
 RUN_TIMEOUT_SHARE = 0.85
 RUN_TIMEOUT_FACTOR = 2.5
-# part of its slack that a call has at least, where a run takes nearly as long
+# Share of its slack that a call retains if its run takes as long as the slack.
 MIN_SLACK_SHARE = 0.25
 
 
-def compute_max_wait_s(objective_s: float, run_s: float, inner: bool) -> float:
-    """Return the seconds that a call may be expected to wait at a server.
+def compute_max_wait_s(objective_s: float, run_s: float, is_downstream: bool) -> float:
+    """Return the longest expected wait, in seconds, with which a server accepts a call.
 
-    ``run_s`` is the usual duration of a run of its route there.
+    ``run_s`` is the usual duration of a run of the route on this server.
 
-        >>> compute_max_wait_s(0.6, run_s=0.4, inner=False)
+        >>> compute_max_wait_s(0.6, run_s=0.4, is_downstream=False)
         0.08
     """
-    if inner:
+    if is_downstream:
         return MAX_DOWNSTREAM_WAIT_SHARE * objective_s
     usual_s = MAX_CLIENT_WAIT_SHARE * objective_s
-    left_s = round(objective_s - RUN_TIME_MARGIN_FACTOR * run_s, 6)
-    # a late answer is worth more than none
-    if left_s < MIN_WAIT_SHARE * objective_s:
+    remaining_s = round(objective_s - RUN_TIME_MARGIN_FACTOR * run_s, 6)
+    # Accept a request that is late on any server: a late answer is better than none.
+    if remaining_s < MIN_WAIT_SHARE * objective_s:
         return usual_s
-    return min(usual_s, left_s)
+    return min(usual_s, remaining_s)
 
 
-def compute_run_timeout_s(left_s: float, call_limit_s: float, usual_s: float) -> float:
-    """Return the seconds that a run is given, of those that its request has left.
+def compute_run_timeout_s(
+    remaining_s: float, call_limit_s: float, usual_s: float
+) -> float:
+    """Return the timeout of a run whose request has ``remaining_s`` left.
 
-    ``call_limit_s`` is the longest that calls of such runs may take. A run that has a
-    little less makes calls with its own deadline, which tells whose they are. One that
-    usually takes more than a part of it is left alone.
+    ``call_limit_s`` is the longest time allowed for calls of such runs. A timeout below
+    it gives the calls of a run a distinct deadline, by which they are attributed to it.
 
         >>> compute_run_timeout_s(1.0, call_limit_s=0.8, usual_s=0.2)
         0.68
@@ -76,16 +72,16 @@
     """
     limited_s = RUN_TIMEOUT_SHARE * call_limit_s
     if RUN_TIMEOUT_FACTOR * usual_s > limited_s:
-        return left_s
-    return min(left_s, limited_s)
+        return remaining_s
+    return min(remaining_s, limited_s)
 
 
 def compute_slack_s(objective_s: float, allowance_s: float, run_s: float) -> float:
     """Return the seconds within which a call should start.
 
-    They lie between its objective and what its request leaves it: by the first alone,
-    requests with many calls fail by their time-out, by the second short requests wait
-    behind them. A run that takes long has to start the sooner.
+    This is the geometric mean of the route's objective and the call's allowance, less
+    the run time. By the objective alone, requests with many calls time out; by the
+    allowance alone, requests with few calls wait behind them.
 
         >>> compute_slack_s(0.6, allowance_s=0.6, run_s=0.3)
         0.3
@@ -95,7 +91,7 @@
 
 
 def compute_due_factor(origin: Origin) -> float:
-    """Return after which part of its slack a call is due.
+    """Return the share of its slack after which a call is due.
 
     >>> round(compute_due_factor(Origin(0, inner=True, left=3)), 2)
     0.56
--- a/eelgrassmount/policy/service_load.py
+++ b/eelgrassmount/policy/service_load.py
@@ -1,8 +1,4 @@
-"""The load of a whole service, from that of its servers.
-
-The load that this answers: servers of one service differ in speed and slots, and one
-of them fails or rejects what it is sent while the others are full.
-"""
+"""Combines the load reports of a service's servers."""
 
 from __future__ import annotations
 
@@ -13,23 +9,26 @@
 if TYPE_CHECKING:
     from eelgrassmount.relay.members import MemberLoad
 
-# a server that fails half of its calls more than the best one has as good as no slots,
-# and at least this part of them
+# Weight lost per failure share above that of the most reliable server, and the weight
+# that every server retains.
 FAILURE_WEIGHT = 2.0
 MIN_HEALTH_WEIGHT = 0.1
 
 
 def combine_server_loads(loads: list[MemberLoad]) -> GateLoad:
-    """Return the load of a service from that of its servers, by their slots.
+    """Return the load of a service from those of its servers, weighted by their slots.
 
-    The slots of a server that fails more than the best one count for less: routing
-    leaves them to the others, which are full while the mean says that half is free.
-    Where all fail alike, the cause is not the server.
+    Servers that fail more often than the most reliable one weigh less: routing avoids
+    them, so their free slots would hide that the other servers are full. Failures that
+    all servers have in common don't reduce the weights.
     """
-    least = min(load.failure_share for load in loads)
+    min_failure_share = min(load.failure_share for load in loads)
     weights = [
         load.limit
-        * max(MIN_HEALTH_WEIGHT, 1.0 - FAILURE_WEIGHT * (load.failure_share - least))
+        * max(
+            MIN_HEALTH_WEIGHT,
+            1.0 - FAILURE_WEIGHT * (load.failure_share - min_failure_share),
+        )
         for load in loads
     ]
     total = sum(weights)
--- a/eelgrassmount/policy/shedding.py
+++ b/eelgrassmount/policy/shedding.py
@@ -1,8 +1,4 @@
-"""Which requests are cut when a service that they lead to is short.
-
-The load that this answers: several routes ask more of one service than it can do, of
-which some are more urgent, and their requests make different numbers of calls.
-"""
+"""Chooses which requests are shed when a service that they need is overloaded."""
 
 from __future__ import annotations
 
@@ -15,7 +11,7 @@
 
 
 class RequestClass(NamedTuple):
-    """Requests of one route and rank; 0 is refused last."""
+    """Requests of one route and rank; rank 0 is shed last."""
 
     route_name: str
     rank: int
@@ -23,34 +19,35 @@
 
 @frozen
 class RequiredCalls:
-    """The calls that the offered requests of one demand ask of a service."""
+    """The calls to a service that the offered requests of a class require."""
 
     request_class: RequestClass
     calls: float
 
 
 def compute_admitted_shares(
-    asked: Iterable[RequiredCalls], level: float
+    required: Iterable[RequiredCalls], admitted_fraction: float
 ) -> dict[RequestClass, float]:
-    """Return the part of each demand that a service has room for.
+    """Return the share of each request class to admit.
 
-    ``level`` is the part of all calls asked of it that it can do. Demands stand one
-    above the other, the most urgent at the bottom; those at the level are cut in
-    proportion::
+    ``admitted_fraction`` is the fraction of all required calls that the service can
+    run. It is given to the ranks in order of urgency; classes of the rank at which it
+    is used up are reduced by the same factor::
 
-        book = Demand("shop/book/", 0)
-        price = Demand("shop/price/", 2)
-        divide_level([AskedCalls(book, 20.0), AskedCalls(price, 20.0)], 0.75)
+        book = RequestClass("shop/book/", 0)
+        price = RequestClass("shop/price/", 2)
+        required = [RequiredCalls(book, 20.0), RequiredCalls(price, 20.0)]
+        compute_admitted_shares(required, 0.75)
         # {book: 1.0, price: 0.5}
     """
     by_rank: dict[int, list[RequiredCalls]] = {}
-    for one in asked:
+    for one in required:
         by_rank.setdefault(one.request_class.rank, []).append(one)
-    heights = {rank: sum(one.calls for one in by_rank[rank]) for rank in by_rank}
-    room = level * sum(heights.values())
+    calls_by_rank = {rank: sum(one.calls for one in by_rank[rank]) for rank in by_rank}
+    remaining_calls = admitted_fraction * sum(calls_by_rank.values())
     shares: dict[RequestClass, float] = {}
     for rank in sorted(by_rank):
-        share = max(0.0, min(1.0, room / heights[rank]))
+        share = max(0.0, min(1.0, remaining_calls / calls_by_rank[rank]))
         shares.update({one.request_class: share for one in by_rank[rank]})
-        room -= heights[rank]
+        remaining_calls -= calls_by_rank[rank]
     return shares
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -64,7 +64,7 @@
 
 def share_repeats_alike() -> None:
     """Give repeats to whoever asks first."""
-    budget.compute_reserved_share = lambda left, priority: 0.0
+    budget.compute_reserved_share = lambda remaining_runs, priority: 0.0
 
 
 def spend_repeats_at_once() -> None:
