--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -42,8 +42,8 @@
 
 def ignore_priority() -> None:
     """Cut all routes that lead to a short service alike."""
-    admission.compute_admitted_shares = lambda asked, level: {
-        one.request_class: level for one in asked
+    admission.compute_admitted_shares = lambda required, admitted_fraction: {
+        one.request_class: admitted_fraction for one in required
     }
 
 
