--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -12,8 +12,8 @@
 
 from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier, compute_priority
-from eelgrassmount.load.exchange import open_threshold
-from eelgrassmount.load.gate import LimitedGate
+from eelgrassmount.load.dispatcher import LimitedDispatcher
+from eelgrassmount.load.exchange import compute_effective_threshold
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.state import rank_call
 from eelgrassmount.members.table import Identity, ServerState
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.load.queue import Waiting
+    from eelgrassmount.load.queue import WaitingCall
     from eelgrassmount.load.state import ServiceLoad
 
 _CHECK_PERIOD_S = 0.001
@@ -65,7 +65,7 @@
 class ServerRun:
     """One call inside the server."""
 
-    waiting: Waiting
+    waiting: WaitingCall
     started_s: float
     has_slot: bool = False
     ended: bool = False
@@ -78,13 +78,13 @@
     scenario: Scenario
     rng: random.Random
     timers: TimerService = field(init=False)
-    gate: LimitedGate = field(init=False)
+    gate: LimitedDispatcher = field(init=False)
     heard: ServiceLoad | None = None
     seconds: list[Second] = field(factory=list)
     count: int = 0
     busy: int = 0
     inside: deque[ServerRun] = field(factory=deque)
-    pending: list[Waiting] = field(factory=list)
+    pending: list[WaitingCall] = field(factory=list)
     refused_last_at_s: float = -math.inf
 
     def __attrs_post_init__(self) -> None:
@@ -93,7 +93,7 @@
         identity = Identity("127.0.0.1:1", "here", "region", "1")
         board = Blackboard(identity)
         board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-        self.gate = LimitedGate(board, self.timers)
+        self.gate = LimitedDispatcher(board, self.timers)
         self.timers.schedule(0.0, self.arrive)
         self.timers.subscribe(_CHECK_PERIOD_S, self.check_pending)
 
@@ -135,7 +135,7 @@
         """Decide at the entry, by what was heard."""
         if self.heard is None:
             return True
-        threshold = open_threshold(self.heard, self.timers.read())
+        threshold = compute_effective_threshold(self.heard, self.timers.read())
         return rank_call(context.tier, context.priority) < threshold
 
     def note_refusal(self, tier: Tier) -> None:
--- a/benchmarks/limiter.py
+++ b/benchmarks/limiter.py
@@ -32,7 +32,7 @@
         """Return how many calls may run now."""
         return max(2, round(self.size))
 
-    def note_start(self, in_flight: int, now_s: float) -> None:
+    def record_start(self, in_flight: int, now_s: float) -> None:
         """Note nothing."""
 
     def adjust(self, now_s: float) -> None:
@@ -70,7 +70,7 @@
         """Return how many calls may run now."""
         return max(2, round(self.size))
 
-    def note_start(self, in_flight: int, now_s: float) -> None:
+    def record_start(self, in_flight: int, now_s: float) -> None:
         """Note nothing."""
 
     def adjust(self, now_s: float) -> None:
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -27,7 +27,7 @@
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
         """Take in one run that has ended."""
 
-    def note_start(self, in_flight: int, now_s: float) -> None:
+    def record_start(self, in_flight: int, now_s: float) -> None:
         """Note that a run starts."""
 
     def adjust(self, now_s: float) -> None:
@@ -89,7 +89,7 @@
 
     def _start(self) -> None:
         self.in_flight += 1
-        self.limiter.note_start(self.in_flight, self.now_s)
+        self.limiter.record_start(self.in_flight, self.now_s)
         if self.in_flight > self.server.most_in_flight:
             self.points[-1].shed += 1
             self.push(self.now_s + 0.001, "shed", self.now_s)
--- a/eelgrassmount/admin/routes.py
+++ b/eelgrassmount/admin/routes.py
@@ -22,7 +22,7 @@
     from eelgrassmount.admin.listener import AdminListener
     from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.follower import ConfigFollower
-    from eelgrassmount.load.port import Gate
+    from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
 
 _JSON = (Header("content-type", "application/json"),)
@@ -31,7 +31,7 @@
 def add_routes(
     listener: AdminListener,
     board: Blackboard,
-    gate: Gate,
+    gate: ServerDispatcher,
     count_running: Callable[[], int],
     follower: ConfigFollower,
     metrics: Metrics,
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -15,12 +15,12 @@
 
     from eelgrassmount.admin.listener import AdminHandler
     from eelgrassmount.blackboard import Blackboard
-    from eelgrassmount.load.port import Gate
+    from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
 
 
 def make_state_handler(
-    board: Blackboard, gate: Gate, count_running: Callable[[], int]
+    board: Blackboard, gate: ServerDispatcher, count_running: Callable[[], int]
 ) -> AdminHandler:
     """Return the handler of ``GET /state``."""
 
--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -87,7 +87,7 @@
                 outcome = await self.remote.run(address, attempt)
                 self._note_fate(attempt, outcome)
         finally:
-            self.control.note_end(
+            self.control.record_end(
                 address,
                 call.request.service,
                 outcome.verdict,
--- a/eelgrassmount/calls/downstream.py
+++ b/eelgrassmount/calls/downstream.py
@@ -89,7 +89,7 @@
                 outcome = Outcome(MayHaveRun(Reason.DEADLINE), 0)
         finally:
             child.outcome = outcome
-            self.exchange.note_downstream(
+            self.exchange.record_downstream(
                 call.context.parent_id, call.request.service, outcome.loads
             )
             parent.attempts_left += outcome.attempts_left
--- a/eelgrassmount/calls/entry.py
+++ b/eelgrassmount/calls/entry.py
@@ -82,7 +82,7 @@
         answered = isinstance(outcome.verdict, Answered)
         complete = answered and seconds * 1000 <= work_class.within_ms
         touched = {load.service for load in outcome.loads}
-        self.control.note_request(work_class.name, complete, touched)
+        self.control.record_request(work_class.name, complete, touched)
         verdict_name = name_verdict(outcome.verdict)
         record_call(self.metrics, work_class.name, verdict_name, seconds)
 
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -27,7 +27,7 @@
     from eelgrassmount.context import Context
     from eelgrassmount.edge.server import ServerClient
     from eelgrassmount.load.exchange import LoadExchange
-    from eelgrassmount.load.port import Gate
+    from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.retry.exchange import QuarantineExchange
     from eelgrassmount.timers import TimerService
@@ -47,7 +47,7 @@
     board: Blackboard
     timers: TimerService
     table: CallTable
-    gate: Gate
+    gate: ServerDispatcher
     client: ServerClient
     quarantine: QuarantineExchange
     exchange: LoadExchange
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -17,7 +17,7 @@
 from eelgrassmount.edge.probes import ServerProbes
 from eelgrassmount.edge.server import ServerClient
 from eelgrassmount.load.control import LoadControl
-from eelgrassmount.load.gate import LimitedGate
+from eelgrassmount.load.dispatcher import LimitedDispatcher
 from eelgrassmount.retry.budget import RetryRatio
 from eelgrassmount.retry.exchange import QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
@@ -31,7 +31,7 @@
     """The parts that a call passes through."""
 
     table: CallTable
-    gate: LimitedGate
+    gate: LimitedDispatcher
     control: LoadControl
     quarantine: QuarantineExchange
     announcements: Announcements
@@ -45,7 +45,7 @@
 def build_path(base: Base, note_change: Callable[[], None]) -> Path:
     """Return the parts of the path, wired but not started."""
     table = CallTable()
-    gate = LimitedGate(base.board, base.timers)
+    gate = LimitedDispatcher(base.board, base.timers)
     control = LoadControl(base.board, base.timers)
     quarantine = QuarantineExchange(
         base.board, base.timers.clock, base.peers, Quarantine(), base.tasks
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -8,7 +8,7 @@
 
 from eelgrassmount.load.exchange import find_load, find_services
 from eelgrassmount.load.refusals import (
-    ExcessMeter,
+    AdmissionMeter,
     compute_retry_after,
     spread_retry_after,
 )
@@ -23,14 +23,14 @@
 
 
 @define
-class EntryState:
+class EntryMeters:
     """What this node admitted and refused lately as an entry, by service."""
 
-    excess: dict[str, ExcessMeter] = field(factory=dict)
+    meters: dict[str, AdmissionMeter] = field(factory=dict)
 
-    def find_meter(self, service: str) -> ExcessMeter:
+    def get_meter(self, service: str) -> AdmissionMeter:
         """Return the meter of a service."""
-        return self.excess.setdefault(service, ExcessMeter())
+        return self.meters.setdefault(service, AdmissionMeter())
 
 
 def find_bottleneck(
@@ -55,7 +55,7 @@
 
 def admit_at_entry(
     board: Blackboard,
-    state: EntryState,
+    state: EntryMeters,
     work_class: WorkClass,
     service: str,
     priority: int,
@@ -69,9 +69,9 @@
     bottleneck = find_bottleneck(board, work_class, service, priority, now_s)
     if bottleneck is None:
         for name in {service, *find_services(board.loads, work_class.name)}:
-            state.find_meter(name).note_admitted(now_s)
+            state.get_meter(name).record_admitted(now_s)
         return None
-    meter = state.find_meter(bottleneck)
-    meter.note_refused(now_s)
+    meter = state.get_meter(bottleneck)
+    meter.record_refused(now_s)
     delay_s = compute_retry_after(meter, now_s)
     return NotRun(Reason.OVERLOAD, spread_retry_after(delay_s, rng))
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -7,12 +7,12 @@
 from attrs import define, field
 
 from eelgrassmount.context import compute_priority
-from eelgrassmount.load.admission import EntryState, admit_at_entry
+from eelgrassmount.load.admission import EntryMeters, admit_at_entry
 from eelgrassmount.load.exchange import LoadExchange
-from eelgrassmount.load.routing import choose_server, find_room
+from eelgrassmount.load.routing import choose_server, has_open_server
 from eelgrassmount.load.servers import RoutingState
 from eelgrassmount.load.shares import (
-    SHARE_PERIOD_S,
+    SHARE_INTERVAL_S,
     ShareTable,
     adjust_shares,
     scale_priority,
@@ -29,32 +29,32 @@
     from eelgrassmount.timers import TimerService
     from eelgrassmount.verdict import NotRun, Verdict
 
-_REFRESH_PERIOD_S = 0.5
-_FORGET_PERIOD_S = 5.0
+_REFRESH_INTERVAL_S = 0.5
+_EXPIRY_INTERVAL_S = 5.0
 
 
 @define
 class LoadControl:
     """Admission, routing and the exchange of load on one node.
 
-    ``prioritize`` and ``admit`` serve the entry, ``choose`` and ``note_end``
-    each attempt at a call, ``note_request`` the end of a whole request.
+    ``prioritize`` and ``admit`` serve the entry, ``choose`` and ``record_end``
+    each attempt at a call, ``record_request`` the end of a whole request.
     """
 
     board: Blackboard
     timers: TimerService
     exchange: LoadExchange = field(init=False)
     routing: RoutingState = field(init=False)
-    entry: EntryState = field(factory=EntryState)
+    entry: EntryMeters = field(factory=EntryMeters)
     shares: ShareTable = field(factory=ShareTable)
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to the timer service."""
         self.exchange = LoadExchange(self.board.loads)
         self.routing = RoutingState(self.timers.read())
-        self.timers.subscribe(SHARE_PERIOD_S, self._adjust_shares)
-        self.timers.subscribe(_REFRESH_PERIOD_S, self._refresh_routing)
-        self.timers.subscribe(_FORGET_PERIOD_S, self._forget_loads)
+        self.timers.subscribe(SHARE_INTERVAL_S, self._adjust_shares)
+        self.timers.subscribe(_REFRESH_INTERVAL_S, self._refresh_routing)
+        self.timers.subscribe(_EXPIRY_INTERVAL_S, self._drop_expired_loads)
 
     def _adjust_shares(self) -> None:
         document = self.board.configuration.document
@@ -63,8 +63,8 @@
     def _refresh_routing(self) -> None:
         self.routing.refresh(self.board, self.timers.read())
 
-    def _forget_loads(self) -> None:
-        self.exchange.forget_old(self.timers.read())
+    def _drop_expired_loads(self) -> None:
+        self.exchange.drop_expired(self.timers.read())
 
     def prioritize(self, work_class: WorkClass, root_id: str) -> int:
         """Return the admission priority of a new root request."""
@@ -90,7 +90,7 @@
     ) -> str | None:
         """Return the node to send a call to and count the call as sent.
 
-        `note_end` must follow with the same address.
+        `record_end` must follow with the same address.
         """
         now_s = self.timers.read()
         rank = rank_call(context.tier, context.priority)
@@ -98,7 +98,7 @@
             self.board, self.routing, service, excluded, rank, self.timers.rng, now_s
         )
         if address is not None:
-            self.routing.note_start(address, now_s)
+            self.routing.record_start(address, now_s)
         return address
 
     def has_room(
@@ -106,11 +106,11 @@
     ) -> bool:
         """Tell whether some other node would admit a call at once."""
         rank = rank_call(context.tier, context.priority)
-        return find_room(
+        return has_open_server(
             self.board, self.routing, service, excluded, rank, self.timers.read()
         )
 
-    def note_end(
+    def record_end(
         self,
         address: str,
         service: str,
@@ -120,17 +120,17 @@
     ) -> None:
         """Take in the end of one attempt and the loads that its answer carried."""
         now_s = self.timers.read()
-        self.routing.note_end(address, verdict, latency_s, now_s)
+        self.routing.record_end(address, verdict, latency_s, now_s)
         self.exchange.merge(address, service, loads, now_s)
 
-    def note_request(
-        self, class_name: str, complete: bool, touched: Collection[str]
+    def record_request(
+        self, class_name: str, complete: bool, used_services: Collection[str]
     ) -> None:
         """Count a whole request that entered here, refused ones too.
 
         ``complete`` means that it was answered within the target of its class,
-        ``touched`` names the services of the loads on its answer, if it had one.
+        ``used_services`` names the services of the loads on its answer, if it had one.
         """
-        self.shares.note_request(class_name, complete, self.timers.read())
-        if touched:
-            self.exchange.learn(class_name, touched)
+        self.shares.record_request(class_name, complete, self.timers.read())
+        if used_services:
+            self.exchange.learn(class_name, used_services)
--- a/eelgrassmount/load/gate.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -13,21 +13,21 @@
 from eelgrassmount.load.limiter import Limiter
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.queue import (
-    Waiting,
+    WaitingCall,
     WaitingQueue,
-    compute_capacity,
-    make_waiting,
+    compute_queue_capacity,
+    make_waiting_call,
 )
 from eelgrassmount.load.refusals import (
-    ExcessMeter,
+    AdmissionMeter,
     compute_retry_after,
     spread_retry_after,
 )
 from eelgrassmount.load.state import ServiceLoad
 from eelgrassmount.load.threshold import (
-    THRESHOLD_PERIOD_S,
+    THRESHOLD_INTERVAL_S,
     TIER_HOLD_S,
-    Period,
+    PeriodCounts,
     ThresholdState,
     adjust_threshold,
 )
@@ -41,16 +41,16 @@
     from eelgrassmount.context import Context
     from eelgrassmount.timers import Timer, TimerService
 
-_SWEEP_PERIOD_S = 0.02
-_CLASS_WEIGHT = 0.1
+_SWEEP_INTERVAL_S = 0.02
+_CLASS_SMOOTHING = 0.1
 # a call above the threshold waits for one run time, but at least so long
-_LEAST_LEFT_OVER_S = 0.1
+_MIN_STARVED_S = 0.1
 # the queue stands when it has not been empty for so many typical run times
-_STANDING_RUNS = 2.0
+_STANDING_QUEUE_RUNS = 2.0
 
 
 @define
-class LimitedGate:
+class LimitedDispatcher:
     """Admits calls to the backend server of this node.
 
     A call starts at once while the limit allows, else it waits in a short queue
@@ -65,18 +65,18 @@
     limiter: Limiter = field(init=False)
     queue: WaitingQueue = field(factory=WaitingQueue)
     threshold: ThresholdState = field(factory=ThresholdState)
-    excess: ExcessMeter = field(factory=ExcessMeter)
-    _period: Period = field(factory=Period)
+    admission_meter: AdmissionMeter = field(factory=AdmissionMeter)
+    _period_counts: PeriodCounts = field(factory=PeriodCounts)
     _run_s_by_class: dict[str, float] = field(factory=dict)
-    _shut_until_s: float = 0.0
-    _left_s: float = 0.0
+    _blocked_until_s: float = 0.0
+    _last_completion_s: float = 0.0
     _served_address: str = ""
-    _sweeping: Timer | None = None
+    _sweep_timer: Timer | None = None
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to the timer service."""
         self.limiter = self.make_limiter(self.timers.read())
-        self.timers.subscribe(THRESHOLD_PERIOD_S, self.adjust)
+        self.timers.subscribe(THRESHOLD_INTERVAL_S, self.adjust)
 
     async def enter(self, context: Context) -> NotRun | None:
         """Wait for a slot. ``None`` means admitted; then `leave` must follow.
@@ -94,36 +94,36 @@
             raise
         return waiting.refusal
 
-    def offer(self, context: Context) -> Waiting:
+    def offer(self, context: Context) -> WaitingCall:
         """Decide on a call at once: it is admitted, refused or queued."""
         now_s = self.timers.read()
-        self._begin_sweeps(now_s)
-        waiting = make_waiting(context, now_s)
+        self._start_sweeping(now_s)
+        waiting = make_waiting_call(context, now_s)
         refusal = self._check_server() or self._check_call(waiting, now_s)
         if refusal is not None:
             self._refuse(waiting, refusal)
         elif not self.queue and self.in_flight < self.limiter.limit:
-            self._note_arrival(waiting)
+            self._record_arrival(waiting)
             self._admit(waiting, now_s)
         else:
-            self._note_arrival(waiting)
+            self._record_arrival(waiting)
             self._enqueue(waiting, now_s)
         return waiting
 
-    def _begin_sweeps(self, now_s: float) -> None:
-        if self._sweeping is None:
+    def _start_sweeping(self, now_s: float) -> None:
+        if self._sweep_timer is None:
             self._follow_server(now_s)
-            self._sweeping = self.timers.subscribe(_SWEEP_PERIOD_S, self.sweep)
+            self._sweep_timer = self.timers.subscribe(_SWEEP_INTERVAL_S, self.sweep)
 
-    def _end_idle_sweeps(self, period: Period) -> None:
+    def _stop_idle_sweeping(self, period: PeriodCounts) -> None:
         # an idle process must not wake up fifty times a second
         busy = period.ranks or period.in_flight or self.in_flight or self.queue
-        if self._sweeping is not None and not busy:
-            self._sweeping.cancel()
-            self._sweeping = None
+        if self._sweep_timer is not None and not busy:
+            self._sweep_timer.cancel()
+            self._sweep_timer = None
 
-    def _note_arrival(self, waiting: Waiting) -> None:
-        self._period.ranks.append(waiting.rank)
+    def _record_arrival(self, waiting: WaitingCall) -> None:
+        self._period_counts.ranks.append(waiting.rank)
 
     def _check_server(self) -> NotRun | None:
         if self.board.drain is not DrainStage.RUNNING:
@@ -137,8 +137,8 @@
                 return NotRun(Reason.DRAINING)
         return NotRun(Reason.NO_SERVER)
 
-    def _check_call(self, waiting: Waiting, now_s: float) -> NotRun | None:
-        if waiting.tier is Tier.REFUSED_FIRST and now_s < self._find_shut_end():
+    def _check_call(self, waiting: WaitingCall, now_s: float) -> NotRun | None:
+        if waiting.tier is Tier.REFUSED_FIRST and now_s < self._compute_block_end():
             return self._make_refusal(Reason.OVERLOAD, now_s)
         has_room = not self.queue and self.in_flight < self.limiter.limit
         ahead = 0 if has_room else self.queue.count_ahead(waiting.rank) + 1
@@ -146,78 +146,78 @@
             return None
         if self._can_finish(waiting, 0, now_s):
             # there is time enough for it, but not with this queue
-            self._note_scarcity(waiting, now_s)
-            self._note_arrival(waiting)
+            self._record_overload(waiting, now_s)
+            self._record_arrival(waiting)
         return self._make_refusal(Reason.DEADLINE, now_s)
 
-    def _find_shut_end(self) -> float:
-        return max(self._shut_until_s, self.threshold.hold_until_s)
+    def _compute_block_end(self) -> float:
+        return max(self._blocked_until_s, self.threshold.hold_until_s)
 
-    def _can_finish(self, waiting: Waiting, ahead: int, now_s: float) -> bool:
+    def _can_finish(self, waiting: WaitingCall, ahead: int, now_s: float) -> bool:
         remaining_s = waiting.context.measure_remaining(now_s)
         needed_s = self._run_s_by_class.get(waiting.context.class_name, 0.0)
         if ahead:
-            needed_s += ahead * self._estimate_turn(now_s)
+            needed_s += ahead * self._estimate_slot_wait_s(now_s)
         return remaining_s > 0 and needed_s <= remaining_s
 
-    def _estimate_turn(self, now_s: float) -> float:
+    def _estimate_slot_wait_s(self, now_s: float) -> float:
         """Return how long it takes until a slot comes free.
 
         A server that slows down shows it first by the time since the last run
         ended.
         """
         usual_s = self.limiter.typical_s / max(self.limiter.limit, 1)
-        return max(usual_s, now_s - self._left_s)
+        return max(usual_s, now_s - self._last_completion_s)
 
-    def _enqueue(self, waiting: Waiting, now_s: float) -> None:
-        if len(self.queue) < compute_capacity(self.limiter.limit):
+    def _enqueue(self, waiting: WaitingCall, now_s: float) -> None:
+        if len(self.queue) < compute_queue_capacity(self.limiter.limit):
             self.queue.push(waiting)
             self._admit_waiting(now_s)
             return
-        worst = self.queue.find_worst()
+        worst = self.queue.find_least_urgent()
         if worst is not None and worst.rank > waiting.rank:
             self.queue.remove(worst)
             self.queue.push(waiting)
             waiting = worst
-        self._note_scarcity(waiting, now_s)
+        self._record_overload(waiting, now_s)
         self._refuse(waiting, self._make_refusal(Reason.OVERLOAD, now_s))
 
-    def _note_scarcity(self, waiting: Waiting, now_s: float) -> None:
+    def _record_overload(self, waiting: WaitingCall, now_s: float) -> None:
         if waiting.rank < self.threshold.threshold:
-            self._period.refused += 1
+            self._period_counts.refused += 1
         if waiting.tier is Tier.REFUSED_LAST:
-            self._period.refused_last = True
-            self._shut_until_s = now_s + TIER_HOLD_S
+            self._period_counts.refused_last = True
+            self._blocked_until_s = now_s + TIER_HOLD_S
             self._refuse_tier(Tier.REFUSED_FIRST, now_s)
 
     def _refuse_tier(self, tier: Tier, now_s: float) -> None:
-        for waiting in self.queue.find_all():
+        for waiting in self.queue.list_calls():
             if waiting.tier is tier:
                 self.queue.remove(waiting)
                 self._refuse(waiting, self._make_refusal(Reason.OVERLOAD, now_s))
 
     def _make_refusal(self, reason: Reason, now_s: float) -> NotRun:
-        self.excess.note_refused(now_s)
-        delay_s = compute_retry_after(self.excess, now_s)
+        self.admission_meter.record_refused(now_s)
+        delay_s = compute_retry_after(self.admission_meter, now_s)
         return NotRun(reason, spread_retry_after(delay_s, self.timers.rng))
 
-    def _refuse(self, waiting: Waiting, refusal: NotRun) -> None:
+    def _refuse(self, waiting: WaitingCall, refusal: NotRun) -> None:
         waiting.refusal = refusal
         waiting.done.set()
 
-    def _admit(self, waiting: Waiting, now_s: float) -> None:
+    def _admit(self, waiting: WaitingCall, now_s: float) -> None:
         if not self.in_flight:
             # it was idle, which is no slowness
-            self._left_s = now_s
+            self._last_completion_s = now_s
         self.in_flight += 1
-        self.limiter.note_start(self.in_flight, now_s)
-        self.excess.note_admitted(now_s)
+        self.limiter.record_start(self.in_flight, now_s)
+        self.admission_meter.record_admitted(now_s)
         waiting.admitted = True
         waiting.done.set()
 
     def _admit_waiting(self, now_s: float) -> None:
         while self.queue and self.in_flight < self.limiter.limit:
-            waiting = self.queue.pop_next(self._is_standing(now_s))
+            waiting = self.queue.pop_next(self._is_queue_standing(now_s))
             if waiting is None:
                 return
             if self._can_finish(waiting, 0, now_s):
@@ -225,11 +225,11 @@
             else:
                 self._refuse(waiting, self._make_refusal(Reason.DEADLINE, now_s))
 
-    def _is_standing(self, now_s: float) -> bool:
-        standing_s = self.queue.measure_standing(now_s)
-        return standing_s > _STANDING_RUNS * self.limiter.typical_s
+    def _is_queue_standing(self, now_s: float) -> bool:
+        standing_s = self.queue.compute_standing_s(now_s)
+        return standing_s > _STANDING_QUEUE_RUNS * self.limiter.typical_s
 
-    def abandon(self, waiting: Waiting) -> None:
+    def abandon(self, waiting: WaitingCall) -> None:
         """Forget a call whose caller has gone before it was told to start."""
         if self.queue.remove(waiting):
             return
@@ -239,34 +239,34 @@
     def leave(self, sample: Sample) -> None:
         """Give the slot back and start the next call."""
         now_s = self.timers.read()
-        self._left_s = now_s
+        self._last_completion_s = now_s
         self.limiter.record(sample, self.in_flight, now_s)
         self.in_flight -= 1
         if sample.kind is SampleKind.COMPLETE:
-            self._note_run(sample)
+            self._record_run(sample)
         self._admit_waiting(now_s)
 
-    def _note_run(self, sample: Sample) -> None:
+    def _record_run(self, sample: Sample) -> None:
         known_s = self._run_s_by_class.get(sample.class_name, sample.latency_s)
-        known_s += _CLASS_WEIGHT * (sample.latency_s - known_s)
+        known_s += _CLASS_SMOOTHING * (sample.latency_s - known_s)
         self._run_s_by_class[sample.class_name] = known_s
 
     def sweep(self) -> None:
         """Refuse waiting calls that cannot finish any more, or not here."""
         now_s = self.timers.read()
         self._follow_server(now_s)
-        self._period.observe(
+        self._period_counts.observe(
             self.queue.count_below(self.threshold.advertised),
             self.queue.count_below(PRIORITY_LEVELS),
             self.in_flight,
         )
         gone = self._check_server()
-        for waiting in self.queue.find_all():
+        for waiting in self.queue.list_calls():
             if gone is not None:
                 refusal = gone
             elif not self._can_finish(waiting, 0, now_s):
                 refusal = self._make_refusal(Reason.DEADLINE, now_s)
-            elif self._is_left_over(waiting, now_s):
+            elif self._is_starved(waiting, now_s):
                 refusal = self._make_refusal(Reason.OVERLOAD, now_s)
             else:
                 continue
@@ -274,11 +274,11 @@
             self._refuse(waiting, refusal)
         self._admit_waiting(now_s)
 
-    def _is_left_over(self, waiting: Waiting, now_s: float) -> bool:
+    def _is_starved(self, waiting: WaitingCall, now_s: float) -> bool:
         # those that go before it are enough to fill the server, so it would only
         # wait for its time limit, and its parents with it
         waited_s = now_s - waiting.arrived_s
-        too_long = waited_s > max(self.limiter.typical_s, _LEAST_LEFT_OVER_S)
+        too_long = waited_s > max(self.limiter.typical_s, _MIN_STARVED_S)
         return too_long and waiting.rank >= self.threshold.threshold
 
     def _follow_server(self, now_s: float) -> None:
@@ -287,10 +287,10 @@
             self._served_address = ""
         elif server.state is ServerState.SERVING:
             if server.address != self._served_address:
-                self._begin_anew(now_s)
+                self._reset(now_s)
             self._served_address = server.address
 
-    def _begin_anew(self, now_s: float) -> None:
+    def _reset(self, now_s: float) -> None:
         self.limiter = self.make_limiter(now_s)
         self.threshold = ThresholdState()
         self._run_s_by_class.clear()
@@ -300,10 +300,10 @@
         now_s = self.timers.read()
         self._follow_server(now_s)
         self.limiter.adjust(now_s)
-        period, self._period = self._period, Period()
-        self._end_idle_sweeps(period)
-        seen = period.summarise(self.limiter.limit)
-        adjust_threshold(self.threshold, seen, now_s)
+        period, self._period_counts = self._period_counts, PeriodCounts()
+        self._stop_idle_sweeping(period)
+        observation = period.summarise(self.limiter.limit)
+        adjust_threshold(self.threshold, observation, now_s)
         if now_s < self.threshold.hold_until_s:
             self._refuse_tier(Tier.REFUSED_FIRST, now_s)
 
@@ -316,6 +316,6 @@
             service=self.board.server.service,
             threshold=threshold,
             headroom=max(0, room),
-            retry_after_s=compute_retry_after(self.excess, now_s),
+            retry_after_s=compute_retry_after(self.admission_meter, now_s),
             heard_s=now_s,
         )
--- a/eelgrassmount/load/limiter.py
+++ b/eelgrassmount/load/limiter.py
@@ -8,50 +8,50 @@
 from attrs import define, field
 
 from eelgrassmount.load.cohorts import (
-    COHORT_RUNS,
-    SMALL_COHORT_RUNS,
+    MAX_COHORT_RUNS,
+    MIN_COHORT_RUNS,
+    LowLoadSamples,
     Measurement,
-    Quiet,
     compute_elasticity,
-    differ_enough,
+    compute_log_service_time,
     estimate_limit,
+    have_distinct_concurrency,
     is_flat,
     is_steep,
-    measure_log,
 )
 from eelgrassmount.load.port import Sample, SampleKind
 
-START_LIMIT = 16
-LEAST_LIMIT = 2
-MOST_LIMIT = 4096
+INITIAL_LIMIT = 16
+MIN_LIMIT = 2
+MAX_LIMIT = 4096
 
 # a measurement is over when most of a cohort of runs has ended; a cohort is some
 # rounds of the whole level, but never very small or large
 _COHORT_ROUNDS = 4.0
 _FIRST_COHORT_ROUNDS = 1.5
-_COHORT_ENDED = 0.95
-_LATE_ROUNDS = 2.0
-_LONGEST_MEASUREMENT_S = 2.0
-_LONGEST_ROUNDS = 6
+_COHORT_COMPLETED_SHARE = 0.95
+_MAX_LATE_ROUNDS = 2.0
+_MAX_MEASUREMENT_S = 2.0
+_MAX_MEASUREMENT_ROUNDS = 6
 
 # the probe below the limit: how deep it goes, and how the limit is moved after it
-_PROBE_DEPTH = 0.75
-_SMOOTHING = 0.4
+_PROBE_LIMIT_SHARE = 0.75
+_LIMIT_SMOOTHING = 0.4
 _HOLD_RATIO = 3.0
-_START_GROWTH = 2.0
-_GROWTH = 1.25
-_VERY_FLAT_ELASTICITY = 0.1
-_STEEP_CUT = 0.7
+_INITIAL_GROWTH_FACTOR = 2.0
+_GROWTH_FACTOR = 1.25
+_MAX_GROWTH_ELASTICITY = 0.1
+_STEEP_REDUCTION_FACTOR = 0.7
 
-_BAD_CUT = 0.5
+_TIMEOUT_REDUCTION_FACTOR = 0.5
 # after most runs timed out, growth by doubling ends short of that limit
-_BAD_CEILING = 0.75
-_SHED_MARGIN = 0.95
-_SATURATED = 0.9
-_TYPICAL_WEIGHT = 0.05
-_MUCH_SLOWER = 3.0
-_SLOWER_WEIGHT = 0.25
-_QUIET_FRACTION = 0.5
+_TIMEOUT_CEILING_SHARE = 0.75
+_SHED_REDUCTION_FACTOR = 0.95
+_MIN_SATURATED_SHARE = 0.9
+_TYPICAL_SMOOTHING = 0.05
+_SLOW_RUN_FACTOR = 3.0
+_SLOW_RUN_SMOOTHING = 0.25
+_MAX_LOW_LOAD_SHARE = 0.5
 
 
 class Phase(Enum):
@@ -59,17 +59,17 @@
 
     STARTING = auto()
     HOLD = auto()
-    BEFORE = auto()
+    MEASURE_BEFORE = auto()
     PROBE = auto()
-    AFTER = auto()
+    MEASURE_AFTER = auto()
 
 
 _NEXT_PHASE = {
     Phase.STARTING: Phase.HOLD,
-    Phase.HOLD: Phase.BEFORE,
-    Phase.BEFORE: Phase.PROBE,
-    Phase.PROBE: Phase.AFTER,
-    Phase.AFTER: Phase.HOLD,
+    Phase.HOLD: Phase.MEASURE_BEFORE,
+    Phase.MEASURE_BEFORE: Phase.PROBE,
+    Phase.PROBE: Phase.MEASURE_AFTER,
+    Phase.MEASURE_AFTER: Phase.HOLD,
 }
 
 
@@ -89,51 +89,51 @@
     """
 
     now_s: float = 0.0
-    size: float = START_LIMIT
+    base_limit: float = INITIAL_LIMIT
     phase: Phase = Phase.STARTING
     typical_s: float = 0.0
     _current: Measurement = field(init=False)
     _previous: Measurement | None = field(init=False, default=None)
-    _last_cut_s: float = field(init=False, default=-math.inf)
+    _last_reduction_s: float = field(init=False, default=-math.inf)
     _hold_s: float = field(init=False, default=0.0)
-    _quiet: Quiet = field(init=False, factory=Quiet)
-    _ceiling: float = field(init=False, default=MOST_LIMIT)
+    _low_load: LowLoadSamples = field(init=False, factory=LowLoadSamples)
+    _ceiling: float = field(init=False, default=MAX_LIMIT)
 
     def __attrs_post_init__(self) -> None:
         """Begin with a measurement at the initial limit."""
-        self._current = make_measurement(self.phase, START_LIMIT, self.now_s)
+        self._current = make_measurement(self.phase, INITIAL_LIMIT, self.now_s)
 
     @property
     def limit(self) -> int:
         """Return how many calls may run now."""
-        return self._current.level
+        return self._current.concurrency
 
-    def note_start(self, in_flight: int, now_s: float) -> None:
+    def record_start(self, in_flight: int, now_s: float) -> None:
         """Note that a run starts; ``in_flight`` counts it already."""
         current = self._current
         if self.phase is Phase.HOLD:
             return
-        if now_s < current.settled_s:
-            self._settle(in_flight, now_s)
-        if current.settled_s <= now_s < current.closed_s:
+        if now_s < current.reached_s:
+            self._check_reached(in_flight, now_s)
+        if current.reached_s <= now_s < current.closed_s:
             current.started += 1
             current.in_flight_sum += in_flight
             self._close_cohort(now_s)
 
-    def _settle(self, in_flight: int, now_s: float) -> None:
+    def _check_reached(self, in_flight: int, now_s: float) -> None:
         current = self._current
         if self.phase is Phase.PROBE:
-            settled = in_flight <= current.level
+            settled = in_flight <= current.concurrency
         else:
-            settled = in_flight >= current.level * _SATURATED
+            settled = in_flight >= current.concurrency * _MIN_SATURATED_SHARE
         if settled:
-            current.settled_s = now_s
+            current.reached_s = now_s
 
     def _close_cohort(self, now_s: float) -> None:
         current = self._current
-        if current.started < current.least_runs:
+        if current.started < current.min_runs:
             return
-        if now_s >= current.settled_s + self.typical_s:
+        if now_s >= current.reached_s + self.typical_s:
             current.closed_s = now_s
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
@@ -143,32 +143,32 @@
         """
         started_s = now_s - sample.latency_s
         if sample.kind is SampleKind.SHED:
-            self._cut_for_shed(in_flight, started_s, now_s)
+            self._reduce_after_shed(in_flight, started_s, now_s)
             return
         if sample.kind is SampleKind.COMPLETE:
-            self._note_typical(sample.latency_s)
-            if in_flight <= _QUIET_FRACTION * self.limit:
-                self._quiet.add(sample, in_flight)
+            self._update_typical(sample.latency_s)
+            if in_flight <= _MAX_LOW_LOAD_SHARE * self.limit:
+                self._low_load.add(sample, in_flight)
         if self.phase is not Phase.HOLD:
             self._add_run(sample, started_s)
-        self._finish(now_s)
+        self._check_progress(now_s)
 
-    def _note_typical(self, latency_s: float) -> None:
+    def _update_typical(self, latency_s: float) -> None:
         if not self.typical_s:
             self.typical_s = latency_s
-        slower = latency_s > _MUCH_SLOWER * self.typical_s
-        weight = _SLOWER_WEIGHT if slower else _TYPICAL_WEIGHT
+        slower = latency_s > _SLOW_RUN_FACTOR * self.typical_s
+        weight = _SLOW_RUN_SMOOTHING if slower else _TYPICAL_SMOOTHING
         self.typical_s += weight * (latency_s - self.typical_s)
 
     def _add_run(self, sample: Sample, started_s: float) -> None:
         current = self._current
-        if not current.settled_s <= started_s <= current.closed_s:
+        if not current.reached_s <= started_s <= current.closed_s:
             return
-        current.ended += 1
+        current.completed += 1
         if sample.kind is SampleKind.TIMEOUT:
-            current.bad += 1
+            current.timeouts += 1
         if sample.kind in (SampleKind.COMPLETE, SampleKind.TIMEOUT):
-            log_service = measure_log(sample)
+            log_service = compute_log_service_time(sample)
             current.runs += 1
             current.log_sum += log_service
             current.log_square_sum += log_service**2
@@ -176,128 +176,134 @@
 
     def adjust(self, now_s: float) -> None:
         """End what makes no progress; call it several times a second."""
-        self._finish(now_s)
+        self._check_progress(now_s)
         current = self._current
         if self.phase is Phase.HOLD:
             return
-        rounds_s = _LONGEST_ROUNDS * self.typical_s
-        if now_s - current.began_s < _LONGEST_MEASUREMENT_S + rounds_s:
+        rounds_s = _MAX_MEASUREMENT_ROUNDS * self.typical_s
+        if now_s - current.started_s < _MAX_MEASUREMENT_S + rounds_s:
             return
-        if current.runs >= current.least_runs:
+        if current.runs >= current.min_runs:
             self._compare(now_s)
         else:
             # too few calls are wanted to learn anything
-            self._give_up(now_s)
+            self._abort_measurement(now_s)
 
-    def _give_up(self, now_s: float) -> None:
+    def _abort_measurement(self, now_s: float) -> None:
         self._previous = None
         phase = Phase.STARTING if self.phase is Phase.STARTING else Phase.HOLD
-        self._begin(phase, self.size, now_s)
+        self._start_phase(phase, self.base_limit, now_s)
 
-    def _finish(self, now_s: float) -> None:
+    def _check_progress(self, now_s: float) -> None:
         current = self._current
         if self.phase is Phase.HOLD:
-            if now_s >= current.began_s + self._hold_s:
-                self._begin(Phase.BEFORE, self.size, now_s)
+            if now_s >= current.started_s + self._hold_s:
+                self._start_phase(Phase.MEASURE_BEFORE, self.base_limit, now_s)
             return
-        if current.failing:
-            self._ceiling = _BAD_CEILING * self.size
-            self._cut(Phase.STARTING, _BAD_CUT, now_s)
+        if current.is_failing:
+            self._ceiling = _TIMEOUT_CEILING_SHARE * self.base_limit
+            self._reduce(Phase.STARTING, _TIMEOUT_REDUCTION_FACTOR, now_s)
             return
-        if not self._has_ended(now_s):
+        if not self._is_complete(now_s):
             return
-        if current.runs >= current.least_runs // 2:
+        if current.runs >= current.min_runs // 2:
             self._compare(now_s)
         else:
-            self._give_up(now_s)
+            self._abort_measurement(now_s)
 
-    def _has_ended(self, now_s: float) -> bool:
+    def _is_complete(self, now_s: float) -> bool:
         current = self._current
         if current.closed_s > now_s:
             return False
-        if current.ended >= _COHORT_ENDED * current.started:
+        if current.completed >= _COHORT_COMPLETED_SHARE * current.started:
             return True
         # a process short of time notes starts late, and so misses some runs
-        late_s = current.closed_s + _LATE_ROUNDS * self.typical_s
+        late_s = current.closed_s + _MAX_LATE_ROUNDS * self.typical_s
         return now_s >= late_s
 
     def _compare(self, now_s: float) -> None:
         current, previous = self._current, self._previous
         self._previous = current
         if self.phase is Phase.STARTING:
-            self._grow_first(previous, current, now_s)
+            self._grow_initially(previous, current, now_s)
             return
         if previous is not None:
-            low, high = sorted((previous, current), key=lambda one: one.level)
-            if not differ_enough(low, high):
-                self._give_up(now_s)
+            low, high = sorted((previous, current), key=lambda one: one.concurrency)
+            if not have_distinct_concurrency(low, high):
+                self._abort_measurement(now_s)
                 return
-            self.size = move_limit(self.size, low, high)
+            self.base_limit = adjust_limit(self.base_limit, low, high)
             if is_steep(low, high):
                 self._previous = None
-                self._begin(Phase.BEFORE, self.size, now_s)
+                self._start_phase(Phase.MEASURE_BEFORE, self.base_limit, now_s)
                 return
-        self._go_on(now_s)
+        self._start_next_phase(now_s)
 
-    def _grow_first(
+    def _grow_initially(
         self, previous: Measurement | None, current: Measurement, now_s: float
     ) -> None:
-        if current.mean_in_flight < current.level * _SATURATED:
-            self._give_up(now_s)
+        if current.mean_in_flight < current.concurrency * _MIN_SATURATED_SHARE:
+            self._abort_measurement(now_s)
             return
         if previous is None:
-            previous = self._quiet.find_measurement(now_s)
+            previous = self._low_load.find_measurement(now_s)
         if previous is None or is_flat(previous, current):
-            size = self.size * _START_GROWTH
-            phase = Phase.STARTING if size < self._ceiling else Phase.HOLD
-            self._begin(phase, min(size, self._ceiling), now_s)
+            base_limit = self.base_limit * _INITIAL_GROWTH_FACTOR
+            phase = Phase.STARTING if base_limit < self._ceiling else Phase.HOLD
+            self._start_phase(phase, min(base_limit, self._ceiling), now_s)
             return
-        self.size = estimate_limit(previous, current)
-        self._go_on(now_s)
+        self.base_limit = estimate_limit(previous, current)
+        self._start_next_phase(now_s)
 
-    def _go_on(self, now_s: float) -> None:
+    def _start_next_phase(self, now_s: float) -> None:
         current = self._current
         if self.phase is Phase.PROBE:
-            self._hold_s = _HOLD_RATIO * (now_s - current.began_s)
+            self._hold_s = _HOLD_RATIO * (now_s - current.started_s)
         phase = _NEXT_PHASE[self.phase]
         if phase is Phase.HOLD:
             self._previous = None
-        depth = _PROBE_DEPTH if phase is Phase.PROBE else 1.0
-        self._begin(phase, self.size * depth, now_s)
+        depth = _PROBE_LIMIT_SHARE if phase is Phase.PROBE else 1.0
+        self._start_phase(phase, self.base_limit * depth, now_s)
 
-    def _cut_for_shed(self, in_flight: int, started_s: float, now_s: float) -> None:
+    def _reduce_after_shed(
+        self, in_flight: int, started_s: float, now_s: float
+    ) -> None:
         # calls that started before the last cut say nothing about it
-        if started_s < self._last_cut_s:
+        if started_s < self._last_reduction_s:
             return
-        self._cut(Phase.HOLD, min(1.0, in_flight / self.size) * _SHED_MARGIN, now_s)
-
-    def _cut(self, phase: Phase, factor: float, now_s: float) -> None:
-        self._last_cut_s = now_s
+        self._reduce(
+            Phase.HOLD,
+            min(1.0, in_flight / self.base_limit) * _SHED_REDUCTION_FACTOR,
+            now_s,
+        )
+
+    def _reduce(self, phase: Phase, factor: float, now_s: float) -> None:
+        self._last_reduction_s = now_s
         self._previous = None
-        self._begin(phase, self.size * factor, now_s)
+        self._start_phase(phase, self.base_limit * factor, now_s)
 
-    def _begin(self, phase: Phase, level: float, now_s: float) -> None:
+    def _start_phase(self, phase: Phase, concurrency: float, now_s: float) -> None:
         if phase is not Phase.PROBE:
-            level = min(max(level, LEAST_LIMIT), MOST_LIMIT)
-            self.size = level
+            concurrency = min(max(concurrency, MIN_LIMIT), MAX_LIMIT)
+            self.base_limit = concurrency
         self.phase = phase
-        self._current = make_measurement(phase, level, now_s)
+        self._current = make_measurement(phase, concurrency, now_s)
 
 
-def make_measurement(phase: Phase, level: float, now_s: float) -> Measurement:
+def make_measurement(phase: Phase, concurrency: float, now_s: float) -> Measurement:
     """Return a measurement that begins now."""
-    whole = max(1, round(level))
+    whole = max(1, round(concurrency))
     # the first growth is quick, and a mistake is soon found
     rounds = _FIRST_COHORT_ROUNDS if phase is Phase.STARTING else _COHORT_ROUNDS
-    runs = min(max(round(rounds * whole), SMALL_COHORT_RUNS), COHORT_RUNS)
+    runs = min(max(round(rounds * whole), MIN_COHORT_RUNS), MAX_COHORT_RUNS)
     return Measurement(whole, now_s, runs)
 
 
-def move_limit(size: float, low: Measurement, high: Measurement) -> float:
+def adjust_limit(base_limit: float, low: Measurement, high: Measurement) -> float:
     """Return the limit after one comparison of two levels."""
     elasticity = compute_elasticity(low, high)
-    if elasticity < _VERY_FLAT_ELASTICITY:
-        return size * _GROWTH**_SMOOTHING
+    if elasticity < _MAX_GROWTH_ELASTICITY:
+        return base_limit * _GROWTH_FACTOR**_LIMIT_SMOOTHING
     if is_steep(low, high):
-        return size * _STEEP_CUT
-    return size * (estimate_limit(low, high) / size) ** _SMOOTHING
+        return base_limit * _STEEP_REDUCTION_FACTOR
+    return base_limit * (estimate_limit(low, high) / base_limit) ** _LIMIT_SMOOTHING
--- a/eelgrassmount/load/port.py
+++ b/eelgrassmount/load/port.py
@@ -36,7 +36,7 @@
     class_name: str = ""
 
 
-class Gate(Protocol):
+class ServerDispatcher(Protocol):
     """Admits calls to the backend server, after a short wait at most."""
 
     async def enter(self, context: Context) -> NotRun | None:
--- a/eelgrassmount/load/queue.py
+++ b/eelgrassmount/load/queue.py
@@ -15,15 +15,15 @@
     from eelgrassmount.context import Context
     from eelgrassmount.verdict import NotRun
 
-LEAST_CAPACITY = 4
-_CAPACITY_PER_LIMIT = 2
+MIN_QUEUE_CAPACITY = 4
+_CAPACITY_FACTOR = 2
 # calls of one band of priorities are taken by age, not by priority
-_BAND = PRIORITY_LEVELS // 8
-_BANDS = FULL_THRESHOLD // _BAND
+_RANKS_PER_BAND = PRIORITY_LEVELS // 8
+_BANDS = FULL_THRESHOLD // _RANKS_PER_BAND
 
 
 @define(eq=False)
-class Waiting:
+class WaitingCall:
     """A call in the queue.
 
     ``done`` is set when the call has been admitted or, with ``refusal``, refused.
@@ -52,31 +52,31 @@
     """
 
     size: int = 0
-    empty_s: float = 0.0
-    _bands: list[deque[Waiting]] = field(
+    nonempty_since_s: float = 0.0
+    _bands: list[deque[WaitingCall]] = field(
         factory=lambda: [deque() for _ in range(_BANDS)]
     )
 
     def __len__(self) -> int:
         return self.size
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: WaitingCall) -> None:
         """Add a call."""
         if not self.size:
-            self.empty_s = waiting.arrived_s
-        self._bands[waiting.rank // _BAND].append(waiting)
+            self.nonempty_since_s = waiting.arrived_s
+        self._bands[waiting.rank // _RANKS_PER_BAND].append(waiting)
         self.size += 1
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: WaitingCall) -> bool:
         """Take out one call; tell whether it was there."""
-        band = self._bands[waiting.rank // _BAND]
+        band = self._bands[waiting.rank // _RANKS_PER_BAND]
         if waiting not in band:
             return False
         band.remove(waiting)
         self.size -= 1
         return True
 
-    def pop_next(self, newest_first: bool) -> Waiting | None:
+    def pop_next(self, newest_first: bool) -> WaitingCall | None:
         """Take out the call that should start next."""
         for band in self._bands:
             if band:
@@ -84,20 +84,20 @@
                 return band.pop() if newest_first else band.popleft()
         return None
 
-    def find_worst(self) -> Waiting | None:
+    def find_least_urgent(self) -> WaitingCall | None:
         """Return the call that should be refused first."""
         for band in reversed(self._bands):
             if band:
                 return max(band, key=lambda waiting: waiting.rank)
         return None
 
-    def find_all(self) -> list[Waiting]:
+    def list_calls(self) -> list[WaitingCall]:
         """Return all calls, the first one to be refused last."""
         return [waiting for band in self._bands for waiting in band]
 
     def count_below(self, threshold: int) -> int:
         """Return how many waiting calls have a rank below a threshold."""
-        full, rest = divmod(threshold, _BAND)
+        full, rest = divmod(threshold, _RANKS_PER_BAND)
         count = sum(map(len, self._bands[:full]))
         if rest:
             count += sum(waiting.rank < threshold for waiting in self._bands[full])
@@ -105,18 +105,18 @@
 
     def count_ahead(self, rank: int) -> int:
         """Return how many waiting calls go before one of this rank."""
-        return sum(map(len, self._bands[: rank // _BAND + 1]))
+        return sum(map(len, self._bands[: rank // _RANKS_PER_BAND + 1]))
 
-    def measure_standing(self, now_s: float) -> float:
+    def compute_standing_s(self, now_s: float) -> float:
         """Return for how many seconds there have been calls without a break."""
-        return now_s - self.empty_s if self.size else 0.0
+        return now_s - self.nonempty_since_s if self.size else 0.0
 
 
-def make_waiting(context: Context, now_s: float) -> Waiting:
+def make_waiting_call(context: Context, now_s: float) -> WaitingCall:
     """Return the queue entry of a call."""
-    return Waiting(context, rank_call(context.tier, context.priority), now_s)
+    return WaitingCall(context, rank_call(context.tier, context.priority), now_s)
 
 
-def compute_capacity(limit: int) -> int:
+def compute_queue_capacity(limit: int) -> int:
     """Return how many calls may wait before a limit."""
-    return max(LEAST_CAPACITY, _CAPACITY_PER_LIMIT * limit)
+    return max(MIN_QUEUE_CAPACITY, _CAPACITY_FACTOR * limit)
--- a/eelgrassmount/load/rates.py
+++ b/eelgrassmount/load/rates.py
@@ -16,16 +16,16 @@
 
     window_s: float
     _value: float = 0.0
-    _at_s: float = 0.0
+    _updated_s: float = 0.0
 
     def add(self, amount: float, now_s: float) -> None:
         """Count something that happens now."""
         self._value = self.read(now_s) + amount
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def read(self, now_s: float) -> float:
         """Return the count as it weighs now."""
-        elapsed_s = max(0.0, now_s - self._at_s)
+        elapsed_s = max(0.0, now_s - self._updated_s)
         return self._value * math.exp(-elapsed_s / self.window_s)
 
     def read_per_s(self, now_s: float) -> float:
--- a/eelgrassmount/load/refusals.py
+++ b/eelgrassmount/load/refusals.py
@@ -12,28 +12,28 @@
     import random
 
 _WINDOW_S = 5.0
-_LEAST_DELAY_S = 0.5
-_MOST_DELAY_S = 30.0
-_JITTER = 0.5
+_MIN_DELAY_S = 0.5
+_MAX_DELAY_S = 30.0
+_JITTER_SHARE = 0.5
 
 
 @define
-class ExcessMeter:
+class AdmissionMeter:
     """Counts what was admitted and what was refused lately."""
 
     admitted: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
     refused: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
 
-    def note_admitted(self, now_s: float) -> None:
+    def record_admitted(self, now_s: float) -> None:
         """Count an admitted call."""
         self.admitted.add(1.0, now_s)
 
-    def note_refused(self, now_s: float) -> None:
+    def record_refused(self, now_s: float) -> None:
         """Count a refused call."""
         self.refused.add(1.0, now_s)
 
 
-def compute_retry_after(meter: ExcessMeter, now_s: float) -> float:
+def compute_retry_after(meter: AdmissionMeter, now_s: float) -> float:
     """Return the mean delay before refused callers should come back.
 
     It is the time that the admitted rate would need for all callers refused
@@ -43,7 +43,7 @@
     """
     admitted_per_s = max(meter.admitted.read_per_s(now_s), 1.0)
     delay_s = meter.refused.read(now_s) / admitted_per_s
-    return min(max(delay_s, _LEAST_DELAY_S), _MOST_DELAY_S)
+    return min(max(delay_s, _MIN_DELAY_S), _MAX_DELAY_S)
 
 
 def spread_retry_after(delay_s: float, rng: random.Random) -> float:
@@ -51,4 +51,4 @@
 
     Callers that are refused together then come back apart.
     """
-    return delay_s * rng.uniform(1.0 - _JITTER, 1.0 + _JITTER)
+    return delay_s * rng.uniform(1.0 - _JITTER_SHARE, 1.0 + _JITTER_SHARE)
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -6,14 +6,14 @@
 
 from attrs import frozen
 
-from eelgrassmount.load.exchange import FRESH_S, open_threshold
+from eelgrassmount.load.exchange import MAX_FRESH_AGE_S, compute_effective_threshold
 from eelgrassmount.load.servers import (
     RoutingState,
     ServerRecord,
     Subset,
     choose_subset,
-    is_avoided,
-    measure_ramp,
+    compute_ramp,
+    should_avoid,
 )
 from eelgrassmount.load.state import FULL_THRESHOLD, TIERS, ServiceLoad
 
@@ -23,7 +23,7 @@
 
     from eelgrassmount.blackboard import Blackboard
 
-_SUBSET_PERIOD_S = 0.25
+_SUBSET_INTERVAL_S = 0.25
 
 
 @frozen
@@ -57,25 +57,25 @@
     those of the others. Where none has room, one that still admits calls of this
     ``rank`` is preferred. ``None`` means that no server is known.
     """
-    near = _find_near(board, state, service, excluded, now_s)
-    room = _keep_open(near, rank, least_room=1)
+    near = _list_local(board, state, service, excluded, now_s)
+    room = _select_open(near, rank, min_room=1)
     if room:
         return _pick(room, rng)
-    far = _find_far(board, state, service, excluded, now_s)
+    far = _list_remote(board, state, service, excluded, now_s)
     choices = (
-        _keep_open(far, rank, least_room=1),
-        _keep_open(near, rank),
-        _keep_open(far, rank),
+        _select_open(far, rank, min_room=1),
+        _select_open(near, rank),
+        _select_open(far, rank),
         near,
         far,
     )
     for candidates in choices:
         if candidates:
             return _pick(candidates, rng)
-    return _choose_held(board, service, excluded, rng)
+    return _choose_from_held(board, service, excluded, rng)
 
 
-def _choose_held(
+def _choose_from_held(
     board: Blackboard, service: str, excluded: Collection[str], rng: random.Random
 ) -> str | None:
     # holding a member back must not leave a service without any server
@@ -84,7 +84,7 @@
     return rng.choice(left) if left else None
 
 
-def find_room(
+def has_open_server(
     board: Blackboard,
     state: RoutingState,
     service: str,
@@ -93,42 +93,40 @@
     now_s: float,
 ) -> bool:
     """Tell whether some server is known to have room for a call of this rank."""
-    near = _find_near(board, state, service, excluded, now_s)
-    far = _find_far(board, state, service, excluded, now_s)
-    return bool(_keep_open([*near, *far], rank, least_room=1))
+    near = _list_local(board, state, service, excluded, now_s)
+    far = _list_remote(board, state, service, excluded, now_s)
+    return bool(_select_open([*near, *far], rank, min_room=1))
 
 
-def _keep_open(
-    candidates: list[Candidate], rank: int, least_room: int = 0
+def _select_open(
+    candidates: list[Candidate], rank: int, min_room: int = 0
 ) -> list[Candidate]:
-    return [
-        one for one in candidates if one.threshold > rank and one.room >= least_room
-    ]
+    return [one for one in candidates if one.threshold > rank and one.room >= min_room]
 
 
-def _find_near(
+def _list_local(
     board: Blackboard,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
-    told: dict[str, ServiceLoad] = {}
+    reported: dict[str, ServiceLoad] = {}
     for address in _find_subset(board, state, service, now_s):
         member = board.members.members.get(address)
         if member is None or not member.serves or address in excluded:
             continue
-        told[address] = ServiceLoad(
+        reported[address] = ServiceLoad(
             service, member.threshold, member.headroom, heard_s=member.heard_s
         )
-    return _make_candidates(board, state, told, now_s)
+    return _make_candidates(board, state, reported, now_s)
 
 
 def _find_subset(
     board: Blackboard, state: RoutingState, service: str, now_s: float
 ) -> tuple[str, ...]:
     subset = state.subsets.get(service)
-    if subset is None or now_s - subset.chosen_s >= _SUBSET_PERIOD_S:
+    if subset is None or now_s - subset.chosen_s >= _SUBSET_INTERVAL_S:
         serving = board.members.find_serving(service)
         addresses = [member.identity.address for member in serving]
         chosen = choose_subset(board.identity.address, addresses)
@@ -136,41 +134,41 @@
     return subset.addresses
 
 
-def _find_far(
+def _list_remote(
     board: Blackboard,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
-    told: dict[str, ServiceLoad] = {}
+    reported: dict[str, ServiceLoad] = {}
     for summary in board.members.find_summaries(service):
         if summary.failure_domain == board.identity.failure_domain:
             continue
         each = -(-summary.headroom // max(summary.servers, 1))
         for address in summary.addresses:
             if address not in excluded:
-                told[address] = ServiceLoad(
+                reported[address] = ServiceLoad(
                     service, summary.threshold, each, heard_s=summary.heard_s
                 )
-    chosen = choose_subset(board.identity.address, list(told))
-    told = {address: told[address] for address in chosen}
-    return _make_candidates(board, state, told, now_s)
+    chosen = choose_subset(board.identity.address, list(reported))
+    reported = {address: reported[address] for address in chosen}
+    return _make_candidates(board, state, reported, now_s)
 
 
 def _make_candidates(
     board: Blackboard,
     state: RoutingState,
-    told: dict[str, ServiceLoad],
+    reported: dict[str, ServiceLoad],
     now_s: float,
 ) -> list[Candidate]:
     candidates = []
     avoided = []
-    for address, load_told in told.items():
+    for address, reported_load in reported.items():
         record = state.find_record(address, now_s)
-        load = _find_latest(board, address, load_told, now_s)
+        load = _find_latest(board, address, reported_load, now_s)
         candidate = _make_candidate(address, record, load, now_s)
-        if is_avoided(record, now_s):
+        if should_avoid(record, now_s):
             avoided.append(candidate)
         else:
             candidates.append(candidate)
@@ -178,27 +176,27 @@
 
 
 def _find_latest(
-    board: Blackboard, address: str, told: ServiceLoad, now_s: float
+    board: Blackboard, address: str, reported: ServiceLoad, now_s: float
 ) -> ServiceLoad:
     heard = board.loads.by_node.get(address)
-    if heard is None or heard.service != told.service:
-        return told
-    if now_s - heard.heard_s > FRESH_S and told.heard_s > heard.heard_s:
-        return told
+    if heard is None or heard.service != reported.service:
+        return reported
+    if now_s - heard.heard_s > MAX_FRESH_AGE_S and reported.heard_s > heard.heard_s:
+        return reported
     return heard
 
 
 def _make_candidate(
     address: str, record: ServerRecord, load: ServiceLoad, now_s: float
 ) -> Candidate:
-    if load.heard_s != record.heard_s:
-        record.heard_s = load.heard_s
-        record.sent = 0
-    room = max(0, load.headroom - record.sent)
-    threshold = open_threshold(load, now_s)
+    if load.heard_s != record.load_received_s:
+        record.load_received_s = load.heard_s
+        record.sent_since_report = 0
+    room = max(0, load.headroom - record.sent_since_report)
+    threshold = compute_effective_threshold(load, now_s)
     closed = 1.0 + TIERS * (1.0 - threshold / FULL_THRESHOLD)
     score = (record.outstanding + 1.0) * closed / (room + 1.0)
-    return Candidate(address, room, threshold, score, measure_ramp(record, now_s))
+    return Candidate(address, room, threshold, score, compute_ramp(record, now_s))
 
 
 def _pick(candidates: list[Candidate], rng: random.Random) -> str:
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -16,14 +16,14 @@
 SUBSET_SIZE = 12
 
 _RAMP_S = 8.0
-_RAMP_START = 0.1
-_SETTLED_S = 2.0
+_MIN_RAMP = 0.1
+_MAX_ABSENCE_S = 2.0
 
-_FAILURES_TO_AVOID = 3
-_AVOID_S = 1.0
-_LONGEST_AVOID_S = 15.0
-_LEAVING_AVOID_S = 1.0
-_LATENCY_WEIGHT = 0.1
+_MIN_FAILURES_TO_AVOID = 3
+_MIN_AVOID_S = 1.0
+_MAX_AVOID_S = 15.0
+_UNAVAILABLE_AVOID_S = 1.0
+_LATENCY_SMOOTHING = 0.1
 
 _FAILURES = frozenset(
     {
@@ -33,23 +33,23 @@
         Reason.BAD_ANSWER,
     }
 )
-_LEAVING = frozenset({Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING})
+_UNAVAILABLE = frozenset({Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING})
 
 
 @define
 class ServerRecord:
     """What this node has seen of one server.
 
-    ``sent`` counts the calls sent since the server's load was last heard.
+    ``sent_since_report`` counts the calls sent since the server's load was last heard.
     """
 
     first_seen_s: float
     last_seen_s: float
     outstanding: int = 0
-    sent: int = 0
-    heard_s: float = 0.0
+    sent_since_report: int = 0
+    load_received_s: float = 0.0
     failures: int = 0
-    avoid_s: float = 0.0
+    avoidance_s: float = 0.0
     avoid_until_s: float = 0.0
     latency_s: float = 0.0
 
@@ -66,7 +66,7 @@
 class RoutingState:
     """What this node has seen of all servers it sends to, by node address."""
 
-    began_s: float = 0.0
+    started_s: float = 0.0
     records: dict[str, ServerRecord] = field(factory=dict)
     subsets: dict[str, Subset] = field(factory=dict)
 
@@ -78,20 +78,20 @@
         record = self.records.get(address)
         if record is None:
             record = self.records[address] = ServerRecord(now_s, now_s)
-            if now_s - self.began_s < _SETTLED_S:
+            if now_s - self.started_s < _MAX_ABSENCE_S:
                 record.first_seen_s = now_s - _RAMP_S
-        elif now_s - record.last_seen_s > _SETTLED_S:
+        elif now_s - record.last_seen_s > _MAX_ABSENCE_S:
             record.first_seen_s = now_s
         record.last_seen_s = now_s
         return record
 
-    def note_start(self, address: str, now_s: float) -> None:
+    def record_start(self, address: str, now_s: float) -> None:
         """Note that a call is sent to a server."""
         record = self.find_record(address, now_s)
         record.outstanding += 1
-        record.sent += 1
+        record.sent_since_report += 1
 
-    def note_end(
+    def record_end(
         self, address: str, verdict: Verdict, latency_s: float, now_s: float
     ) -> None:
         """Note how a call ended that was sent to a server."""
@@ -101,20 +101,22 @@
         record.outstanding = max(0, record.outstanding - 1)
         if isinstance(verdict, Answered):
             record.failures = 0
-            record.avoid_s = 0.0
+            record.avoidance_s = 0.0
             if not record.latency_s:
                 record.latency_s = latency_s
-            record.latency_s += _LATENCY_WEIGHT * (latency_s - record.latency_s)
-        elif verdict.reason in _LEAVING:
-            record.avoid_until_s = now_s + _LEAVING_AVOID_S
+            record.latency_s += _LATENCY_SMOOTHING * (latency_s - record.latency_s)
+        elif verdict.reason in _UNAVAILABLE:
+            record.avoid_until_s = now_s + _UNAVAILABLE_AVOID_S
         elif isinstance(verdict, MayHaveRun) and verdict.reason in _FAILURES:
-            self._note_failure(record, now_s)
+            self._record_failure(record, now_s)
 
-    def _note_failure(self, record: ServerRecord, now_s: float) -> None:
+    def _record_failure(self, record: ServerRecord, now_s: float) -> None:
         record.failures += 1
-        if record.failures >= _FAILURES_TO_AVOID or record.avoid_s:
-            record.avoid_s = min(max(_AVOID_S, 2.0 * record.avoid_s), _LONGEST_AVOID_S)
-            record.avoid_until_s = now_s + record.avoid_s
+        if record.failures >= _MIN_FAILURES_TO_AVOID or record.avoidance_s:
+            record.avoidance_s = min(
+                max(_MIN_AVOID_S, 2.0 * record.avoidance_s), _MAX_AVOID_S
+            )
+            record.avoid_until_s = now_s + record.avoidance_s
 
     def refresh(self, board: Blackboard, now_s: float) -> None:
         """See which servers serve, and forget those long gone.
@@ -131,25 +133,25 @@
                     self.find_record(address, now_s)
         for address, record in list(self.records.items()):
             gone_s = now_s - record.last_seen_s
-            if gone_s > _LONGEST_AVOID_S and not record.outstanding:
+            if gone_s > _MAX_AVOID_S and not record.outstanding:
                 del self.records[address]
 
 
-def measure_ramp(record: ServerRecord, now_s: float) -> float:
+def compute_ramp(record: ServerRecord, now_s: float) -> float:
     """Return the part of its share that a new server is given, up to 1."""
     age_s = now_s - record.first_seen_s
-    return min(1.0, _RAMP_START + (1.0 - _RAMP_START) * age_s / _RAMP_S)
+    return min(1.0, _MIN_RAMP + (1.0 - _MIN_RAMP) * age_s / _RAMP_S)
 
 
-def is_avoided(record: ServerRecord, now_s: float) -> bool:
+def should_avoid(record: ServerRecord, now_s: float) -> bool:
     """Tell whether a server should have no calls because it failed lately."""
     if now_s < record.avoid_until_s:
         return True
     # after the pause one call at a time until one has been answered
-    return record.avoid_s > 0 and record.outstanding > 0
+    return record.avoidance_s > 0 and record.outstanding > 0
 
 
-def choose_subset(own_address: str, addresses: list[str]) -> list[str]:
+def choose_subset(local_address: str, addresses: list[str]) -> list[str]:
     """Return the servers that this node sends to.
 
     Each node ranks the servers by a hash of both addresses, so that
@@ -160,6 +162,6 @@
         return addresses
 
     def sort_key(address: str) -> int:
-        return xxhash.xxh3_64_intdigest(f"{own_address}>{address}".encode())
+        return xxhash.xxh3_64_intdigest(f"{local_address}>{address}".encode())
 
     return sorted(addresses, key=sort_key)[:SUBSET_SIZE]
--- a/eelgrassmount/load/shares.py
+++ b/eelgrassmount/load/shares.py
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from eelgrassmount.config.classes import Document, WorkClass
 
-SHARE_PERIOD_S = 0.5
+SHARE_INTERVAL_S = 0.5
 _WINDOW_S = 5.0
-_GAIN = 0.5
-_RELAX = 0.97
-_MOST_LOG_SHARE = math.log(8.0)
-_LEAST_REQUESTS = 1.0
+_SHARE_GAIN = 0.5
+_SHARE_DECAY = 0.97
+_MAX_LOG_SHARE_GAP = math.log(8.0)
+_MIN_REQUESTS = 1.0
 
 
 @define
@@ -39,7 +39,7 @@
 
     records: dict[str, ClassRecord] = field(factory=dict)
 
-    def note_request(self, class_name: str, complete: bool, now_s: float) -> None:
+    def record_request(self, class_name: str, complete: bool, now_s: float) -> None:
         """Count a request; ``complete`` if answered within its target."""
         record = self.records.setdefault(class_name, ClassRecord())
         record.offered.add(1.0, now_s)
@@ -52,7 +52,7 @@
         return math.exp(record.log_share) if record else 1.0
 
 
-def measure_shortfall(
+def compute_shortfall(
     record: ClassRecord, work_class: WorkClass, now_s: float
 ) -> float | None:
     """Return the part of the target that is missing, negative if surpassed.
@@ -60,7 +60,7 @@
     ``None`` means that there were too few requests to tell.
     """
     offered = record.offered.read(now_s)
-    if offered < _LEAST_REQUESTS or work_class.complete_fraction <= 0:
+    if offered < _MIN_REQUESTS or work_class.complete_fraction <= 0:
         return None
     complete = record.complete.read(now_s) / offered
     return 1.0 - complete / work_class.complete_fraction
@@ -86,7 +86,7 @@
         record = table.records.get(work_class.name)
         if record is None:
             continue
-        shortfall = measure_shortfall(record, work_class, now_s)
+        shortfall = compute_shortfall(record, work_class, now_s)
         if shortfall is not None:
             shortfalls[work_class.name] = shortfall
     short = any(shortfall > 0 for shortfall in shortfalls.values())
@@ -95,18 +95,18 @@
     for name in names:
         record = table.records[name]
         if short and name in shortfalls:
-            record.log_share += _GAIN * (shortfalls[name] - mean)
+            record.log_share += _SHARE_GAIN * (shortfalls[name] - mean)
         else:
-            record.log_share *= _RELAX
-    _normalise([table.records[name] for name in names])
+            record.log_share *= _SHARE_DECAY
+    _normalize([table.records[name] for name in names])
 
 
-def _normalise(records: list[ClassRecord]) -> None:
+def _normalize(records: list[ClassRecord]) -> None:
     # the largest share is 1, so that its requests keep the whole range of
     # priorities: squeezed together they could not be told apart by a threshold
     most = max((record.log_share for record in records), default=0.0)
     for record in records:
-        record.log_share = max(record.log_share - most, -_MOST_LOG_SHARE)
+        record.log_share = max(record.log_share - most, -_MAX_LOG_SHARE_GAP)
 
 
 def scale_priority(priority: int, share: float) -> int:
--- a/eelgrassmount/load/state.py
+++ b/eelgrassmount/load/state.py
@@ -38,10 +38,10 @@
 
     ``by_node`` holds what the nodes of a service said of their own server, by
     address; ``relayed`` what a node said of services deeper in the chain, by
-    service and address. ``touched`` holds, by class and service, the share of
+    service and address. ``used_services`` holds, by class and service, the share of
     the class's recent requests that touched the service.
     """
 
     by_node: dict[str, ServiceLoad] = field(factory=dict)
     relayed: dict[str, dict[str, ServiceLoad]] = field(factory=dict)
-    touched: dict[str, dict[str, float]] = field(factory=dict)
+    used_services: dict[str, dict[str, float]] = field(factory=dict)
--- a/tests/calls/fakes.py
+++ b/tests/calls/fakes.py
@@ -81,7 +81,7 @@
     ) -> bool:
         return self.room
 
-    def note_end(
+    def record_end(
         self,
         address: str,
         service: str,
--- a/tests/load/test_gate.py
+++ b/tests/load/test_dispatcher.py
@@ -11,9 +11,9 @@
 from benchmarks.admission import SCENARIOS, measure
 from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier
-from eelgrassmount.load.gate import LimitedGate
+from eelgrassmount.load.dispatcher import LimitedDispatcher
 from eelgrassmount.load.port import Sample, SampleKind
-from eelgrassmount.load.queue import Waiting
+from eelgrassmount.load.queue import WaitingCall
 from eelgrassmount.members.table import Identity, ServerState
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.verdict import NotRun, Reason
@@ -28,7 +28,7 @@
     limit: int = LIMIT
     typical_s: float = 0.1
 
-    def note_start(self, in_flight: int, now_s: float) -> None:
+    def record_start(self, in_flight: int, now_s: float) -> None:
         pass
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
@@ -39,29 +39,32 @@
 
 
 @pytest.fixture
-def gate() -> LimitedGate:
+def gate() -> LimitedDispatcher:
     timers = TimerService(ManualClock(), random.Random(1))
     board = Blackboard(Identity("127.0.0.1:1", "here", "region", "1"))
     board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-    return LimitedGate(board, timers, lambda now_s: FixedLimiter())
+    return LimitedDispatcher(board, timers, lambda now_s: FixedLimiter())
 
 
 def make_context(
-    gate: LimitedGate, tier: Tier = FIRST, priority: int = 100, left_s: float = 9.0
+    gate: LimitedDispatcher,
+    tier: Tier = FIRST,
+    priority: int = 100,
+    left_s: float = 9.0,
 ) -> Context:
     deadline_s = gate.timers.read() + left_s
     return Context("r", "c", "", "lookup", deadline_s, 3, tier, priority, 0, True)
 
 
-def offer(gate: LimitedGate, *args: object, **others: object) -> Waiting:
+def offer(gate: LimitedDispatcher, *args: object, **others: object) -> WaitingCall:
     return gate.offer(make_context(gate, *args, **others))
 
 
-def finish(gate: LimitedGate, latency_s: float = 0.1) -> None:
+def finish(gate: LimitedDispatcher, latency_s: float = 0.1) -> None:
     gate.leave(Sample(SampleKind.COMPLETE, latency_s, class_name="lookup"))
 
 
-def test_order_is_tier_then_priority_then_age(gate: LimitedGate) -> None:
+def test_order_is_tier_then_priority_then_age(gate: LimitedDispatcher) -> None:
     running = [offer(gate) for _ in range(LIMIT)]
     assert all(one.admitted for one in running)
     late = offer(gate, FIRST, 900)
@@ -74,7 +77,7 @@
         assert expected.admitted
 
 
-def test_newest_goes_first_once_the_queue_stands(gate: LimitedGate) -> None:
+def test_newest_goes_first_once_the_queue_stands(gate: LimitedDispatcher) -> None:
     for _ in range(LIMIT):
         offer(gate)
     older = offer(gate)
@@ -84,7 +87,7 @@
     assert newer.admitted and not older.admitted
 
 
-def test_full_queue_refuses_the_worst(gate: LimitedGate) -> None:
+def test_full_queue_refuses_the_worst(gate: LimitedDispatcher) -> None:
     for _ in range(LIMIT):
         offer(gate)
     waiting = [offer(gate, FIRST, priority) for priority in (10, 300, 200, 100)]
@@ -98,7 +101,7 @@
     assert booking.refusal is None and not booking.admitted
 
 
-def test_no_lookup_while_a_booking_is_refused(gate: LimitedGate) -> None:
+def test_no_lookup_while_a_booking_is_refused(gate: LimitedDispatcher) -> None:
     for _ in range(LIMIT):
         offer(gate)
     bookings = [offer(gate, LAST, 500) for _ in range(CAPACITY)]
@@ -114,7 +117,7 @@
 
 @pytest.mark.parametrize(("left_s", "queued"), [(0.5, 0), (0.09, None), (0.21, 3)])
 def test_what_cannot_finish_is_refused(
-    gate: LimitedGate, left_s: float, queued: int | None
+    gate: LimitedDispatcher, left_s: float, queued: int | None
 ) -> None:
     offer(gate)
     finish(gate)
@@ -127,7 +130,9 @@
     assert refused is (queued > 0)
 
 
-def test_waiting_call_is_refused_when_its_time_has_run_out(gate: LimitedGate) -> None:
+def test_waiting_call_is_refused_when_its_time_has_run_out(
+    gate: LimitedDispatcher,
+) -> None:
     for _ in range(LIMIT):
         offer(gate)
     waiting = offer(gate, left_s=0.5)
@@ -145,7 +150,7 @@
     ],
 )
 def test_server_that_does_not_serve(
-    gate: LimitedGate, state: ServerState, reason: Reason
+    gate: LimitedDispatcher, state: ServerState, reason: Reason
 ) -> None:
     for _ in range(LIMIT):
         offer(gate)
@@ -157,7 +162,7 @@
     assert gate.describe().threshold == 0
 
 
-async def enter_and_fail(gate: LimitedGate) -> None:
+async def enter_and_fail(gate: LimitedDispatcher) -> None:
     await gate.enter(make_context(gate))
     pytest.fail("the call was started")
 
@@ -165,7 +170,7 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("admitted", [False, True])
 async def test_call_whose_caller_has_gone_is_not_started(
-    gate: LimitedGate, admitted: bool
+    gate: LimitedDispatcher, admitted: bool
 ) -> None:
     for _ in range(LIMIT):
         assert await gate.enter(make_context(gate)) is None
@@ -206,7 +211,7 @@
     assert sum(fractions) / len(fractions) > 0.9, fractions
 
 
-def test_gate_is_swept_only_while_calls_run_or_wait(gate: LimitedGate) -> None:
+def test_gate_is_swept_only_while_calls_run_or_wait(gate: LimitedDispatcher) -> None:
     def measure_sleep() -> float:
         gate.timers.advance(0.955)
         return gate.timers.run_due()
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -9,10 +9,10 @@
 from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.config.classes import Document, WorkClass
 from eelgrassmount.context import PRIORITY_LEVELS
-from eelgrassmount.load.admission import EntryState, admit_at_entry
+from eelgrassmount.load.admission import EntryMeters, admit_at_entry
 from eelgrassmount.load.exchange import LoadExchange, combine_loads
 from eelgrassmount.load.refusals import (
-    ExcessMeter,
+    AdmissionMeter,
     compute_retry_after,
     spread_retry_after,
 )
@@ -36,7 +36,7 @@
     board: Blackboard, work_class: WorkClass, priority: int, now_s: float
 ) -> bool:
     refusal = admit_at_entry(
-        board, EntryState(), work_class, "a", priority, random.Random(1), now_s
+        board, EntryMeters(), work_class, "a", priority, random.Random(1), now_s
     )
     assert refusal is None or refusal.reason is Reason.OVERLOAD
     assert refusal is None or refusal.retry_after_s > 0
@@ -94,7 +94,7 @@
 def test_answer_carries_what_its_calls_touched(board: Blackboard) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "b", [ServiceLoad("b", 700)], NOW_S)
-    exchange.note_downstream("call", "b", [ServiceLoad("b"), ServiceLoad("c")])
+    exchange.record_downstream("call", "b", [ServiceLoad("b"), ServiceLoad("c")])
     own = ServiceLoad("a", 900)
     loads = {load.service: load for load in exchange.collect("call", own, NOW_S)}
     assert loads["a"] == own
@@ -117,7 +117,7 @@
             for name in ("lookup", "status"):
                 priority = rng.randrange(PRIORITY_LEVELS)
                 scaled = scale_priority(priority, table.find_share(name))
-                table.note_request(name, scaled < threshold, now_s)
+                table.record_request(name, scaled < threshold, now_s)
                 threshold += 10 * (capacity - (scaled < threshold))
             if step % 50 == 0:
                 adjust_shares(table, document, now_s)
@@ -142,12 +142,12 @@
 def test_delay_of_refused_callers_follows_the_excess() -> None:
     means = []
     for refused in (0, 1, 4):
-        meter = ExcessMeter()
+        meter = AdmissionMeter()
         for step in range(2000):
             now_s = step / 100
-            meter.note_admitted(now_s)
+            meter.record_admitted(now_s)
             for _ in range(refused):
-                meter.note_refused(now_s)
+                meter.record_refused(now_s)
         means.append(compute_retry_after(meter, now_s))
     assert means == [0.5, pytest.approx(5, rel=0.05), pytest.approx(20, rel=0.05)]
     rng = random.Random(1)
--- a/tests/load/test_limiter.py
+++ b/tests/load/test_limiter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.limiter import SCENARIOS, measure
-from eelgrassmount.load.limiter import START_LIMIT, Limiter
+from eelgrassmount.load.limiter import INITIAL_LIMIT, Limiter
 from eelgrassmount.load.port import Sample, SampleKind
 
 _BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
@@ -36,10 +36,10 @@
     limiter = Limiter()
     for step in range(1000):
         now_s = step * 0.1
-        limiter.note_start(1, now_s)
+        limiter.record_start(1, now_s)
         limiter.record(Sample(SampleKind.COMPLETE, 0.05), 1, now_s + 0.05)
         limiter.adjust(now_s + 0.05)
-    assert limiter.limit == START_LIMIT
+    assert limiter.limit == INITIAL_LIMIT
 
 
 def test_limit_falls_when_calls_time_out() -> None:
@@ -48,7 +48,7 @@
         now_s = step * 0.1
         running = limiter.limit
         for started in range(running):
-            limiter.note_start(started + 1, now_s)
+            limiter.record_start(started + 1, now_s)
         for left in range(running, 0, -1):
             limiter.record(Sample(SampleKind.TIMEOUT, 0.09), left, now_s + 0.095)
         limiter.adjust(now_s + 0.099)
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -102,7 +102,7 @@
     chosen = []
     for _ in range(30):
         address = choose_server(board, state, "a", (), 0, rng, NOW_S)
-        state.note_start(address, NOW_S)
+        state.record_start(address, NOW_S)
         chosen.append(address)
     assert set(chosen[:15]) <= set(NEAR)
     assert set(chosen[-5:]) <= set(FAR)
@@ -134,18 +134,18 @@
 def test_failing_server_is_avoided_and_probed(board: Blackboard) -> None:
     state = RoutingState(NOW_S)
     for _ in range(3):
-        state.note_start(NEAR[0], NOW_S)
-        state.note_end(NEAR[0], MayHaveRun(Reason.SERVER_SILENT), 1.0, NOW_S)
+        state.record_start(NEAR[0], NOW_S)
+        state.record_end(NEAR[0], MayHaveRun(Reason.SERVER_SILENT), 1.0, NOW_S)
     assert choose(board, state)[NEAR[0]] == 0
     later_s = NOW_S + 1.5
     assert choose(board, state, now_s=later_s)[NEAR[0]] > 0
-    state.note_start(NEAR[0], later_s)
+    state.record_start(NEAR[0], later_s)
     assert choose(board, state, now_s=later_s)[NEAR[0]] == 0
-    state.note_end(NEAR[0], COMPLETE, 0.1, later_s)
+    state.record_end(NEAR[0], COMPLETE, 0.1, later_s)
     change(board, NEAR[0], heard_s=later_s)
     assert choose(board, state, now_s=later_s)[NEAR[0]] > 40
-    state.note_start(NEAR[1], later_s)
-    state.note_end(NEAR[1], NotRun(Reason.DRAINING), 0.1, later_s)
+    state.record_start(NEAR[1], later_s)
+    state.record_end(NEAR[1], NotRun(Reason.DRAINING), 0.1, later_s)
     assert choose(board, state, now_s=later_s)[NEAR[1]] == 0
 
 
