--- a/eelgrassmount/load/__init__.py
+++ b/eelgrassmount/load/__init__.py
@@ -1,1 +1,1 @@
-"""Limits, queues, admission and routing."""
+"""Concurrency limits, queues, admission control and routing."""
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests at the node where they enter."""
+"""Admission control at the node where requests enter."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 @define
 class EntryMeters:
-    """What this node admitted and refused lately as an entry, by service."""
+    """Counts of requests that this node recently admitted and refused, by service."""
 
     meters: dict[str, AdmissionMeter] = field(factory=dict)
 
     def get_meter(self, service: str) -> AdmissionMeter:
-        """Return the meter of a service."""
+        """Return the meter of a service, a new one if there is none."""
         return self.meters.setdefault(service, AdmissionMeter())
 
 
@@ -40,9 +40,9 @@
     priority: int,
     now_s: float,
 ) -> str | None:
-    """Return the service that would refuse a request somewhere in its chain.
+    """Return the service that would refuse a request or one of its downstream calls.
 
-    Looked at are the service itself and those that the class was seen to touch.
+    The candidates are the service itself and those that requests of the class use.
     """
     rank = rank_call(work_class.tier, priority)
     names = {service, *find_services(board.loads, work_class.name)}
@@ -62,9 +62,9 @@
     rng: random.Random,
     now_s: float,
 ) -> NotRun | None:
-    """Refuse a request at once that would be refused deep in its chain.
+    """Refuse a request if one of its downstream calls would be refused.
 
-    ``priority`` is that of the root request, which every hop uses.
+    ``priority`` is that of the root request, which all its downstream calls share.
     """
     bottleneck = find_bottleneck(board, work_class, service, priority, now_s)
     if bottleneck is None:
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -1,4 +1,4 @@
-"""The load decisions of one node, as the path of a call uses them."""
+"""Facade of admission, routing and load exchange for the call path."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 @define
 class LoadControl:
-    """Admission, routing and the exchange of load on one node.
+    """Admission, routing and the exchange of load reports on one node.
 
-    ``prioritize`` and ``admit`` serve the entry, ``choose`` and ``record_end``
-    each attempt at a call, ``record_request`` the end of a whole request.
+    The entry calls ``prioritize`` and ``admit``; each attempt at a call uses
+    ``choose`` and ``record_end``; ``record_request`` follows each client request.
     """
 
     board: Blackboard
@@ -74,7 +74,7 @@
     def admit(
         self, work_class: WorkClass, service: str, priority: int
     ) -> NotRun | None:
-        """Decide on a request where it enters; ``None`` means admitted."""
+        """Decide on a request at its entry node; ``None`` means admitted."""
         return admit_at_entry(
             self.board,
             self.entry,
@@ -88,9 +88,9 @@
     def choose(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> str | None:
-        """Return the node to send a call to and count the call as sent.
+        """Choose the node to send a call to, and count the call as outstanding.
 
-        `record_end` must follow with the same address.
+        The caller must call `record_end` with the same address.
         """
         now_s = self.timers.read()
         rank = rank_call(context.tier, context.priority)
@@ -104,7 +104,7 @@
     def has_room(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> bool:
-        """Tell whether some other node would admit a call at once."""
+        """Return whether a node that is not excluded would admit a call at once."""
         rank = rank_call(context.tier, context.priority)
         return has_open_server(
             self.board, self.routing, service, excluded, rank, self.timers.read()
@@ -118,7 +118,7 @@
         loads: Iterable[ServiceLoad],
         latency_s: float,
     ) -> None:
-        """Take in the end of one attempt and the loads that its answer carried."""
+        """Record the end of an attempt and the loads that its answer carried."""
         now_s = self.timers.read()
         self.routing.record_end(address, verdict, latency_s, now_s)
         self.exchange.merge(address, service, loads, now_s)
@@ -126,10 +126,10 @@
     def record_request(
         self, class_name: str, complete: bool, used_services: Collection[str]
     ) -> None:
-        """Count a whole request that entered here, refused ones too.
+        """Record a client request that entered at this node, also if it was refused.
 
-        ``complete`` means that it was answered within the target of its class,
-        ``used_services`` names the services of the loads on its answer, if it had one.
+        ``complete`` means that it was answered within the target of its class.
+        ``used_services`` names the services whose loads its answer carried.
         """
         self.shares.record_request(class_name, complete, self.timers.read())
         if used_services:
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -1,4 +1,4 @@
-"""The gate before a backend server: its limit, queue and threshold."""
+"""Queues calls for the backend server within its concurrency limit."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 
 _SWEEP_INTERVAL_S = 0.02
 _CLASS_SMOOTHING = 0.1
-# a call above the threshold waits for one run time, but at least so long
+# A call above the threshold may wait for the typical run time, or this long if longer.
 _MIN_STARVED_S = 0.1
-# the queue stands when it has not been empty for so many typical run times
+# A queue that has been nonempty for more typical run times is a standing queue.
 _STANDING_QUEUE_RUNS = 2.0
 
 
@@ -53,9 +53,8 @@
 class LimitedDispatcher:
     """Admits calls to the backend server of this node.
 
-    A call starts at once while the limit allows, else it waits in a short queue
-    until a slot is free, or is refused. The gate and all it knows of the
-    server begin anew when the server announces that it serves again.
+    A call starts at once if the concurrency limit allows; otherwise it waits in a short
+    queue or is refused. All state learned of the server is reset when it restarts.
     """
 
     board: Blackboard
@@ -79,9 +78,9 @@
         self.timers.subscribe(THRESHOLD_INTERVAL_S, self.adjust)
 
     async def enter(self, context: Context) -> NotRun | None:
-        """Wait for a slot. ``None`` means admitted; then `leave` must follow.
+        """Wait for a slot; ``None`` means admitted, and `leave` must follow.
 
-        A call that is cancelled while it waits leaves nothing behind.
+        A call that is cancelled while it waits holds no slot.
         """
         waiting = self.offer(context)
         if waiting.admitted or waiting.refusal is not None:
@@ -95,7 +94,7 @@
         return waiting.refusal
 
     def offer(self, context: Context) -> WaitingCall:
-        """Decide on a call at once: it is admitted, refused or queued."""
+        """Admit, refuse or queue a call, without waiting."""
         now_s = self.timers.read()
         self._start_sweeping(now_s)
         waiting = make_waiting_call(context, now_s)
@@ -116,7 +115,7 @@
             self._sweep_timer = self.timers.subscribe(_SWEEP_INTERVAL_S, self.sweep)
 
     def _stop_idle_sweeping(self, period: PeriodCounts) -> None:
-        # an idle process must not wake up fifty times a second
+        # Frequent timers would keep an idle process awake.
         busy = period.ranks or period.in_flight or self.in_flight or self.queue
         if self._sweep_timer is not None and not busy:
             self._sweep_timer.cancel()
@@ -145,7 +144,7 @@
         if self._can_finish(waiting, ahead, now_s):
             return None
         if self._can_finish(waiting, 0, now_s):
-            # there is time enough for it, but not with this queue
+            # The call misses its deadline only because of the queue.
             self._record_overload(waiting, now_s)
             self._record_arrival(waiting)
         return self._make_refusal(Reason.DEADLINE, now_s)
@@ -161,10 +160,10 @@
         return remaining_s > 0 and needed_s <= remaining_s
 
     def _estimate_slot_wait_s(self, now_s: float) -> float:
-        """Return how long it takes until a slot comes free.
+        """Return the expected time until a slot is released.
 
-        A server that slows down shows it first by the time since the last run
-        ended.
+        The time since the last completion is the first sign of a server that slows
+        down.
         """
         usual_s = self.limiter.typical_s / max(self.limiter.limit, 1)
         return max(usual_s, now_s - self._last_completion_s)
@@ -174,11 +173,11 @@
             self.queue.push(waiting)
             self._admit_waiting(now_s)
             return
-        worst = self.queue.find_least_urgent()
-        if worst is not None and worst.rank > waiting.rank:
-            self.queue.remove(worst)
+        least_urgent = self.queue.find_least_urgent()
+        if least_urgent is not None and least_urgent.rank > waiting.rank:
+            self.queue.remove(least_urgent)
             self.queue.push(waiting)
-            waiting = worst
+            waiting = least_urgent
         self._record_overload(waiting, now_s)
         self._refuse(waiting, self._make_refusal(Reason.OVERLOAD, now_s))
 
@@ -207,7 +206,7 @@
 
     def _admit(self, waiting: WaitingCall, now_s: float) -> None:
         if not self.in_flight:
-            # it was idle, which is no slowness
+            # Idle time must not count as a slow server.
             self._last_completion_s = now_s
         self.in_flight += 1
         self.limiter.record_start(self.in_flight, now_s)
@@ -230,14 +229,14 @@
         return standing_s > _STANDING_QUEUE_RUNS * self.limiter.typical_s
 
     def abandon(self, waiting: WaitingCall) -> None:
-        """Forget a call whose caller has gone before it was told to start."""
+        """Drop a call whose caller has disconnected before the call started."""
         if self.queue.remove(waiting):
             return
         if waiting.admitted:
             self.leave(Sample(SampleKind.CANCELLED, 0.0))
 
     def leave(self, sample: Sample) -> None:
-        """Give the slot back and start the next call."""
+        """Release the slot and start the next call."""
         now_s = self.timers.read()
         self._last_completion_s = now_s
         self.limiter.record(sample, self.in_flight, now_s)
@@ -247,12 +246,12 @@
         self._admit_waiting(now_s)
 
     def _record_run(self, sample: Sample) -> None:
-        known_s = self._run_s_by_class.get(sample.class_name, sample.latency_s)
-        known_s += _CLASS_SMOOTHING * (sample.latency_s - known_s)
-        self._run_s_by_class[sample.class_name] = known_s
+        mean_run_s = self._run_s_by_class.get(sample.class_name, sample.latency_s)
+        mean_run_s += _CLASS_SMOOTHING * (sample.latency_s - mean_run_s)
+        self._run_s_by_class[sample.class_name] = mean_run_s
 
     def sweep(self) -> None:
-        """Refuse waiting calls that cannot finish any more, or not here."""
+        """Refuse waiting calls that would miss their deadline or never start."""
         now_s = self.timers.read()
         self._follow_server(now_s)
         self._period_counts.observe(
@@ -260,10 +259,10 @@
             self.queue.count_below(PRIORITY_LEVELS),
             self.in_flight,
         )
-        gone = self._check_server()
+        server_refusal = self._check_server()
         for waiting in self.queue.list_calls():
-            if gone is not None:
-                refusal = gone
+            if server_refusal is not None:
+                refusal = server_refusal
             elif not self._can_finish(waiting, 0, now_s):
                 refusal = self._make_refusal(Reason.DEADLINE, now_s)
             elif self._is_starved(waiting, now_s):
@@ -275,8 +274,8 @@
         self._admit_waiting(now_s)
 
     def _is_starved(self, waiting: WaitingCall, now_s: float) -> bool:
-        # those that go before it are enough to fill the server, so it would only
-        # wait for its time limit, and its parents with it
+        # More urgent calls fill the server; this call and its callers would only wait
+        # until their deadline.
         waited_s = now_s - waiting.arrived_s
         too_long = waited_s > max(self.limiter.typical_s, _MIN_STARVED_S)
         return too_long and waiting.rank >= self.threshold.threshold
@@ -296,7 +295,7 @@
         self._run_s_by_class.clear()
 
     def adjust(self) -> None:
-        """Adjust the limit and the threshold; runs several times a second."""
+        """Adjust the limit and the threshold; called several times a second."""
         now_s = self.timers.read()
         self._follow_server(now_s)
         self.limiter.adjust(now_s)
@@ -308,14 +307,14 @@
             self._refuse_tier(Tier.REFUSED_FIRST, now_s)
 
     def describe(self) -> ServiceLoad:
-        """Return the load that is sent along with answers."""
+        """Return the load that is sent with answers."""
         now_s = self.timers.read()
         threshold = self.threshold.advertised if self.board.accepts_work else 0
-        room = self.limiter.limit - self.in_flight - len(self.queue)
+        headroom = self.limiter.limit - self.in_flight - len(self.queue)
         return ServiceLoad(
             service=self.board.server.service,
             threshold=threshold,
-            headroom=max(0, room),
+            headroom=max(0, headroom),
             retry_after_s=compute_retry_after(self.admission_meter, now_s),
             heard_s=now_s,
         )
--- a/eelgrassmount/load/exchange.py
+++ b/eelgrassmount/load/exchange.py
@@ -1,4 +1,4 @@
-"""What answers tell about the load of services."""
+"""Exchange of service loads by reports on answers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A load counts in full while fresh, then opens gradually until it lapses: first
-# to all refused-last calls, sooner than any node stops shutting out the
-# refused-first ones, then to these too.
+# The effective threshold of a load is raised gradually between these ages: first for
+# refused-last calls, before any node admits refused-first calls again, then for all.
 MAX_FRESH_AGE_S = 0.3
 _LAST_TIER_OPEN_AGE_S = TIER_HOLD_S
 EXPIRY_AGE_S = 2.5
-# what was heard longer ago is not passed on
+# Older loads are not relayed on answers.
 _MAX_RELAYED_AGE_S = 0.5
 
 _USAGE_SMOOTHING = 0.05
@@ -30,10 +29,10 @@
 
 @define
 class LoadExchange:
-    """Merges the loads of answers and collects them for answers further up.
+    """Merges the loads of received answers and collects loads for sent answers.
 
-    ``used_services`` holds, for calls that run on this node's backend server, the
-    services that their downstream calls have touched.
+    ``used_services`` holds, by the id of a call that runs on this node's backend
+    server, the services that its downstream calls have used.
     """
 
     table: LoadTable
@@ -42,21 +41,21 @@
     def merge(
         self, address: str, service: str, loads: Iterable[ServiceLoad], now_s: float
     ) -> None:
-        """Take in the loads of one answer of the node at ``address``.
+        """Record the loads of an answer from the node at ``address``.
 
-        ``service`` is what it was called for; other loads were relayed by it.
+        ``service`` is the called service; loads of other services were relayed.
         """
         for load in loads:
-            heard = evolve(load, heard_s=now_s)
+            received = evolve(load, heard_s=now_s)
             if load.service == service:
-                self.table.by_node[address] = heard
+                self.table.by_node[address] = received
             else:
-                self.table.relayed.setdefault(load.service, {})[address] = heard
+                self.table.relayed.setdefault(load.service, {})[address] = received
 
     def record_downstream(
         self, parent_id: str, service: str, loads: Iterable[ServiceLoad]
     ) -> None:
-        """Note that a running call has called a service, and what that touched."""
+        """Record that a running call has used a service and those that it used."""
         if (
             parent_id not in self.used_services
             and len(self.used_services) >= _MAX_TRACKED_CALLS
@@ -69,7 +68,7 @@
     def collect(
         self, call_id: str, own: ServiceLoad, now_s: float
     ) -> tuple[ServiceLoad, ...]:
-        """Return the loads to send with the answer of a call, and forget it."""
+        """Return the loads to send with the answer of a call, and drop its record."""
         services = self.used_services.pop(call_id, set())
         loads = [own]
         for service in sorted(services - {own.service}):
@@ -78,7 +77,7 @@
         return tuple(loads)
 
     def learn(self, class_name: str, services: Iterable[str]) -> None:
-        """Learn the services that one complete request of a class has touched."""
+        """Record the services that a complete request of a class has used."""
         shares = self.table.used_services.setdefault(class_name, {})
         seen = set(services)
         for service in seen:
@@ -91,7 +90,7 @@
                 del shares[service]
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop loads that have lapsed; call it every few seconds."""
+        """Drop expired loads; called every few seconds."""
         by_node = self.table.by_node
         for address in [key for key in by_node if is_expired(by_node[key], now_s)]:
             del by_node[address]
@@ -101,30 +100,30 @@
 
 
 def is_expired(load: ServiceLoad, now_s: float) -> bool:
-    """Tell whether a load was heard too long ago to mean anything."""
+    """Return whether a load is too old to be used."""
     return now_s - load.heard_s >= EXPIRY_AGE_S
 
 
 def compute_effective_threshold(load: ServiceLoad, now_s: float) -> float:
-    """Return the threshold of a load, opened by its age."""
+    """Return the threshold of a load, raised with its age."""
     age_s = now_s - load.heard_s
     threshold = float(load.threshold)
     if age_s <= MAX_FRESH_AGE_S:
         return threshold
-    opened = min(
+    raised_share = min(
         1.0, (age_s - MAX_FRESH_AGE_S) / (_LAST_TIER_OPEN_AGE_S - MAX_FRESH_AGE_S)
     )
-    threshold += max(0.0, PRIORITY_LEVELS - threshold) * opened
+    threshold += max(0.0, PRIORITY_LEVELS - threshold) * raised_share
     if age_s <= _LAST_TIER_OPEN_AGE_S:
         return threshold
-    opened = min(
+    raised_share = min(
         1.0, (age_s - _LAST_TIER_OPEN_AGE_S) / (EXPIRY_AGE_S - _LAST_TIER_OPEN_AGE_S)
     )
-    return threshold + (FULL_THRESHOLD - threshold) * opened
+    return threshold + (FULL_THRESHOLD - threshold) * raised_share
 
 
 def find_services(table: LoadTable, class_name: str) -> list[str]:
-    """Return the services that a good part of a class's requests touch."""
+    """Return the services that a sufficient share of a class's requests uses."""
     shares = table.used_services.get(class_name, {})
     return [name for name, share in shares.items() if share >= _MIN_USAGE_SHARE]
 
@@ -132,9 +131,10 @@
 def find_load(
     table: LoadTable, service: str, now_s: float, within_s: float = EXPIRY_AGE_S
 ) -> ServiceLoad | None:
-    """Return the load of a service as a whole, ``None`` if not known.
+    """Return the combined load of a service, ``None`` if there is no recent report.
 
-    What its own servers said goes before what was relayed, unless it is older.
+    Fresh reports from its own servers go before fresh relayed ones; without fresh
+    reports, the newest one counts.
     """
     direct = [load for load in table.by_node.values() if load.service == service]
     relayed = list(table.relayed.get(service, {}).values())
@@ -151,14 +151,13 @@
 def combine_loads(service: str, loads: list[ServiceLoad], now_s: float) -> ServiceLoad:
     """Return the load of a service from those of its servers.
 
-    Refused-first calls are admitted by the mean of the thresholds, but
-    refused-last calls as long as any server still admits them: while one of
-    them has to be refused, no server is open to refused-first calls.
+    The mean threshold applies to refused-first calls. Refused-last calls are admitted
+    as long as any server admits them.
     """
     thresholds = [compute_effective_threshold(load, now_s) for load in loads]
     mean = sum(thresholds) / len(thresholds)
-    most = max(thresholds)
-    threshold = most if most < PRIORITY_LEVELS else max(mean, PRIORITY_LEVELS)
+    highest = max(thresholds)
+    threshold = highest if highest < PRIORITY_LEVELS else max(mean, PRIORITY_LEVELS)
     return ServiceLoad(
         service=service,
         threshold=round(threshold),
--- a/eelgrassmount/load/limiter.py
+++ b/eelgrassmount/load/limiter.py
@@ -1,4 +1,4 @@
-"""The concurrency limit beside a backend server, found by measuring."""
+"""Adaptive concurrency limit of a backend server."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 MIN_LIMIT = 2
 MAX_LIMIT = 4096
 
-# a measurement is over when most of a cohort of runs has ended; a cohort is some
-# rounds of the whole level, but never very small or large
+# Size of a cohort, as a multiple of the concurrency. A measurement ends when this share
+# of its runs has completed, or is late by this multiple of the typical run time.
 _COHORT_ROUNDS = 4.0
 _FIRST_COHORT_ROUNDS = 1.5
 _COHORT_COMPLETED_SHARE = 0.95
@@ -34,7 +34,7 @@
 _MAX_MEASUREMENT_S = 2.0
 _MAX_MEASUREMENT_ROUNDS = 6
 
-# the probe below the limit: how deep it goes, and how the limit is moved after it
+# Concurrency of a probe, and the changes of the limit after it.
 _PROBE_LIMIT_SHARE = 0.75
 _LIMIT_SMOOTHING = 0.4
 _HOLD_RATIO = 3.0
@@ -44,7 +44,7 @@
 _STEEP_REDUCTION_FACTOR = 0.7
 
 _TIMEOUT_REDUCTION_FACTOR = 0.5
-# after most runs timed out, growth by doubling ends short of that limit
+# Initial growth stops at this share of a limit at which most runs timed out.
 _TIMEOUT_CEILING_SHARE = 0.75
 _SHED_REDUCTION_FACTOR = 0.95
 _MIN_SATURATED_SHARE = 0.9
@@ -55,7 +55,7 @@
 
 
 class Phase(Enum):
-    """What the present level of concurrency is kept for."""
+    """Phases of the search for the concurrency limit."""
 
     STARTING = auto()
     HOLD = auto()
@@ -75,17 +75,13 @@
 
 @define
 class Limiter:
-    """Finds how many calls a backend server can run at once.
+    """Estimates how many calls a backend server can run concurrently.
 
-    Latency does not depend on concurrency until the server's slots are full,
-    and grows in proportion to it from there on. So the limiter measures
-    the service time at the limit and, in short probes, below it: when both are
-    the same the limit may grow, when they differ the ratio says where the
-    slots end. Since the two are measured one shortly after the other, it makes
-    no difference how fast the server is at the time.
-
-    Only calls that fill the level tell anything; while fewer are wanted the
-    limit stays as it is.
+    Latency is independent of concurrency until the server's slots are full, and then
+    grows in proportion. The limiter measures service time at the limit and, in short
+    probes, below it. If both are equal, the limit grows; otherwise their ratio gives
+    the number of slots. The limit stays unchanged while too few calls arrive to reach
+    it.
     """
 
     now_s: float = 0.0
@@ -100,16 +96,16 @@
     _ceiling: float = field(init=False, default=MAX_LIMIT)
 
     def __attrs_post_init__(self) -> None:
-        """Begin with a measurement at the initial limit."""
+        """Start a measurement at the initial limit."""
         self._current = make_measurement(self.phase, INITIAL_LIMIT, self.now_s)
 
     @property
     def limit(self) -> int:
-        """Return how many calls may run now."""
+        """Return how many calls may run concurrently now."""
         return self._current.concurrency
 
     def record_start(self, in_flight: int, now_s: float) -> None:
-        """Note that a run starts; ``in_flight`` counts it already."""
+        """Record the start of a run; ``in_flight`` includes it."""
         current = self._current
         if self.phase is Phase.HOLD:
             return
@@ -123,10 +119,10 @@
     def _check_reached(self, in_flight: int, now_s: float) -> None:
         current = self._current
         if self.phase is Phase.PROBE:
-            settled = in_flight <= current.concurrency
+            reached = in_flight <= current.concurrency
         else:
-            settled = in_flight >= current.concurrency * _MIN_SATURATED_SHARE
-        if settled:
+            reached = in_flight >= current.concurrency * _MIN_SATURATED_SHARE
+        if reached:
             current.reached_s = now_s
 
     def _close_cohort(self, now_s: float) -> None:
@@ -137,9 +133,9 @@
             current.closed_s = now_s
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
-        """Take in one run that has ended.
+        """Record the end of a run.
 
-        ``in_flight`` counts the runs on the server, with this one.
+        ``in_flight`` counts the runs on the server, including this one.
         """
         started_s = now_s - sample.latency_s
         if sample.kind is SampleKind.SHED:
@@ -156,8 +152,8 @@
     def _update_typical(self, latency_s: float) -> None:
         if not self.typical_s:
             self.typical_s = latency_s
-        slower = latency_s > _SLOW_RUN_FACTOR * self.typical_s
-        weight = _SLOW_RUN_SMOOTHING if slower else _TYPICAL_SMOOTHING
+        is_slow = latency_s > _SLOW_RUN_FACTOR * self.typical_s
+        weight = _SLOW_RUN_SMOOTHING if is_slow else _TYPICAL_SMOOTHING
         self.typical_s += weight * (latency_s - self.typical_s)
 
     def _add_run(self, sample: Sample, started_s: float) -> None:
@@ -175,7 +171,7 @@
             current.downstream_sum_s += sample.downstream_s
 
     def adjust(self, now_s: float) -> None:
-        """End what makes no progress; call it several times a second."""
+        """End phases that are due or stalled; called several times a second."""
         self._check_progress(now_s)
         current = self._current
         if self.phase is Phase.HOLD:
@@ -186,7 +182,7 @@
         if current.runs >= current.min_runs:
             self._compare(now_s)
         else:
-            # too few calls are wanted to learn anything
+            # Too few calls arrive for a measurement.
             self._abort_measurement(now_s)
 
     def _abort_measurement(self, now_s: float) -> None:
@@ -217,7 +213,7 @@
             return False
         if current.completed >= _COHORT_COMPLETED_SHARE * current.started:
             return True
-        # a process short of time notes starts late, and so misses some runs
+        # An overloaded process records starts late and misses some runs.
         late_s = current.closed_s + _MAX_LATE_ROUNDS * self.typical_s
         return now_s >= late_s
 
@@ -262,13 +258,13 @@
         phase = _NEXT_PHASE[self.phase]
         if phase is Phase.HOLD:
             self._previous = None
-        depth = _PROBE_LIMIT_SHARE if phase is Phase.PROBE else 1.0
-        self._start_phase(phase, self.base_limit * depth, now_s)
+        share = _PROBE_LIMIT_SHARE if phase is Phase.PROBE else 1.0
+        self._start_phase(phase, self.base_limit * share, now_s)
 
     def _reduce_after_shed(
         self, in_flight: int, started_s: float, now_s: float
     ) -> None:
-        # calls that started before the last cut say nothing about it
+        # Calls that started before the last reduction were sent under the old limit.
         if started_s < self._last_reduction_s:
             return
         self._reduce(
@@ -291,16 +287,16 @@
 
 
 def make_measurement(phase: Phase, concurrency: float, now_s: float) -> Measurement:
-    """Return a measurement that begins now."""
-    whole = max(1, round(concurrency))
-    # the first growth is quick, and a mistake is soon found
+    """Return a measurement that starts now."""
+    rounded = max(1, round(concurrency))
+    # Small cohorts speed up the initial growth; later phases correct its errors.
     rounds = _FIRST_COHORT_ROUNDS if phase is Phase.STARTING else _COHORT_ROUNDS
-    runs = min(max(round(rounds * whole), MIN_COHORT_RUNS), MAX_COHORT_RUNS)
-    return Measurement(whole, now_s, runs)
+    runs = min(max(round(rounds * rounded), MIN_COHORT_RUNS), MAX_COHORT_RUNS)
+    return Measurement(rounded, now_s, runs)
 
 
 def adjust_limit(base_limit: float, low: Measurement, high: Measurement) -> float:
-    """Return the limit after one comparison of two levels."""
+    """Return the limit after a comparison of two cohorts."""
     elasticity = compute_elasticity(low, high)
     if elasticity < _MAX_GROWTH_ELASTICITY:
         return base_limit * _GROWTH_FACTOR**_LIMIT_SMOOTHING
--- a/eelgrassmount/load/port.py
+++ b/eelgrassmount/load/port.py
@@ -1,4 +1,4 @@
-"""What the path of a call asks of the limit beside the backend server."""
+"""Interface between the call path and the dispatcher of the backend server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SampleKind(StrEnum):
-    """How a run on the backend server ended, as the limiter sees it."""
+    """Outcome of a run on the backend server, as reported to the limiter."""
 
     COMPLETE = "complete"
     SHED = "shed"
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One run: how it ended and how long the server itself took.
+    """The outcome and duration of a run.
 
-    ``downstream_s`` is the part of ``latency_s`` during which the run waited
-    for its own downstream calls.
+    ``downstream_s`` is the part of ``latency_s`` during which the run waited for
+    downstream calls.
     """
 
     kind: SampleKind
@@ -37,13 +37,13 @@
 
 
 class ServerDispatcher(Protocol):
-    """Admits calls to the backend server, after a short wait at most."""
+    """Admits calls to the backend server, after a short wait if necessary."""
 
     async def enter(self, context: Context) -> NotRun | None:
-        """Wait for a slot. ``None`` means admitted; then `leave` must follow."""
+        """Wait for a slot; ``None`` means admitted, and `leave` must follow."""
 
     def leave(self, sample: Sample) -> None:
-        """Give the slot back."""
+        """Release the slot."""
 
     def describe(self) -> ServiceLoad:
-        """Return the load that is sent along with answers."""
+        """Return the load that is sent with answers."""
--- a/eelgrassmount/load/queue.py
+++ b/eelgrassmount/load/queue.py
@@ -1,4 +1,4 @@
-"""The short queue before the limit of a backend server."""
+"""Queue of calls that wait for a slot of the backend server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 MIN_QUEUE_CAPACITY = 4
 _CAPACITY_FACTOR = 2
-# calls of one band of priorities are taken by age, not by priority
+# Calls within a band of ranks are ordered by age.
 _RANKS_PER_BAND = PRIORITY_LEVELS // 8
 _BANDS = FULL_THRESHOLD // _RANKS_PER_BAND
 
@@ -44,11 +44,10 @@
 
 @define
 class WaitingQueue:
-    """Calls in the order of their tier, their priority and their age.
+    """Calls ordered by tier, priority band and age.
 
-    While the queue is only now and then in use the oldest call goes first;
-    once it has stood for long the newest does, because the old ones are
-    those that will miss their time limit anyway.
+    The caller takes the oldest call of a band first, or the newest one if the queue has
+    been nonempty for long: then the oldest calls would miss their deadlines.
     """
 
     size: int = 0
@@ -68,7 +67,7 @@
         self.size += 1
 
     def remove(self, waiting: WaitingCall) -> bool:
-        """Take out one call; tell whether it was there."""
+        """Remove a call and return whether it was in the queue."""
         band = self._bands[waiting.rank // _RANKS_PER_BAND]
         if waiting not in band:
             return False
@@ -77,7 +76,7 @@
         return True
 
     def pop_next(self, newest_first: bool) -> WaitingCall | None:
-        """Take out the call that should start next."""
+        """Remove and return the call to start next, ``None`` if the queue is empty."""
         for band in self._bands:
             if band:
                 self.size -= 1
@@ -85,18 +84,18 @@
         return None
 
     def find_least_urgent(self) -> WaitingCall | None:
-        """Return the call that should be refused first."""
+        """Return the call to refuse first, ``None`` if the queue is empty."""
         for band in reversed(self._bands):
             if band:
                 return max(band, key=lambda waiting: waiting.rank)
         return None
 
     def list_calls(self) -> list[WaitingCall]:
-        """Return all calls, the first one to be refused last."""
+        """Return all calls, ordered by band from refused-last to refused-first."""
         return [waiting for band in self._bands for waiting in band]
 
     def count_below(self, threshold: int) -> int:
-        """Return how many waiting calls have a rank below a threshold."""
+        """Return how many calls have a rank below a threshold."""
         full, rest = divmod(threshold, _RANKS_PER_BAND)
         count = sum(map(len, self._bands[:full]))
         if rest:
@@ -104,11 +103,11 @@
         return count
 
     def count_ahead(self, rank: int) -> int:
-        """Return how many waiting calls go before one of this rank."""
+        """Return how many calls go before a new call of this rank."""
         return sum(map(len, self._bands[: rank // _RANKS_PER_BAND + 1]))
 
     def compute_standing_s(self, now_s: float) -> float:
-        """Return for how many seconds there have been calls without a break."""
+        """Return for how many seconds the queue has been nonempty."""
         return now_s - self.nonempty_since_s if self.size else 0.0
 
 
@@ -118,5 +117,5 @@
 
 
 def compute_queue_capacity(limit: int) -> int:
-    """Return how many calls may wait before a limit."""
+    """Return how many calls may wait at this concurrency limit."""
     return max(MIN_QUEUE_CAPACITY, _CAPACITY_FACTOR * limit)
--- a/eelgrassmount/load/refusals.py
+++ b/eelgrassmount/load/refusals.py
@@ -1,4 +1,4 @@
-"""When a refused caller is told to come back."""
+"""Computes the retry delay that is sent to refused callers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @define
 class AdmissionMeter:
-    """Counts what was admitted and what was refused lately."""
+    """Counts recently admitted and refused calls."""
 
     admitted: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
     refused: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
@@ -34,12 +34,10 @@
 
 
 def compute_retry_after(meter: AdmissionMeter, now_s: float) -> float:
-    """Return the mean delay before refused callers should come back.
+    """Return the mean delay, in seconds, after which refused callers should retry.
 
-    It is the time that the admitted rate would need for all callers refused
-    within the last seconds, so that those who come back, together, never
-    ask for more than is admitted now. At twice the capacity it is five
-    seconds, at five times twenty.
+    This is the time needed to admit all recently refused calls at the current rate, so
+    that the retries don't exceed what is admitted now.
     """
     admitted_per_s = max(meter.admitted.read_per_s(now_s), 1.0)
     delay_s = meter.refused.read(now_s) / admitted_per_s
@@ -47,8 +45,5 @@
 
 
 def spread_retry_after(delay_s: float, rng: random.Random) -> float:
-    """Return a delay varied by half in both directions.
-
-    Callers that are refused together then come back apart.
-    """
+    """Return the delay with random jitter, so that callers don't retry all at once."""
     return delay_s * rng.uniform(1.0 - _JITTER_SHARE, 1.0 + _JITTER_SHARE)
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -1,4 +1,4 @@
-"""The choice of a server for a call."""
+"""Chooses a server for each call."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 class Candidate:
     """A server that may be chosen.
 
-    ``room`` is how many calls it could still start at once, to the best of this
-    node's knowledge; ``score`` is lower for a better server; ``ramp`` grows to 1
-    while it is new.
+    ``headroom`` is how many calls it could start at once, by its last report less the
+    calls sent since. Lower values of ``score`` are better. ``ramp`` grows to 1 while
+    the server is new.
     """
 
     address: str
-    room: int
+    headroom: int
     threshold: float
     score: float
     ramp: float
@@ -53,21 +53,21 @@
 ) -> str | None:
     """Return the address of the node whose server should run a call.
 
-    Servers of the own failure domain go first while one of them has room, then
-    those of the others. Where none has room, one that still admits calls of this
-    ``rank`` is preferred. ``None`` means that no server is known.
+    Servers of the local failure domain with headroom go first, then remote servers with
+    headroom, then servers that still admit calls of this ``rank``. ``None`` means that
+    no server is known.
     """
-    near = _list_local(board, state, service, excluded, now_s)
-    room = _select_open(near, rank, min_room=1)
-    if room:
-        return _pick(room, rng)
-    far = _list_remote(board, state, service, excluded, now_s)
+    local = _list_local(board, state, service, excluded, now_s)
+    open_local = _select_open(local, rank, min_headroom=1)
+    if open_local:
+        return _pick(open_local, rng)
+    remote = _list_remote(board, state, service, excluded, now_s)
     choices = (
-        _select_open(far, rank, min_room=1),
-        _select_open(near, rank),
-        _select_open(far, rank),
-        near,
-        far,
+        _select_open(remote, rank, min_headroom=1),
+        _select_open(local, rank),
+        _select_open(remote, rank),
+        local,
+        remote,
     )
     for candidates in choices:
         if candidates:
@@ -78,10 +78,10 @@
 def _choose_from_held(
     board: Blackboard, service: str, excluded: Collection[str], rng: random.Random
 ) -> str | None:
-    # holding a member back must not leave a service without any server
+    # A service without other servers uses the members that are held back.
     held = [member.identity.address for member in board.members.find_held(service)]
-    left = [address for address in held if address not in excluded]
-    return rng.choice(left) if left else None
+    usable = [address for address in held if address not in excluded]
+    return rng.choice(usable) if usable else None
 
 
 def has_open_server(
@@ -92,16 +92,20 @@
     rank: int,
     now_s: float,
 ) -> bool:
-    """Tell whether some server is known to have room for a call of this rank."""
-    near = _list_local(board, state, service, excluded, now_s)
-    far = _list_remote(board, state, service, excluded, now_s)
-    return bool(_select_open([*near, *far], rank, min_room=1))
+    """Return whether a known server has headroom for a call of this rank."""
+    local = _list_local(board, state, service, excluded, now_s)
+    remote = _list_remote(board, state, service, excluded, now_s)
+    return bool(_select_open([*local, *remote], rank, min_headroom=1))
 
 
 def _select_open(
-    candidates: list[Candidate], rank: int, min_room: int = 0
+    candidates: list[Candidate], rank: int, min_headroom: int = 0
 ) -> list[Candidate]:
-    return [one for one in candidates if one.threshold > rank and one.room >= min_room]
+    return [
+        one
+        for one in candidates
+        if one.threshold > rank and one.headroom >= min_headroom
+    ]
 
 
 def _list_local(
@@ -178,12 +182,12 @@
 def _find_latest(
     board: Blackboard, address: str, reported: ServiceLoad, now_s: float
 ) -> ServiceLoad:
-    heard = board.loads.by_node.get(address)
-    if heard is None or heard.service != reported.service:
+    direct = board.loads.by_node.get(address)
+    if direct is None or direct.service != reported.service:
         return reported
-    if now_s - heard.heard_s > MAX_FRESH_AGE_S and reported.heard_s > heard.heard_s:
+    if now_s - direct.heard_s > MAX_FRESH_AGE_S and reported.heard_s > direct.heard_s:
         return reported
-    return heard
+    return direct
 
 
 def _make_candidate(
@@ -192,15 +196,15 @@
     if load.heard_s != record.load_received_s:
         record.load_received_s = load.heard_s
         record.sent_since_report = 0
-    room = max(0, load.headroom - record.sent_since_report)
+    headroom = max(0, load.headroom - record.sent_since_report)
     threshold = compute_effective_threshold(load, now_s)
-    closed = 1.0 + TIERS * (1.0 - threshold / FULL_THRESHOLD)
-    score = (record.outstanding + 1.0) * closed / (room + 1.0)
-    return Candidate(address, room, threshold, score, compute_ramp(record, now_s))
+    closed_weight = 1.0 + TIERS * (1.0 - threshold / FULL_THRESHOLD)
+    score = (record.outstanding + 1.0) * closed_weight / (headroom + 1.0)
+    return Candidate(address, headroom, threshold, score, compute_ramp(record, now_s))
 
 
 def _pick(candidates: list[Candidate], rng: random.Random) -> str:
-    # a new server takes part in a draw only in proportion to its ramp
+    # A new server takes part in a draw with the probability of its ramp.
     drawn = [one for one in candidates if rng.random() < one.ramp] or candidates
     if len(drawn) == 1:
         return drawn[0].address
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -1,4 +1,4 @@
-"""What this node has seen of the servers that it sends to."""
+"""Local records of the servers that this node sends calls to."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from eelgrassmount.blackboard import Blackboard
 
-# servers of one service that one node sends to
+# Servers of a service that a node sends calls to.
 SUBSET_SIZE = 12
 
 _RAMP_S = 8.0
@@ -38,9 +38,9 @@
 
 @define
 class ServerRecord:
-    """What this node has seen of one server.
+    """What this node has observed of a server.
 
-    ``sent_since_report`` counts the calls sent since the server's load was last heard.
+    ``sent_since_report`` counts the calls sent since its load was last received.
     """
 
     first_seen_s: float
@@ -56,7 +56,7 @@
 
 @define
 class Subset:
-    """The servers of one service in the own failure domain that are sent to."""
+    """The servers of a service in the local failure domain that receive calls."""
 
     chosen_s: float
     addresses: tuple[str, ...]
@@ -64,16 +64,16 @@
 
 @define
 class RoutingState:
-    """What this node has seen of all servers it sends to, by node address."""
+    """Records of all servers that this node sends calls to, by node address."""
 
     started_s: float = 0.0
     records: dict[str, ServerRecord] = field(factory=dict)
     subsets: dict[str, Subset] = field(factory=dict)
 
     def find_record(self, address: str, now_s: float) -> ServerRecord:
-        """Return the record of a server that is known to serve now.
+        """Return the record of a server that currently serves.
 
-        A server that has not been in view for a while counts as new.
+        A server that has been absent for some time counts as new.
         """
         record = self.records.get(address)
         if record is None:
@@ -86,7 +86,7 @@
         return record
 
     def record_start(self, address: str, now_s: float) -> None:
-        """Note that a call is sent to a server."""
+        """Record that a call is sent to a server."""
         record = self.find_record(address, now_s)
         record.outstanding += 1
         record.sent_since_report += 1
@@ -94,7 +94,7 @@
     def record_end(
         self, address: str, verdict: Verdict, latency_s: float, now_s: float
     ) -> None:
-        """Note how a call ended that was sent to a server."""
+        """Record the outcome of a call that was sent to a server."""
         record = self.records.get(address)
         if record is None:
             return
@@ -119,10 +119,10 @@
             record.avoid_until_s = now_s + record.avoidance_s
 
     def refresh(self, board: Blackboard, now_s: float) -> None:
-        """See which servers serve, and forget those long gone.
+        """Update which servers serve, and drop the records of absent ones.
 
-        Called every second or so, it tells a server that comes back from one
-        that merely had no calls. Only services that this node has called matter.
+        Called periodically, this distinguishes a server that returns from one that had
+        no calls. It covers only services that this node has called.
         """
         for member in board.members.members.values():
             if member.service in self.subsets and member.serves:
@@ -132,31 +132,30 @@
                 for address in summary.addresses:
                     self.find_record(address, now_s)
         for address, record in list(self.records.items()):
-            gone_s = now_s - record.last_seen_s
-            if gone_s > _MAX_AVOID_S and not record.outstanding:
+            absence_s = now_s - record.last_seen_s
+            if absence_s > _MAX_AVOID_S and not record.outstanding:
                 del self.records[address]
 
 
 def compute_ramp(record: ServerRecord, now_s: float) -> float:
-    """Return the part of its share that a new server is given, up to 1."""
+    """Return the fraction of its normal share that a new server receives."""
     age_s = now_s - record.first_seen_s
     return min(1.0, _MIN_RAMP + (1.0 - _MIN_RAMP) * age_s / _RAMP_S)
 
 
 def should_avoid(record: ServerRecord, now_s: float) -> bool:
-    """Tell whether a server should have no calls because it failed lately."""
+    """Return whether a server should receive no calls after recent failures."""
     if now_s < record.avoid_until_s:
         return True
-    # after the pause one call at a time until one has been answered
+    # After the pause, one call at a time until one is answered.
     return record.avoidance_s > 0 and record.outstanding > 0
 
 
 def choose_subset(local_address: str, addresses: list[str]) -> list[str]:
-    """Return the servers that this node sends to.
+    """Return the servers that this node sends calls to, by rendezvous hashing.
 
-    Each node ranks the servers by a hash of both addresses, so that
-    the subsets of all nodes cover the servers evenly and change little when a
-    server comes or goes.
+    The subsets of all nodes cover the servers evenly and change little when a server
+    joins or leaves.
     """
     if len(addresses) <= SUBSET_SIZE:
         return addresses
--- a/eelgrassmount/load/shares.py
+++ b/eelgrassmount/load/shares.py
@@ -1,4 +1,4 @@
-"""Shares of classes inside a tier, from the shortfall of their targets."""
+"""Adjusts the shares of classes within a tier by their shortfall."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @define
 class ClassRecord:
-    """What was measured of one class, and its share (as a logarithm)."""
+    """Request counts of a class, and the logarithm of its share."""
 
     offered: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
     complete: DecayedCount = field(factory=lambda: DecayedCount(_WINDOW_S))
@@ -32,22 +32,19 @@
 
 @define
 class ShareTable:
-    """Records of all classes.
-
-    Each node keeps its own, of the requests that entered the system at it.
-    """
+    """Records of all classes, for requests that entered at this node."""
 
     records: dict[str, ClassRecord] = field(factory=dict)
 
     def record_request(self, class_name: str, complete: bool, now_s: float) -> None:
-        """Count a request; ``complete`` if answered within its target."""
+        """Count a request; ``complete`` means answered within its target."""
         record = self.records.setdefault(class_name, ClassRecord())
         record.offered.add(1.0, now_s)
         if complete:
             record.complete.add(1.0, now_s)
 
     def find_share(self, class_name: str) -> float:
-        """Return the share of a class; 1 is neutral and the largest one."""
+        """Return the share of a class, at largest 1; 1 is neutral."""
         record = self.records.get(class_name)
         return math.exp(record.log_share) if record else 1.0
 
@@ -55,9 +52,9 @@
 def compute_shortfall(
     record: ClassRecord, work_class: WorkClass, now_s: float
 ) -> float | None:
-    """Return the part of the target that is missing, negative if surpassed.
+    """Return the missing share of the target, negative if it is exceeded.
 
-    ``None`` means that there were too few requests to tell.
+    ``None`` means that there were too few requests.
     """
     offered = record.offered.read(now_s)
     if offered < _MIN_REQUESTS or work_class.complete_fraction <= 0:
@@ -67,10 +64,9 @@
 
 
 def adjust_shares(table: ShareTable, document: Document, now_s: float) -> None:
-    """Move the shares inside each tier towards equal shortfall.
+    """Move the shares within each tier towards equal shortfall.
 
-    A changed target moves them on from where they are. While all classes of a
-    tier meet their targets the shares return to neutral.
+    The shares return to neutral while all classes of a tier meet their targets.
     """
     for tier in Tier:
         classes = [one for one in document.classes if one.tier is tier]
@@ -89,12 +85,12 @@
         shortfall = compute_shortfall(record, work_class, now_s)
         if shortfall is not None:
             shortfalls[work_class.name] = shortfall
-    short = any(shortfall > 0 for shortfall in shortfalls.values())
+    misses_target = any(shortfall > 0 for shortfall in shortfalls.values())
     mean = sum(shortfalls.values()) / len(shortfalls) if shortfalls else 0.0
     names = [one.name for one in classes if one.name in table.records]
     for name in names:
         record = table.records[name]
-        if short and name in shortfalls:
+        if misses_target and name in shortfalls:
             record.log_share += _SHARE_GAIN * (shortfalls[name] - mean)
         else:
             record.log_share *= _SHARE_DECAY
@@ -102,19 +98,19 @@
 
 
 def _normalize(records: list[ClassRecord]) -> None:
-    # the largest share is 1, so that its requests keep the whole range of
-    # priorities: squeezed together they could not be told apart by a threshold
-    most = max((record.log_share for record in records), default=0.0)
+    # The largest share is 1: a threshold couldn't separate the requests of a class
+    # whose priorities were compressed into part of the range.
+    largest = max((record.log_share for record in records), default=0.0)
     for record in records:
-        record.log_share = max(record.log_share - most, -_MAX_LOG_SHARE_GAP)
+        record.log_share = max(record.log_share - largest, -_MAX_LOG_SHARE_GAP)
 
 
 def scale_priority(priority: int, share: float) -> int:
-    """Return the admission priority of a request of a class with a share.
+    """Return the admission priority of a request whose class has a share.
 
-    Applied once, at the entry, to the priority of the root request: below a
-    threshold inside the tier the class then has ``share`` times as many
-    requests as with a neutral share::
+    The entry node applies this once to the priority of the root request. Below a
+    threshold within the tier, the class then has ``share`` times as many requests as
+    with a neutral share::
 
         >>> scale_priority(512, 2.0)
         256
--- a/eelgrassmount/load/state.py
+++ b/eelgrassmount/load/state.py
@@ -1,4 +1,4 @@
-"""What is known of the load of services."""
+"""Load reports of services."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from eelgrassmount.context import PRIORITY_LEVELS
 
-# thresholds count from 0 (admit nothing) to this (admit everything)
+# Thresholds range from 0 (admit nothing) to FULL_THRESHOLD (admit everything).
 TIERS = 2
 FULL_THRESHOLD = TIERS * PRIORITY_LEVELS
 
 
 @frozen
 class ServiceLoad:
-    """How much work of a service is admitted, as last heard from a node.
+    """The load of a service, as last reported by a node.
 
-    A call is admitted when ``rank_call`` of its tier and priority is below
-    ``threshold``. ``headroom`` is the number of further calls that
-    would start at once. ``retry_after_s`` is what refused callers are told.
+    A call is admitted if ``rank_call`` of its tier and priority is below
+    ``threshold``. ``headroom`` is the number of further calls that would start at
+    once, ``retry_after_s`` the delay sent to refused callers, and ``heard_s`` the time
+    at which the report was received.
     """
 
     service: str
@@ -28,18 +29,18 @@
 
 
 def rank_call(tier: int, priority: int) -> int:
-    """Return the rank of a call: lower ranks are refused last."""
+    """Return the rank of a call; lower ranks are refused last."""
     return tier * PRIORITY_LEVELS + priority
 
 
 @define
 class LoadTable:
-    """Load of services, and the services that each class touches.
+    """The loads of services, and the services that requests of each class use.
 
-    ``by_node`` holds what the nodes of a service said of their own server, by
-    address; ``relayed`` what a node said of services deeper in the chain, by
-    service and address. ``used_services`` holds, by class and service, the share of
-    the class's recent requests that touched the service.
+    ``by_node`` holds the loads that nodes reported of their own server, by address;
+    ``relayed`` the loads that they reported of downstream services, by service and
+    address. ``used_services`` holds, by class and service, the share of recent requests
+    that used the service.
     """
 
     by_node: dict[str, ServiceLoad] = field(factory=dict)
--- a/eelgrassmount/load/threshold.py
+++ b/eelgrassmount/load/threshold.py
@@ -1,4 +1,4 @@
-"""The admission threshold of one backend server."""
+"""Controls the admission threshold of a backend server."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from eelgrassmount.load.state import FULL_THRESHOLD
 
 THRESHOLD_INTERVAL_S = 0.1
-# after refused-last calls had to be refused, refused-first ones stay shut out
-# until no node can still act on what it heard then
+# After a refused-last call was refused, refused-first calls are blocked until no node
+# still uses the load reported at that time.
 TIER_HOLD_S = 0.6
 
 _BUCKETS = 64
@@ -20,18 +20,18 @@
 
 _QUEUE_TARGET_SHARE = 0.5
 _QUEUE_GAIN = 0.04
-# a queue much too long weighs up to so many times as much as an empty one
+# Bound of the error of an overlong queue, relative to that of an empty one.
 _MAX_QUEUE_ERROR = 2.0
-# how many periods ahead the queue is foreseen from its present change
+# Periods by which the change of the queue is extrapolated.
 _LOOKAHEAD_PERIODS = 1.0
 _MIN_FACTOR = 0.5
 _MIN_STEP = FULL_THRESHOLD / 500.0
 _MAX_STEP = FULL_THRESHOLD / 8.0
-# the density of calls is taken from so many ranks below the threshold
+# Ranks below the threshold from which the density of calls is estimated.
 _DENSITY_RANKS = 128
-# calls are nowhere taken to lie thinner than this part of the mean
+# Calls are assumed to be at most this factor sparser than on average.
 _MAX_SPARSITY = 1.5
-# with slots to spare the threshold opens the faster the longer that lasts
+# The threshold rises faster the longer slots stay free.
 _INCREASE_GAIN = 0.05
 _INCREASE_GAIN_PER_PERIOD = 0.03
 _MAX_INCREASE_GAIN = 0.4
@@ -41,11 +41,11 @@
 
 @frozen
 class Observation:
-    """What a gate saw in one period.
+    """Summary of a control period of the dispatcher.
 
-    ``waiting`` is the mean number of calls in the queue with a rank below the
-    threshold, ``waiting_last`` that of refused-last ones. ``refused`` counts the
-    calls below the threshold that were refused for want of room.
+    ``waiting`` is the mean number of queued calls with a rank below the threshold,
+    ``waiting_last`` that of refused-last calls. ``refused`` counts the calls below the
+    threshold that were refused for lack of capacity.
     """
 
     ranks: tuple[int, ...]
@@ -59,7 +59,7 @@
 
 @define
 class PeriodCounts:
-    """What a gate counts in one period."""
+    """Counts of the dispatcher in a control period."""
 
     ranks: list[int] = field(factory=list)
     refused: int = 0
@@ -70,14 +70,14 @@
     samples: int = 0
 
     def observe(self, waiting: int, waiting_last: int, in_flight: int) -> None:
-        """Take one look at the queue and the server."""
+        """Add a sample of the queue and the server."""
         self.waiting += waiting
         self.waiting_last += waiting_last
         self.in_flight += in_flight
         self.samples += 1
 
     def summarise(self, limit: int) -> Observation:
-        """Return the period as a whole."""
+        """Return the summary of the period."""
         samples = max(self.samples, 1)
         return Observation(
             ranks=tuple(self.ranks),
@@ -92,7 +92,7 @@
 
 @define
 class ThresholdState:
-    """The threshold and the ranks of the calls that came lately."""
+    """The threshold and a decaying histogram of the ranks of recent calls."""
 
     threshold: float = FULL_THRESHOLD
     hold_until_s: float = -math.inf
@@ -102,19 +102,18 @@
 
     @property
     def advertised(self) -> int:
-        """Return the threshold as other nodes are told."""
+        """Return the threshold that is sent to other nodes."""
         return round(self.threshold)
 
 
 def adjust_threshold(
     state: ThresholdState, observation: Observation, now_s: float
 ) -> None:
-    """Move the threshold once for each period.
+    """Adjust the threshold at the end of a control period.
 
-    The number of calls admitted is cut by the fraction that had to be
-    refused, or corrected by how far the queue is from a short one that
-    keeps the server busy. The histogram of ranks turns that number into a
-    threshold.
+    The number of admitted calls is reduced by the fraction that was refused, or
+    corrected by the distance of the queue from its target length. The histogram of
+    ranks converts this number into a threshold.
     """
     _update_histogram(state, observation)
     factor = compute_factor(state, observation)
@@ -134,7 +133,7 @@
 
 
 def _is_last_tier_overloaded(observation: Observation) -> bool:
-    # refused-last calls alone are too many
+    # Refused-last calls alone exceed the capacity.
     return observation.refused_last or observation.waiting_last > _compute_queue_target(
         observation
     )
@@ -170,40 +169,40 @@
 
 
 def scale_threshold(state: ThresholdState, factor: float) -> float:
-    """Return the threshold below which ``factor`` times as many calls lie."""
+    """Return the threshold with ``factor`` times as many recent calls below it."""
     below = count_below(state, state.threshold)
     if factor >= 1.0:
         return min(
             state.threshold + _compute_step(state, below, factor), FULL_THRESHOLD
         )
-    wanted = below * factor
-    # few calls leave gaps between them that mean nothing
+    target = below * factor
+    # Gaps between the ranks of few calls must not lower the threshold too far.
     lowest = state.threshold * max(0.0, 1.0 - _MAX_SPARSITY * (1.0 - factor))
     threshold = state.threshold
-    while threshold > lowest and count_below(state, threshold) > wanted:
+    while threshold > lowest and count_below(state, threshold) > target:
         threshold -= _RANKS_PER_BUCKET / 4
     return max(threshold, lowest)
 
 
 def _compute_step(state: ThresholdState, below: float, factor: float) -> float:
-    """Return how far to open; what lies above is refused elsewhere and not seen.
+    """Return the increase of the threshold, in ranks.
 
-    The calls above are taken to lie as densely as those just below, but at a
-    tier's border nothing is known of the next tier.
+    Other nodes refuse the calls above the threshold, so their density is assumed to
+    equal that just below it. At the border of a tier the density is unknown.
     """
-    base = PRIORITY_LEVELS if state.threshold > PRIORITY_LEVELS else 0
-    ranks = min(state.threshold - base, _DENSITY_RANKS)
-    near = below - count_below(state, state.threshold - ranks) if ranks else 0.0
-    near = max(near, below * ranks / state.threshold / _MAX_SPARSITY)
-    least = _MIN_STEP * (1 + state.underused_periods)
-    if state.threshold == PRIORITY_LEVELS or not near:
-        return min(least, _MAX_STEP)
-    step = (factor - 1.0) * below / near * ranks
-    return min(max(step, least), _MAX_STEP)
+    tier_base = PRIORITY_LEVELS if state.threshold > PRIORITY_LEVELS else 0
+    ranks = min(state.threshold - tier_base, _DENSITY_RANKS)
+    calls_nearby = below - count_below(state, state.threshold - ranks) if ranks else 0.0
+    calls_nearby = max(calls_nearby, below * ranks / state.threshold / _MAX_SPARSITY)
+    min_step = _MIN_STEP * (1 + state.underused_periods)
+    if state.threshold == PRIORITY_LEVELS or not calls_nearby:
+        return min(min_step, _MAX_STEP)
+    step = (factor - 1.0) * below / calls_nearby * ranks
+    return min(max(step, min_step), _MAX_STEP)
 
 
 def count_below(state: ThresholdState, threshold: float) -> float:
-    """Return how many of the recent calls lie below a threshold."""
+    """Return how many recent calls have a rank below a threshold."""
     full = int(threshold // _RANKS_PER_BUCKET)
     count = sum(state.histogram[:full])
     if full < _BUCKETS:
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The gate before a backend server, on a clock of its own."""
+"""The dispatcher of a backend server, with a manual clock."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def gate() -> LimitedDispatcher:
+def dispatcher() -> LimitedDispatcher:
     timers = TimerService(ManualClock(), random.Random(1))
     board = Blackboard(Identity("127.0.0.1:1", "here", "region", "1"))
     board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
@@ -47,98 +47,108 @@
 
 
 def make_context(
-    gate: LimitedDispatcher,
+    dispatcher: LimitedDispatcher,
     tier: Tier = FIRST,
     priority: int = 100,
-    left_s: float = 9.0,
+    remaining_s: float = 9.0,
 ) -> Context:
-    deadline_s = gate.timers.read() + left_s
+    deadline_s = dispatcher.timers.read() + remaining_s
     return Context("r", "c", "", "lookup", deadline_s, 3, tier, priority, 0, True)
 
 
-def offer(gate: LimitedDispatcher, *args: object, **others: object) -> WaitingCall:
-    return gate.offer(make_context(gate, *args, **others))
+def offer(
+    dispatcher: LimitedDispatcher, *args: object, **others: object
+) -> WaitingCall:
+    return dispatcher.offer(make_context(dispatcher, *args, **others))
 
 
-def finish(gate: LimitedDispatcher, latency_s: float = 0.1) -> None:
-    gate.leave(Sample(SampleKind.COMPLETE, latency_s, class_name="lookup"))
+def finish(dispatcher: LimitedDispatcher, latency_s: float = 0.1) -> None:
+    dispatcher.leave(Sample(SampleKind.COMPLETE, latency_s, class_name="lookup"))
 
 
-def test_order_is_tier_then_priority_then_age(gate: LimitedDispatcher) -> None:
-    running = [offer(gate) for _ in range(LIMIT)]
+def test_order_is_tier_then_priority_then_age(dispatcher: LimitedDispatcher) -> None:
+    running = [offer(dispatcher) for _ in range(LIMIT)]
     assert all(one.admitted for one in running)
-    late = offer(gate, FIRST, 900)
-    older = offer(gate, FIRST, 10)
-    newer = offer(gate, FIRST, 5)
-    booking = offer(gate, LAST, 1000)
+    late = offer(dispatcher, FIRST, 900)
+    older = offer(dispatcher, FIRST, 10)
+    newer = offer(dispatcher, FIRST, 5)
+    booking = offer(dispatcher, LAST, 1000)
     for expected in (booking, older, newer, late):
         assert not expected.admitted
-        finish(gate)
+        finish(dispatcher)
         assert expected.admitted
 
 
-def test_newest_goes_first_once_the_queue_stands(gate: LimitedDispatcher) -> None:
+def test_newest_call_goes_first_from_a_standing_queue(
+    dispatcher: LimitedDispatcher,
+) -> None:
     for _ in range(LIMIT):
-        offer(gate)
-    older = offer(gate)
-    gate.timers.advance(1.0)
-    newer = offer(gate)
-    finish(gate)
+        offer(dispatcher)
+    older = offer(dispatcher)
+    dispatcher.timers.advance(1.0)
+    newer = offer(dispatcher)
+    finish(dispatcher)
     assert newer.admitted and not older.admitted
 
 
-def test_full_queue_refuses_the_worst(gate: LimitedDispatcher) -> None:
+def test_full_queue_refuses_the_least_urgent_call(
+    dispatcher: LimitedDispatcher,
+) -> None:
     for _ in range(LIMIT):
-        offer(gate)
-    waiting = [offer(gate, FIRST, priority) for priority in (10, 300, 200, 100)]
+        offer(dispatcher)
+    waiting = [offer(dispatcher, FIRST, priority) for priority in (10, 300, 200, 100)]
     assert len(waiting) == CAPACITY
-    assert offer(gate, FIRST, 301).refusal.reason is Reason.OVERLOAD
-    better = offer(gate, FIRST, 50)
+    assert offer(dispatcher, FIRST, 301).refusal.reason is Reason.OVERLOAD
+    more_urgent = offer(dispatcher, FIRST, 50)
     assert waiting[1].refusal.reason is Reason.OVERLOAD
-    assert better.refusal is None
-    booking = offer(gate, LAST, 1023)
+    assert more_urgent.refusal is None
+    booking = offer(dispatcher, LAST, 1023)
     assert waiting[2].refusal.retry_after_s > 0
     assert booking.refusal is None and not booking.admitted
 
 
-def test_no_lookup_while_a_booking_is_refused(gate: LimitedDispatcher) -> None:
+def test_lookups_are_blocked_after_a_booking_was_refused(
+    dispatcher: LimitedDispatcher,
+) -> None:
     for _ in range(LIMIT):
-        offer(gate)
-    bookings = [offer(gate, LAST, 500) for _ in range(CAPACITY)]
-    assert offer(gate, LAST, 501).refusal.reason is Reason.OVERLOAD
+        offer(dispatcher)
+    bookings = [offer(dispatcher, LAST, 500) for _ in range(CAPACITY)]
+    assert offer(dispatcher, LAST, 501).refusal.reason is Reason.OVERLOAD
     for _ in range(LIMIT + CAPACITY):
-        finish(gate)
-    assert all(one.admitted for one in bookings) and gate.in_flight == 0
-    assert offer(gate, FIRST, 0).refusal.reason is Reason.OVERLOAD
-    assert offer(gate, LAST, 1000).admitted
-    gate.timers.advance(2.0)
-    assert offer(gate, FIRST, 0).admitted
+        finish(dispatcher)
+    assert all(one.admitted for one in bookings) and dispatcher.in_flight == 0
+    assert offer(dispatcher, FIRST, 0).refusal.reason is Reason.OVERLOAD
+    assert offer(dispatcher, LAST, 1000).admitted
+    dispatcher.timers.advance(2.0)
+    assert offer(dispatcher, FIRST, 0).admitted
 
 
-@pytest.mark.parametrize(("left_s", "queued"), [(0.5, 0), (0.09, None), (0.21, 3)])
-def test_what_cannot_finish_is_refused(
-    gate: LimitedDispatcher, left_s: float, queued: int | None
+@pytest.mark.parametrize(("remaining_s", "queued"), [(0.5, 0), (0.09, None), (0.21, 3)])
+def test_call_that_would_miss_its_deadline_is_refused(
+    dispatcher: LimitedDispatcher, remaining_s: float, queued: int | None
 ) -> None:
-    offer(gate)
-    finish(gate)
+    offer(dispatcher)
+    finish(dispatcher)
     if queued is None:
-        assert offer(gate, left_s=left_s).refusal.reason is Reason.DEADLINE
+        assert (
+            offer(dispatcher, remaining_s=remaining_s).refusal.reason is Reason.DEADLINE
+        )
         return
     for _ in range(LIMIT + queued):
-        offer(gate)
-    refused = offer(gate, left_s=left_s).refusal is not None
+        offer(dispatcher)
+    refused = offer(dispatcher, remaining_s=remaining_s).refusal is not None
     assert refused is (queued > 0)
 
 
-def test_waiting_call_is_refused_when_its_time_has_run_out(
-    gate: LimitedDispatcher,
+def test_waiting_call_is_refused_after_its_deadline(
+    dispatcher: LimitedDispatcher,
 ) -> None:
     for _ in range(LIMIT):
-        offer(gate)
-    waiting = offer(gate, left_s=0.5)
-    gate.timers.advance(0.6)
+        offer(dispatcher)
+    waiting = offer(dispatcher, remaining_s=0.5)
+    dispatcher.timers.advance(0.6)
     assert waiting.refusal.reason is Reason.DEADLINE
-    assert len(gate.queue) == 0
+    assert len(dispatcher.queue) == 0
 
 
 @pytest.mark.parametrize(
@@ -149,41 +159,41 @@
         (ServerState.ABSENT, Reason.NO_SERVER),
     ],
 )
-def test_server_that_does_not_serve(
-    gate: LimitedDispatcher, state: ServerState, reason: Reason
+def test_calls_are_refused_while_the_server_does_not_serve(
+    dispatcher: LimitedDispatcher, state: ServerState, reason: Reason
 ) -> None:
     for _ in range(LIMIT):
-        offer(gate)
-    waiting = offer(gate)
-    gate.board.server.state = state
-    assert offer(gate).refusal == NotRun(reason)
-    gate.timers.advance(0.1)
+        offer(dispatcher)
+    waiting = offer(dispatcher)
+    dispatcher.board.server.state = state
+    assert offer(dispatcher).refusal == NotRun(reason)
+    dispatcher.timers.advance(0.1)
     assert waiting.refusal == NotRun(reason)
-    assert gate.describe().threshold == 0
+    assert dispatcher.describe().threshold == 0
 
 
-async def enter_and_fail(gate: LimitedDispatcher) -> None:
-    await gate.enter(make_context(gate))
+async def enter_and_fail(dispatcher: LimitedDispatcher) -> None:
+    await dispatcher.enter(make_context(dispatcher))
     pytest.fail("the call was started")
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("admitted", [False, True])
-async def test_call_whose_caller_has_gone_is_not_started(
-    gate: LimitedDispatcher, admitted: bool
+async def test_call_of_a_disconnected_caller_is_not_started(
+    dispatcher: LimitedDispatcher, admitted: bool
 ) -> None:
     for _ in range(LIMIT):
-        assert await gate.enter(make_context(gate)) is None
+        assert await dispatcher.enter(make_context(dispatcher)) is None
     with anyio.CancelScope() as scope:
         async with anyio.create_task_group() as group:
-            group.start_soon(enter_and_fail, gate)
+            group.start_soon(enter_and_fail, dispatcher)
             await anyio.wait_all_tasks_blocked()
             if admitted:
-                # the slot becomes free in the moment when the caller goes
-                finish(gate)
+                # The slot is released at the moment the caller disconnects.
+                finish(dispatcher)
             scope.cancel()
-    assert gate.in_flight == (LIMIT - 1 if admitted else LIMIT)
-    assert len(gate.queue) == 0
+    assert dispatcher.in_flight == (LIMIT - 1 if admitted else LIMIT)
+    assert len(dispatcher.queue) == 0
 
 
 @pytest.fixture
@@ -191,14 +201,14 @@
     return "asyncio"
 
 
-# one seed alone says more of the phase of two timers than of the control
+# Several seeds, since the result of one depends on the phase of two timers.
 SURGE_SEEDS = range(11, 17)
 
 
 @pytest.mark.parametrize(
     "scenario", SCENARIOS[:3], ids=[one.name for one in SCENARIOS[:3]]
 )
-def test_surge(scenario) -> None:
+def test_surge_is_served_at_capacity_and_leaves_no_refusals(scenario) -> None:
     fractions = []
     for seed in SURGE_SEEDS:
         seconds = measure(scenario, 18.0, seed)
@@ -206,18 +216,20 @@
         complete = sum(second.complete.total() for second in surge) / len(surge)
         fractions.append(complete / scenario.capacity_per_s)
         assert sum(second.inversions for second in seconds) == 0
-        # two seconds after the surge nothing is refused any more
+        # Two seconds after the surge, no request is refused.
         assert not seconds[17].refused_at_entry + seconds[17].refused_at_gate
     assert sum(fractions) / len(fractions) > 0.9, fractions
 
 
-def test_gate_is_swept_only_while_calls_run_or_wait(gate: LimitedDispatcher) -> None:
+def test_queue_is_swept_only_while_calls_run_or_wait(
+    dispatcher: LimitedDispatcher,
+) -> None:
     def measure_sleep() -> float:
-        gate.timers.advance(0.955)
-        return gate.timers.run_due()
+        dispatcher.timers.advance(0.955)
+        return dispatcher.timers.run_due()
 
     idle_s = measure_sleep()
-    offer(gate)
+    offer(dispatcher)
     busy_s = measure_sleep()
-    finish(gate)
+    finish(dispatcher)
     assert busy_s < 0.03 < min(idle_s, measure_sleep())
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -1,4 +1,4 @@
-"""Admission at the entry, shares and times to come back."""
+"""Admission at the entry node, shares of classes and retry delays."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return Blackboard(Identity("127.0.0.1:1", "here", "region", "1"))
 
 
-def admits(
+def is_admitted(
     board: Blackboard, work_class: WorkClass, priority: int, now_s: float
 ) -> bool:
     refusal = admit_at_entry(
@@ -43,38 +43,40 @@
     return refusal is None
 
 
-def test_deep_service_decides_at_the_entry(board: Blackboard) -> None:
+def test_entry_refuses_what_a_downstream_service_would_refuse(
+    board: Blackboard,
+) -> None:
     exchange = LoadExchange(board.loads)
     deep = ServiceLoad("c", PRIORITY_LEVELS + 300)
     exchange.merge("127.0.0.1:7", "a", [ServiceLoad("a"), deep], NOW_S)
-    assert admits(board, LOOKUP, 300, NOW_S)
+    assert is_admitted(board, LOOKUP, 300, NOW_S)
     exchange.learn("lookup", ["a", "c"])
-    assert not admits(board, LOOKUP, 300, NOW_S)
-    assert admits(board, LOOKUP, 299, NOW_S)
-    assert admits(board, BOOKING, 1023, NOW_S)
-    assert admits(board, STATUS, 1023, NOW_S)
-    # it opens by degrees when no more is heard
-    assert not admits(board, LOOKUP, 1000, NOW_S + 1.5)
-    assert admits(board, LOOKUP, 600, NOW_S + 1.9)
-    assert admits(board, LOOKUP, 1023, NOW_S + 3.0)
+    assert not is_admitted(board, LOOKUP, 300, NOW_S)
+    assert is_admitted(board, LOOKUP, 299, NOW_S)
+    assert is_admitted(board, BOOKING, 1023, NOW_S)
+    assert is_admitted(board, STATUS, 1023, NOW_S)
+    # The threshold rises gradually without new reports.
+    assert not is_admitted(board, LOOKUP, 1000, NOW_S + 1.5)
+    assert is_admitted(board, LOOKUP, 600, NOW_S + 1.9)
+    assert is_admitted(board, LOOKUP, 1023, NOW_S + 3.0)
 
 
-def test_newer_word_goes_before_a_direct_one(board: Blackboard) -> None:
+def test_fresh_relayed_load_goes_before_an_old_direct_one(board: Blackboard) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "c", [ServiceLoad("c", 2048)], NOW_S - 1.0)
     exchange.merge("127.0.0.1:8", "a", [ServiceLoad("c", 300)], NOW_S)
     exchange.learn("booking", ["a", "c"])
-    assert not admits(board, BOOKING, 301, NOW_S)
-    assert admits(board, BOOKING, 299, NOW_S)
+    assert not is_admitted(board, BOOKING, 301, NOW_S)
+    assert is_admitted(board, BOOKING, 299, NOW_S)
 
 
-def test_class_that_no_longer_touches_a_service(board: Blackboard) -> None:
+def test_class_that_no_longer_uses_a_service_is_admitted(board: Blackboard) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "a", [ServiceLoad("c", 0)], NOW_S)
     exchange.learn("lookup", ["a", "c"])
     for _ in range(40):
         exchange.learn("lookup", ["a"])
-    assert admits(board, LOOKUP, 300, NOW_S)
+    assert is_admitted(board, LOOKUP, 300, NOW_S)
 
 
 @pytest.mark.parametrize(
@@ -86,12 +88,14 @@
         ((0, 500), 500),
     ],
 )
-def test_load_of_a_service(thresholds: tuple[int, ...], combined: int) -> None:
+def test_load_of_a_service_combines_the_thresholds_of_its_servers(
+    thresholds: tuple[int, ...], combined: int
+) -> None:
     loads = [ServiceLoad("a", threshold, heard_s=NOW_S) for threshold in thresholds]
     assert combine_loads("a", loads, NOW_S).threshold == combined
 
 
-def test_answer_carries_what_its_calls_touched(board: Blackboard) -> None:
+def test_answer_carries_the_loads_of_all_used_services(board: Blackboard) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "b", [ServiceLoad("b", 700)], NOW_S)
     exchange.record_downstream("call", "b", [ServiceLoad("b"), ServiceLoad("c")])
@@ -103,11 +107,11 @@
     assert exchange.collect("call", own, NOW_S) == (own,)
 
 
-def test_shares_follow_the_shortfall_and_its_target() -> None:
+def test_shares_follow_the_shortfall_of_each_target() -> None:
     table = ShareTable()
 
     def run(seconds: int, document: Document, start_s: float) -> float:
-        """Let 60 % of the tier be admitted, divided by the shares."""
+        """Admit 60 % of the tier by priority, scaled by the shares."""
         now_s = start_s
         rng = random.Random(1)
         threshold = 0.6 * PRIORITY_LEVELS
@@ -139,7 +143,7 @@
     assert after < before - 0.15
 
 
-def test_delay_of_refused_callers_follows_the_excess() -> None:
+def test_retry_delay_grows_with_the_refused_share() -> None:
     means = []
     for refused in (0, 1, 4):
         meter = AdmissionMeter()
--- a/tests/load/test_limiter.py
+++ b/tests/load/test_limiter.py
@@ -1,4 +1,4 @@
-"""The concurrency limit against a simulated server."""
+"""The concurrency limiter with a simulated server."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
         ("25, sheds at 30", 3, 10),
     ],
 )
-def test_limit_is_near_the_slots(name: str, from_s: int, to_s: int) -> None:
+def test_limit_approaches_the_number_of_slots(
+    name: str, from_s: int, to_s: int
+) -> None:
     scenario = _BY_NAME[name]
     points = measure(scenario, Limiter(), seconds=to_s).points[from_s:]
     limits = [point.limit for point in points]
@@ -32,7 +34,7 @@
     assert sum(limits) / len(limits) == pytest.approx(1.1 * scenario.slots, rel=0.25)
 
 
-def test_limit_stays_while_few_calls_come() -> None:
+def test_limit_is_unchanged_while_few_calls_arrive() -> None:
     limiter = Limiter()
     for step in range(1000):
         now_s = step * 0.1
@@ -49,7 +51,7 @@
         running = limiter.limit
         for started in range(running):
             limiter.record_start(started + 1, now_s)
-        for left in range(running, 0, -1):
-            limiter.record(Sample(SampleKind.TIMEOUT, 0.09), left, now_s + 0.095)
+        for remaining in range(running, 0, -1):
+            limiter.record(Sample(SampleKind.TIMEOUT, 0.09), remaining, now_s + 0.095)
         limiter.adjust(now_s + 0.099)
     assert limiter.limit == 2
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of servers."""
+"""The choice of a server for each call."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 
 NOW_S = 100.0
-NEAR = [f"127.0.0.{number}:1" for number in range(1, 5)]
-FAR = ["127.0.1.1:1", "127.0.1.2:1"]
+LOCAL = [f"127.0.0.{number}:1" for number in range(1, 5)]
+REMOTE = ["127.0.1.1:1", "127.0.1.2:1"]
 COMPLETE = Answered(200, (), b"")
 
 
 @pytest.fixture
 def board() -> Blackboard:
     board = Blackboard(Identity("127.0.0.9:1", "here", "region", "1"))
-    for address in NEAR:
+    for address in LOCAL:
         board.members.members[address] = Member(
             Identity(address, "here", "region", "1"),
             service="a",
@@ -40,7 +40,7 @@
             heard_s=NOW_S,
         )
     board.members.summaries["there", "a"] = ServiceSummary(
-        "there", "a", 1, 2, 100, FULL_THRESHOLD, tuple(FAR), NOW_S
+        "there", "a", 1, 2, 100, FULL_THRESHOLD, tuple(REMOTE), NOW_S
     )
     return board
 
@@ -58,7 +58,7 @@
     now_s: float = NOW_S,
     excluded: tuple[str, ...] = (),
 ) -> Counter[str | None]:
-    """Choose for calls that end at once."""
+    """Choose servers for calls that end at once, and count the choices."""
     rng = random.Random(3)
     chosen: Counter[str | None] = Counter()
     for _ in range(count):
@@ -67,14 +67,14 @@
     return chosen
 
 
-def test_own_failure_domain_first_and_evenly(board: Blackboard) -> None:
+def test_local_servers_are_chosen_first_and_evenly(board: Blackboard) -> None:
     chosen = choose(board, RoutingState(NOW_S))
-    assert set(chosen) == set(NEAR)
+    assert set(chosen) == set(LOCAL)
     assert max(chosen.values()) < 2 * min(chosen.values())
 
 
 @pytest.mark.parametrize(
-    "gone",
+    "departure",
     [
         {"state": MemberState.SUSPECT},
         {"state": MemberState.LEFT},
@@ -82,21 +82,21 @@
         {"server_state": ServerState.STARTING},
     ],
 )
-def test_nothing_to_a_server_that_leaves(board: Blackboard, gone: dict) -> None:
+def test_leaving_server_receives_no_calls(board: Blackboard, departure: dict) -> None:
     state = RoutingState(NOW_S)
     choose(board, state)
-    change(board, NEAR[0], **gone)
-    assert set(choose(board, state)) == set(NEAR[1:])
-    for address in NEAR[1:]:
-        change(board, address, **gone)
-    assert set(choose(board, state)) == set(FAR)
+    change(board, LOCAL[0], **departure)
+    assert set(choose(board, state)) == set(LOCAL[1:])
+    for address in LOCAL[1:]:
+        change(board, address, **departure)
+    assert set(choose(board, state)) == set(REMOTE)
     board.members.summaries.clear()
     assert set(choose(board, state)) == {None}
 
 
-def test_spills_over_when_there_is_no_room(board: Blackboard) -> None:
+def test_remote_servers_are_chosen_without_local_headroom(board: Blackboard) -> None:
     state = RoutingState(NOW_S)
-    for address in NEAR:
+    for address in LOCAL:
         change(board, address, headroom=5)
     rng = random.Random(3)
     chosen = []
@@ -104,49 +104,49 @@
         address = choose_server(board, state, "a", (), 0, rng, NOW_S)
         state.record_start(address, NOW_S)
         chosen.append(address)
-    assert set(chosen[:15]) <= set(NEAR)
-    assert set(chosen[-5:]) <= set(FAR)
+    assert set(chosen[:15]) <= set(LOCAL)
+    assert set(chosen[-5:]) <= set(REMOTE)
 
 
-def test_prefers_servers_that_admit_the_rank(board: Blackboard) -> None:
-    change(board, NEAR[0], threshold=500)
-    change(board, NEAR[1], threshold=500)
-    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(NEAR[2:])
-    for address in NEAR:
+def test_servers_that_admit_the_rank_are_preferred(board: Blackboard) -> None:
+    change(board, LOCAL[0], threshold=500)
+    change(board, LOCAL[1], threshold=500)
+    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(LOCAL[2:])
+    for address in LOCAL:
         change(board, address, threshold=500)
-    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(FAR)
+    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(REMOTE)
 
 
-def test_no_herd_on_a_new_server(board: Blackboard) -> None:
+def test_new_server_receives_calls_gradually(board: Blackboard) -> None:
     state = RoutingState(NOW_S - 60)
-    new = board.members.members.pop(NEAR[0])
+    new = board.members.members.pop(LOCAL[0])
     choose(board, state, now_s=NOW_S - 55)
     for second in range(55):
         state.refresh(board, NOW_S - 55 + second)
-    board.members.members[NEAR[0]] = evolve(new, headroom=500)
+    board.members.members[LOCAL[0]] = evolve(new, headroom=500)
     counts = []
     for second in range(31):
         state.refresh(board, NOW_S + second)
-        counts.append(choose(board, state, now_s=NOW_S + second)[NEAR[0]])
+        counts.append(choose(board, state, now_s=NOW_S + second)[LOCAL[0]])
     assert counts[0] < 40 < counts[4] < counts[30]
 
 
 def test_failing_server_is_avoided_and_probed(board: Blackboard) -> None:
     state = RoutingState(NOW_S)
     for _ in range(3):
-        state.record_start(NEAR[0], NOW_S)
-        state.record_end(NEAR[0], MayHaveRun(Reason.SERVER_SILENT), 1.0, NOW_S)
-    assert choose(board, state)[NEAR[0]] == 0
+        state.record_start(LOCAL[0], NOW_S)
+        state.record_end(LOCAL[0], MayHaveRun(Reason.SERVER_SILENT), 1.0, NOW_S)
+    assert choose(board, state)[LOCAL[0]] == 0
     later_s = NOW_S + 1.5
-    assert choose(board, state, now_s=later_s)[NEAR[0]] > 0
-    state.record_start(NEAR[0], later_s)
-    assert choose(board, state, now_s=later_s)[NEAR[0]] == 0
-    state.record_end(NEAR[0], COMPLETE, 0.1, later_s)
-    change(board, NEAR[0], heard_s=later_s)
-    assert choose(board, state, now_s=later_s)[NEAR[0]] > 40
-    state.record_start(NEAR[1], later_s)
-    state.record_end(NEAR[1], NotRun(Reason.DRAINING), 0.1, later_s)
-    assert choose(board, state, now_s=later_s)[NEAR[1]] == 0
+    assert choose(board, state, now_s=later_s)[LOCAL[0]] > 0
+    state.record_start(LOCAL[0], later_s)
+    assert choose(board, state, now_s=later_s)[LOCAL[0]] == 0
+    state.record_end(LOCAL[0], COMPLETE, 0.1, later_s)
+    change(board, LOCAL[0], heard_s=later_s)
+    assert choose(board, state, now_s=later_s)[LOCAL[0]] > 40
+    state.record_start(LOCAL[1], later_s)
+    state.record_end(LOCAL[1], NotRun(Reason.DRAINING), 0.1, later_s)
+    assert choose(board, state, now_s=later_s)[LOCAL[1]] == 0
 
 
 def test_subsets_are_small_and_even() -> None:
@@ -162,14 +162,14 @@
     assert max(counts.values()) < 2 * mean
 
 
-def test_member_that_is_held_back_serves_when_nobody_else_does(
+def test_held_member_serves_when_there_is_no_other_server(
     board: Blackboard,
 ) -> None:
-    for address in NEAR:
+    for address in LOCAL:
         change(board, address, held=True)
-    assert set(choose(board, RoutingState())) == set(FAR)
+    assert set(choose(board, RoutingState())) == set(REMOTE)
     board.members.summaries.clear()
-    assert set(choose(board, RoutingState())) == set(NEAR)
-    change(board, NEAR[0], server_state=ServerState.DRAINING)
-    chosen = choose(board, RoutingState(), excluded=(NEAR[1],))
-    assert set(chosen) == set(NEAR[2:])
+    assert set(choose(board, RoutingState())) == set(LOCAL)
+    change(board, LOCAL[0], server_state=ServerState.DRAINING)
+    chosen = choose(board, RoutingState(), excluded=(LOCAL[1],))
+    assert set(chosen) == set(LOCAL[2:])
