--- a/eelgrassmount/load/exchange.py
+++ b/eelgrassmount/load/exchange.py
@@ -79,12 +79,12 @@
     def learn(self, class_name: str, services: Iterable[str]) -> None:
         """Record the services that a complete request of a class has used."""
         shares = self.table.used_services.setdefault(class_name, {})
-        seen = set(services)
-        for service in seen:
+        used = set(services)
+        for service in used:
             shares.setdefault(service, 1.0 if not shares else _MIN_USAGE_SHARE)
         for service in list(shares):
             share = shares[service]
-            share += _USAGE_SMOOTHING * ((service in seen) - share)
+            share += _USAGE_SMOOTHING * ((service in used) - share)
             shares[service] = share
             if share < _FORGET_USAGE_SHARE:
                 del shares[service]
--- a/eelgrassmount/load/limiter.py
+++ b/eelgrassmount/load/limiter.py
@@ -25,18 +25,21 @@
 MIN_LIMIT = 2
 MAX_LIMIT = 4096
 
-# Size of a cohort, as a multiple of the concurrency. A measurement ends when this share
-# of its runs has completed, or is late by this multiple of the typical run time.
+# Runs of a cohort, as a multiple of the concurrency.
 _COHORT_ROUNDS = 4.0
 _FIRST_COHORT_ROUNDS = 1.5
+# A measurement ends when this share of its runs has completed, or when its last runs
+# are late by this multiple of the typical run time.
 _COHORT_COMPLETED_SHARE = 0.95
 _MAX_LATE_ROUNDS = 2.0
+# Longest measurement: a fixed time plus a multiple of the typical run time.
 _MAX_MEASUREMENT_S = 2.0
 _MAX_MEASUREMENT_ROUNDS = 6
 
-# Concurrency of a probe, and the changes of the limit after it.
+# Concurrency of a probe, as a share of the limit.
 _PROBE_LIMIT_SHARE = 0.75
 _LIMIT_SMOOTHING = 0.4
+# Duration of the hold phase, as a multiple of the probe before it.
 _HOLD_RATIO = 3.0
 _INITIAL_GROWTH_FACTOR = 2.0
 _GROWTH_FACTOR = 1.25
--- a/tests/policy/test_forecast.py
+++ b/tests/policy/test_forecast.py
@@ -69,8 +69,8 @@
 
     def step(self, offered: float) -> None:
         """Simulate one step in which clients send ``offered`` requests."""
-        level = self.control.admitted_fraction
-        self.open_calls = [offered * level, *self.open_calls[: CALLS - 1]]
+        fraction = self.control.admitted_fraction
+        self.open_calls = [offered * fraction, *self.open_calls[: CALLS - 1]]
         arriving = sum(self.open_calls)
         accepted = min(1.0, self.capacity / max(arriving, 1e-9))
         self.open_calls = [count * accepted for count in self.open_calls]
