--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -54,7 +54,8 @@
     """Admits calls to the backend server of this node.
 
     A call starts at once if the concurrency limit allows; otherwise it waits in a short
-    queue or is refused. All state learned of the server is reset when it restarts.
+    queue or is refused. The limit, the threshold and the run times are reset when the
+    server restarts.
     """
 
     board: Blackboard
--- a/eelgrassmount/load/shares.py
+++ b/eelgrassmount/load/shares.py
@@ -44,7 +44,7 @@
             record.complete.add(1.0, now_s)
 
     def find_share(self, class_name: str) -> float:
-        """Return the share of a class, at largest 1; 1 is neutral."""
+        """Return the share of a class, at most 1; 1 is neutral."""
         record = self.records.get(class_name)
         return math.exp(record.log_share) if record else 1.0
 
--- a/eelgrassmount/policy/quotas.py
+++ b/eelgrassmount/policy/quotas.py
@@ -42,7 +42,7 @@
     """Permitted overrun of a quota.
 
     In any window of ``window_s`` seconds a team may exceed its quota by the share
-    ``overage`` of the window's quota plus ``slack`` requests.
+    ``overage`` of the window's quota, burst included, plus ``slack`` requests.
     """
 
     window_s: float
@@ -60,7 +60,7 @@
     """A token bucket of ``rate`` requests per second, up to ``burst``.
 
     Grants may take ``tokens`` down to ``-max_debt``. Requests admitted without a grant
-    may take it further down, but not below ``-max_deficit``. New and added capacity
+    may take them further down, but not below ``-max_deficit``. New and added capacity
     starts almost empty, since earlier use of it is unknown. Times are in seconds::
 
         bucket = TokenBucket(refilled_s=0.0)
