--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -49,11 +49,11 @@
     "headers": ("platform",),
     "frames": ("frames.py", "checks.py", "TBinary", "fastbinary", "TTransport"),
     "links": ("link.py", "links.py", "inbound.py"),
-    "entry and answers": ("entry.py", "answers.py", "sender.py", "messages.py"),
+    "entry and answers": ("ingress.py", "answers.py", "sender.py", "messages.py"),
     "teams and quotas": ("teams", "quotas.py"),
     "lineage": ("lineage.py",),
     "choice of a server": ("routing.py", "placement.py", "members.py"),
-    "gate": ("gate.py", "measures.py", "budget.py", "queues.py", "backend.py"),
+    "gate": ("dispatcher.py", "measures.py", "budget.py", "queues.py", "backend.py"),
     "learning": ("vectors.py", "states.py", "estimates.py"),
     "metrics and lines": ("metrics.py", "decisions.py", "prometheus", "loguru"),
 }
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -13,24 +13,24 @@
 from eelgrassmount.platform.store import StoreClient
 from eelgrassmount.platform.topics import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
+from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.answers import Answering
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.beliefs import Beliefs
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
-from eelgrassmount.relay.entry import Entry
-from eelgrassmount.relay.gate import Gate
+from eelgrassmount.relay.dispatcher import Dispatcher
 from eelgrassmount.relay.inbound import Inbound
+from eelgrassmount.relay.ingress import Ingress
 from eelgrassmount.relay.learning import make_tally
-from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.lineage import Lineage
 from eelgrassmount.relay.link import LinkEvents
 from eelgrassmount.relay.links import LinkKeeper
 from eelgrassmount.relay.members import MemberTable
 from eelgrassmount.relay.metrics import RelayMetrics
 from eelgrassmount.relay.news import News
-from eelgrassmount.relay.refused import RefusedMessages
+from eelgrassmount.relay.rejected_messages import RejectedMessages
 from eelgrassmount.relay.routing import Router
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.relay.server import LocalServer
@@ -41,7 +41,7 @@
 from eelgrassmount.topics.readers import LogReaders
 
 if TYPE_CHECKING:
-    from eelgrassmount.relay.gate import Job
+    from eelgrassmount.relay.dispatcher import Job
     from eelgrassmount.relay.settings import RelaySettings
 
 INCARNATION_BYTES = 6
@@ -60,7 +60,7 @@
     server = LocalServer(
         settings.service,
         settings.server_address,
-        on_restart=lambda ended, begun: gate.restart(
+        on_restart=lambda ended, begun: dispatcher.restart(
             ended, begun.find_begin(clock(), time.time())
         ),
     )
@@ -86,7 +86,7 @@
         if not beliefs.knows_clients():
             learned_jobs.add(job)
             beliefs.learner.begin(job.call.route.name)
-        lineage.begin(job, job.call, job.given_s)
+        lineage.begin(job, job.call, job.timeout_s)
 
     def note_end(job: Job, well: bool) -> None:
         if job in learned_jobs:
@@ -99,7 +99,7 @@
         lambda answer: DIALECT.read_idle_limit(answer.headers),
         metrics.connections.inc,
     )
-    gate = Gate(
+    dispatcher = Dispatcher(
         server,
         pool,
         DIALECT,
@@ -113,12 +113,12 @@
             lambda: len(members.list_service(server.service)),
             rng,
         ),
-        ends_chain=lambda name: not graph.vectors.get(name),
-        find_allowance=beliefs.find_allowance,
-        find_call_limit=beliefs.find_call_limit,
-        on_begin=note_begin,
-        on_end=note_end,
-        is_lost_below=lineage.is_lost,
+        is_leaf=lambda name: not graph.calls_per_run.get(name),
+        find_time_allowance=beliefs.find_allowance,
+        find_call_timeout=beliefs.find_call_limit,
+        on_run_start=note_begin,
+        on_run_end=note_end,
+        has_lost_call=lineage.is_lost,
         claim_loss=lineage.claim_loss,
         on_crash=lambda ended, jobs: news.note_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
@@ -126,7 +126,7 @@
     )
     inbound = Inbound(
         incarnation,
-        gate,
+        dispatcher,
         clock,
         beliefs.find_route,
         beliefs.make_hello,
@@ -139,7 +139,7 @@
         [],
         lambda member: links.open_link(member),
         lambda records: node.take_nodes(records),
-        lambda: make_tally(beliefs, admission.rates),
+        lambda: make_tally(beliefs, admission.request_rates),
     )
     news = News(
         beliefs,
@@ -171,13 +171,17 @@
     )
     links = LinkKeeper(beliefs, events)
     controllers = Controllers(
-        beliefs, gate, inbound, ServiceLevels(beliefs).update, admission.update
+        beliefs,
+        dispatcher,
+        inbound,
+        AdmittedFractions(beliefs).update,
+        admission.update,
     )
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
         Router(members, settings.failure_domain, clock, rng, beliefs.find_allowance),
-        gate,
+        dispatcher,
         admission,
         decisions,
         metrics,
@@ -196,7 +200,7 @@
         quotas.taker.give_back,
     )
     sender.answers = answers
-    entry = Entry(
+    ingress = Ingress(
         lambda: server.service,
         DIALECT,
         answers,
@@ -204,7 +208,7 @@
         quarantine,
         clock,
         rng,
-        graph.is_called,
+        graph.is_called_by_servers,
         lambda name: name in beliefs.client_routes,
         beliefs.note_call,
         beliefs.note_client,
@@ -217,9 +221,9 @@
     node = RelayNode(
         settings,
         beliefs,
-        gate,
+        dispatcher,
         inbound,
-        entry,
+        ingress,
         admission,
         controllers,
         links,
@@ -228,11 +232,11 @@
         metrics,
         StoreClient(settings.log_address, readers.eras),
         TimerService(MonotonicClock(), rng, grid_s=TIMER_GRID_S),
-        HttpListener(entry.handle, clock),
+        HttpListener(ingress.handle, clock),
         learned,
         readers,
         quotas,
         rng,
-        RefusedMessages(clock, metrics.count_refused),
+        RejectedMessages(clock, metrics.count_refused),
     )
     return node
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -14,7 +14,7 @@
 from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay.announcements import check_server
 from eelgrassmount.relay.frames import decode_struct
-from eelgrassmount.relay.refused import MessageKind
+from eelgrassmount.relay.rejected_messages import MessageKind
 
 if TYPE_CHECKING:
     import random
@@ -27,14 +27,14 @@
     from eelgrassmount.relay.beliefs import Beliefs
     from eelgrassmount.relay.controllers import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.entry import Entry
-    from eelgrassmount.relay.gate import Gate
+    from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.heartbeats import Heartbeat
     from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.ingress import Ingress
     from eelgrassmount.relay.links import LinkKeeper
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.news import News
-    from eelgrassmount.relay.refused import RefusedMessages
+    from eelgrassmount.relay.rejected_messages import RejectedMessages
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.settings import RelaySettings
     from eelgrassmount.teams.exchange import QuotaExchange
@@ -55,9 +55,9 @@
 
     settings: RelaySettings
     beliefs: Beliefs
-    gate: Gate
+    dispatcher: Dispatcher
     inbound: Inbound
-    entry: Entry
+    ingress: Ingress
     admission: Admission
     controllers: Controllers
     links: LinkKeeper
@@ -71,7 +71,7 @@
     readers: LogReaders
     quotas: QuotaExchange
     rng: random.Random
-    refused: RefusedMessages
+    refused: RejectedMessages
     look_at_settings: Callable[[], None] = lambda: None
     listeners: list[HttpListener] = field(factory=list)
     found_nodes: bool = False
@@ -86,7 +86,7 @@
         for listener in self.listeners:
             listener.end()
         self.inbound.end()
-        self.gate.pool.drop_idle()
+        self.dispatcher.pool.drop_idle()
         for member in list(self.beliefs.members.by_name.values()):
             if member.link is not None:
                 member.link.close()
@@ -110,7 +110,7 @@
             if getattr(settings, name) != getattr(self.settings, name)
         ]
         logger.info("settings reloaded", kept_until_restart=kept)
-        budget = self.gate.budget
+        budget = self.dispatcher.budget
         budget.ratio = settings.retry_ratio
         budget.window_s = settings.retry_window_s
         budget.slack = settings.retry_slack
@@ -131,7 +131,7 @@
             table = read_configuration(document)
         except PlatformDocumentError as error:
             kind = MessageKind.CONFIGURATION
-            self.refused.note(kind, "", error.part, str(error))
+            self.refused.record(kind, "", error.part, str(error))
             return
         beliefs = self.beliefs
         if table.version <= beliefs.table.version:
@@ -148,14 +148,14 @@
         beliefs.table_since_s = beliefs.clock()
         beliefs.document = document
         beliefs.graph.forget_routes()
-        self.entry.table = table
+        self.ingress.table = table
         self.callers.limits = table.limits
         self.readers.publish()
 
     def _identify_server(self, table: RouteTable) -> None:
         service = table.services.get(self.beliefs.server.service)
         if service is not None:
-            self.gate.identify(service.health_path)
+            self.dispatcher.identify(service.health_path)
 
     def take_configuration(self, records: tuple[StoredRecord, ...]) -> None:
         """Take up records of the operator's topic."""
@@ -173,13 +173,13 @@
                 self._take_record(record)
             except BadFrameError as error:
                 # the others still hold
-                self.refused.note(kind, record.key, "bad record", error.detail)
+                self.refused.record(kind, record.key, "bad record", error.detail)
         self.found_nodes = True
 
     def note_unreadable(self, topic: str, count: int) -> None:
         """Count records of a topic whose bytes could not be read."""
         cause = "no key or value that can be read"
-        self.refused.note(MessageKind.RECORD, topic, cause, cause, count)
+        self.refused.record(MessageKind.RECORD, topic, cause, cause, count)
 
     def _take_record(self, record: StoredRecord) -> None:
         if record.key == LEARNED_KEY:
@@ -233,10 +233,10 @@
         """Set the gauges to what the node believes now."""
         state = self.metrics.state
         state.labels("configuration_version").set(self.beliefs.table.version)
-        state.labels("in_flight").set(self.gate.in_flight)
-        state.labels("queued").set(self.gate.queued)
+        state.labels("in_flight").set(self.dispatcher.in_flight)
+        state.labels("queued").set(self.dispatcher.queued)
         state.labels("limit").set(self.beliefs.server.compute_limit())
-        state.labels("demand").set(self.gate.measures.load.demand)
+        state.labels("demand").set(self.dispatcher.measures.load.demand)
         for service, control in self.beliefs.levels.items():
             self.metrics.levels.labels(service).set(control.level)
         state.labels("members").set(len(self.beliefs.members.by_name))
@@ -245,8 +245,8 @@
         state.labels("log_era").set(self.readers.eras.current)
         state.labels("log_next_offset").set(self.readers.book.next_offset)
         state.labels("counted_nodes").set(self.beliefs.outlook.nodes)
-        state.labels("open_requests").set(self.entry.answers.open_flows)
-        state.labels("lines_left_out").set(self.decisions.failures.left_out)
+        state.labels("open_requests").set(self.ingress.answers.open_flows)
+        state.labels("lines_left_out").set(self.decisions.failures.dropped)
 
     def forget_routes(self) -> None:
         """Forget what is known of routes that have left the configuration.
@@ -257,10 +257,10 @@
         beliefs.note_routes()
         beliefs.graph.keep_routes(beliefs.knows_route)
         self.metrics.keep_routes(beliefs.knows_route)
-        self.entry.answers.sender.router.keep_routes(beliefs.knows_route)
+        self.ingress.answers.sender.router.keep_routes(beliefs.knows_route)
         # without a configuration, none is known to have left
         if beliefs.table.version:
-            self.gate.forget_routes(beliefs.table.routes)
+            self.dispatcher.forget_routes(beliefs.table.routes)
 
     def count_open(self) -> int:
         """Return how many requests and calls have no answer yet."""
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -93,7 +93,7 @@
         group.start_soon(_drop_own, node)
         await stopping.run()
         group.cancel_scope.cancel()
-    node.decisions.tell_left_out()
+    node.decisions.report_dropped_lines()
     node.end()
 
 
@@ -175,15 +175,15 @@
     timers.subscribe(STEP_S, node.readers.step)
     timers.subscribe(STEP_S, node.quotas.step)
     timers.subscribe(STEP_S, node.controllers.step)
-    timers.subscribe(STEP_S, node.gate.sweep)
+    timers.subscribe(STEP_S, node.dispatcher.sweep)
     timers.subscribe(INTERVAL_S, lambda: count_calls(node.beliefs))
     timers.subscribe(INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
-    timers.subscribe(SWEEP_PERIOD_S, node.gate.pool.sweep)
+    timers.subscribe(SWEEP_PERIOD_S, node.dispatcher.pool.sweep)
     timers.subscribe(SWEEP_PERIOD_S, node.inbound.expire)
-    timers.subscribe(SWEEP_PERIOD_S, node.decisions.tell_left_out)
+    timers.subscribe(SWEEP_PERIOD_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
-    timers.subscribe(SWEEP_PERIOD_S, node.entry.lineage.forget_answers)
+    timers.subscribe(SWEEP_PERIOD_S, node.ingress.lineage.forget_answers)
     timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.fade)
 
 
@@ -193,7 +193,7 @@
 
     def step() -> None:
         graph = node.beliefs.graph
-        if not graph.is_mature() or next(steps) % VECTOR_STEPS == 0:
+        if not graph.has_learned_calls() or next(steps) % VECTOR_STEPS == 0:
             apply_vectors(node.beliefs)
 
     return step
--- a/eelgrassmount/platform/store.py
+++ b/eelgrassmount/platform/store.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from eelgrassmount.errors import PlatformDocumentError
-from eelgrassmount.relay.calls import KeptConnections
+from eelgrassmount.relay.persistent_connections import PersistentConnections
 from eelgrassmount.topics.era import UNKNOWN_ERA, EraWatch
 from eelgrassmount.topics.store import (
     Batch,
@@ -60,11 +60,11 @@
 
     address: Address
     eras: EraWatch = field(factory=EraWatch)
-    _connections: KeptConnections = field(init=False)
+    _connections: PersistentConnections = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Prepare the connections, which are made when they are needed."""
-        self._connections = KeptConnections(self.address)
+        self._connections = PersistentConnections(self.address)
 
     async def append(self, topic: str, key: str, value: bytes) -> int | StoreFailure:
         """Append a record to a keyed topic and return its offset."""
--- a/eelgrassmount/policy/queues.py
+++ b/eelgrassmount/policy/queues.py
@@ -97,10 +97,15 @@
 def find_patience(origin: Origin) -> float:
     """Return after which part of its slack a call is due.
 
-    >>> round(find_patience(Origin(0, inner=True, left=3)), 2)
+    >>> round(find_patience(Origin(0, downstream=True, remaining_runs=3)), 2)
     0.56
     """
     patience = min(MAX_PATIENCE, FIRST_PATIENCE + PATIENCE_STEP * origin.priority)
-    if not origin.inner:
+    if not origin.downstream:
         return patience
-    return patience * LEFT_SCALE * origin.left / (origin.left + HALF_LEFT)
+    return (
+        patience
+        * LEFT_SCALE
+        * origin.remaining_runs
+        / (origin.remaining_runs + HALF_LEFT)
+    )
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -18,15 +18,15 @@
     from eelgrassmount.relay.routes import Route, RouteTable
 
 # what was offered fades with this factor at each step
-OFFERED_FADE = 0.9
+DEMAND_DECAY = 0.9
 # routes with fewer requests are left out
-MIN_OFFERED = 0.5
+MIN_REQUEST_COUNT = 0.5
 # weight of the latest step in the requests a second of a route; a rate that has faded
 # to the least is none
-RATE_WEIGHT = 0.3
-LEAST_RATE = 0.01
+RATE_SMOOTHING = 0.3
+MIN_RATE_PER_S = 0.01
 # how deep chains of calls are followed
-MAX_CHAIN = 6
+MAX_CHAIN_DEPTH = 6
 
 
 @define(eq=False)
@@ -38,42 +38,44 @@
     ``settled`` are the routes whose calls are known, also if there are none.
     """
 
-    vectors: dict[str, dict[str, float]] = field(factory=dict)
-    settled: set[str] = field(factory=set)
-    _reached: dict[str, dict[str, float]] = field(factory=dict)
-    _steps: dict[tuple[str, int], dict[str, float]] = field(factory=dict)
-    _allowances: dict[str, float] = field(factory=dict)
-    _called: set[str] | None = None
-    _sizes: dict[str, float] | None = None
+    calls_per_run: dict[str, dict[str, float]] = field(factory=dict)
+    learned_routes: set[str] = field(factory=set)
+    _calls_by_service: dict[str, dict[str, float]] = field(factory=dict)
+    _runs_by_depth: dict[tuple[str, int], dict[str, float]] = field(factory=dict)
+    _time_allowances: dict[str, float] = field(factory=dict)
+    _called_routes: set[str] | None = None
+    _run_counts: dict[str, float] | None = None
 
-    def put(self, route_name: str, calls: dict[str, float]) -> None:
+    def set_calls(self, route_name: str, calls: dict[str, float]) -> None:
         """Take up the vector of a route."""
-        known = self.vectors.get(route_name)
+        known = self.calls_per_run.get(route_name)
         self.forget_routes()
         if known is None or known.keys() != calls.keys():
-            self._called = None
+            self._called_routes = None
             rounded = {name: round(count, 2) for name, count in calls.items()}
             logger.info("calls of a route learned", route=route_name, calls=rounded)
-        self.vectors[route_name] = calls
+        self.calls_per_run[route_name] = calls
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
         """Forget the vectors of all other routes."""
-        self.settled = {name for name in self.settled if knows_route(name)}
-        left = [name for name in self.vectors if not knows_route(name)]
+        self.learned_routes = {
+            name for name in self.learned_routes if knows_route(name)
+        }
+        left = [name for name in self.calls_per_run if not knows_route(name)]
         for name in left:
-            del self.vectors[name]
+            del self.calls_per_run[name]
         if left:
-            self._called = None
+            self._called_routes = None
             self.forget_routes()
 
     def forget_routes(self) -> None:
         """Follow the chains anew, after the routes have changed."""
-        self._reached.clear()
-        self._steps.clear()
-        self._allowances.clear()
-        self._sizes = None
+        self._calls_by_service.clear()
+        self._runs_by_depth.clear()
+        self._time_allowances.clear()
+        self._run_counts = None
 
-    def find_allowance(self, route: Route, table: RouteTable) -> float:
+    def find_time_allowance(self, route: Route, table: RouteTable) -> float:
         """Return the seconds that a call of a route may take for all to be in time.
 
         That is its objective, or less where a request with a tighter one makes many
@@ -81,115 +83,121 @@
         made one after the other and took the same time::
 
             # book has 0.8 s and makes 2 calls of list, each with 4 calls of part
-            graph.find_allowance(part, table)  # 0.8 / (1 + 2 * (1 + 4))
+            graph.find_time_allowance(part, table)  # 0.8 / (1 + 2 * (1 + 4))
         """
-        if not self._allowances:
-            self._allowances = self._divide_time(table)
-        return self._allowances.get(route.name, route.objective_s)
+        if not self._time_allowances:
+            self._time_allowances = self._compute_time_allowances(table)
+        return self._time_allowances.get(route.name, route.objective_s)
 
-    def _divide_time(self, table: RouteTable) -> dict[str, float]:
+    def _compute_time_allowances(self, table: RouteTable) -> dict[str, float]:
         allowances = {
             name: min(route.objective_s, route.timeout_s)
             for name, route in table.routes.items()
         }
-        sizes = self._find_sizes()
-        for _ in range(MAX_CHAIN):
-            for name, calls in self.vectors.items():
+        run_counts = self._find_run_counts()
+        for _ in range(MAX_CHAIN_DEPTH):
+            for name, calls in self.calls_per_run.items():
                 if name not in allowances:
                     continue
                 for called in calls.keys() & allowances.keys():
-                    part = sizes.get(called, 1.0) / sizes[name]
+                    part = run_counts.get(called, 1.0) / run_counts[name]
                     divided = allowances[name] * part
                     allowances[called] = min(allowances[called], divided)
         return allowances
 
-    def find_call_limit(self, route_name: str, table: RouteTable) -> float:
+    def find_call_timeout(self, route_name: str, table: RouteTable) -> float:
         """Return the longest that the calls of a run may take, by their routes."""
-        called = self.vectors.get(route_name, {}).keys() & table.routes.keys()
+        called = self.calls_per_run.get(route_name, {}).keys() & table.routes.keys()
         return min((table.routes[name].timeout_s for name in called), default=math.inf)
 
     def count_runs(self, route_name: str) -> int:
         """Return how many runs a request of a route leads to, itself included."""
-        return round(self._find_sizes().get(route_name, 1.0))
+        return round(self._find_run_counts().get(route_name, 1.0))
 
-    def _find_sizes(self) -> dict[str, float]:
-        if self._sizes is None:
-            self._sizes = self._count_chains()
-        return self._sizes
+    def _find_run_counts(self) -> dict[str, float]:
+        if self._run_counts is None:
+            self._run_counts = self._compute_run_counts()
+        return self._run_counts
 
-    def _count_chains(self) -> dict[str, float]:
+    def _compute_run_counts(self) -> dict[str, float]:
         """Return how many runs a request of each route leads to, itself included."""
-        sizes: dict[str, float] = {}
-        for _ in range(MAX_CHAIN):
-            sizes = {
+        run_counts: dict[str, float] = {}
+        for _ in range(MAX_CHAIN_DEPTH):
+            run_counts = {
                 name: 1.0
                 + sum(
-                    count * sizes.get(called, 1.0)
+                    count * run_counts.get(called, 1.0)
                     for called, count in calls.items()
                     if called != name
                 )
-                for name, calls in self.vectors.items()
+                for name, calls in self.calls_per_run.items()
             }
-        return sizes
+        return run_counts
 
-    def count_calls(self, route: Route, table: RouteTable) -> dict[str, float]:
+    def count_calls_by_service(
+        self, route: Route, table: RouteTable
+    ) -> dict[str, float]:
         """Return how many calls a request of a route makes of each service.
 
         The request itself counts as one; calls of calls are counted along the
         whole chain, up to a depth that ends cycles.
         """
-        found = self._reached.get(route.name)
+        found = self._calls_by_service.get(route.name)
         if found is None:
-            found = self._reached[route.name] = {}
-            for name, times in self.list_runs(route, table).items():
-                _add_targets(table.routes.get(name, route), times, found)
+            found = self._calls_by_service[route.name] = {}
+            for name, times in self.count_runs_by_route(route, table).items():
+                _add_service_runs(table.routes.get(name, route), times, found)
         return found
 
-    def list_runs(self, route: Route, table: RouteTable) -> dict[str, float]:
+    def count_runs_by_route(self, route: Route, table: RouteTable) -> dict[str, float]:
         """Return how many runs of each route a request of a route leads to."""
-        return self._walk(route, table)
+        return self._count_runs_to_depth(route, table)
 
-    def _walk(
-        self, route: Route, table: RouteTable, depth: int = MAX_CHAIN
+    def _count_runs_to_depth(
+        self, route: Route, table: RouteTable, depth: int = MAX_CHAIN_DEPTH
     ) -> dict[str, float]:
         """Return the runs by route of a request, with its chain followed so deep.
 
         Routes lead to the same others: what each adds at a depth is found once for
         all, as many routes that call one another would else take too long.
         """
-        known = self._steps.get((route.name, depth))
+        known = self._runs_by_depth.get((route.name, depth))
         if known is not None:
             return known
         found = {route.name: 1.0}
-        calls = self.vectors.get(route.name, {}) if depth else {}
+        calls = self.calls_per_run.get(route.name, {}) if depth else {}
         for name, per_run in calls.items():
             called = table.routes.get(name)
             if called is not None and name != route.name:
-                for run, times in self._walk(called, table, depth - 1).items():
+                for run, times in self._count_runs_to_depth(
+                    called, table, depth - 1
+                ).items():
                     found[run] = found.get(run, 0.0) + per_run * times
-        self._steps[route.name, depth] = found
+        self._runs_by_depth[route.name, depth] = found
         return found
 
-    def is_mature(self) -> bool:
+    def has_learned_calls(self) -> bool:
         """Tell whether calls of servers can be told from requests of clients."""
-        return bool(self.vectors)
+        return bool(self.calls_per_run)
 
     def may_call(self, route_name: str, called_name: str) -> bool:
         """Tell whether runs of a route make calls of another, or may do so.
 
         One whose calls are not known may call any.
         """
-        calls = self.vectors.get(route_name)
+        calls = self.calls_per_run.get(route_name)
         return calls is None or called_name in calls
 
-    def is_called(self, route_name: str) -> bool:
+    def is_called_by_servers(self, route_name: str) -> bool:
         """Tell whether running servers make calls of a route."""
-        if self._called is None:
-            self._called = {name for calls in self.vectors.values() for name in calls}
-        return route_name in self._called
+        if self._called_routes is None:
+            self._called_routes = {
+                name for calls in self.calls_per_run.values() for name in calls
+            }
+        return route_name in self._called_routes
 
 
-def _add_targets(route: Route, times: float, found: dict[str, float]) -> None:
+def _add_service_runs(route: Route, times: float, found: dict[str, float]) -> None:
     """Add the runs of a route to those of the services that it leads to."""
     for service, part in route.divide().items():
         found[service] = found.get(service, 0.0) + times * part
@@ -203,7 +211,7 @@
     at the bottom, each as high as the calls that its requests ask of the service.
     The level says up to which part of this pile requests are admitted. A demand at
     the level is admitted in proportion, and of all services that a request needs
-    the scarcest decides. ``find_offered`` returns the requests a second that
+    the scarcest decides. ``find_offered_rates`` returns the requests a second that
     are offered to all nodes, if they are known: the few of one node in its last second
     say little on a large fleet. ``rates`` holds those that are offered to this node,
     and ``offered`` its fading counts, by which it goes alone. Only routes are cut that
@@ -213,24 +221,24 @@
     """
 
     graph: CallGraph
-    find_level: Callable[[str], float]
-    find_offered: Callable[[], dict[Demand, float]] = dict
-    is_of_clients: Callable[[str], bool] = lambda name: True
+    find_admitted_fraction: Callable[[str], float]
+    find_offered_rates: Callable[[], dict[Demand, float]] = dict
+    is_client_route: Callable[[str], bool] = lambda name: True
     rng: random.Random = field(factory=random.Random)
-    offered: dict[Demand, float] = field(factory=dict)
-    rates: dict[Demand, float] = field(factory=dict)
-    shares: dict[Demand, float] = field(factory=dict)
+    request_counts: dict[Demand, float] = field(factory=dict)
+    request_rates: dict[Demand, float] = field(factory=dict)
+    admitted_fractions: dict[Demand, float] = field(factory=dict)
     _credits: dict[Demand, float] = field(factory=dict)
-    _counted: dict[Demand, int] = field(factory=dict)
+    _new_requests: dict[Demand, int] = field(factory=dict)
 
     def allows(self, demand: Demand) -> bool:
         """Decide on one request, dividing evenly over time."""
-        self.offered[demand] = self.offered.get(demand, 0.0) + 1.0
-        self._counted[demand] = self._counted.get(demand, 0) + 1
-        share = self.shares.get(demand, 1.0)
+        self.request_counts[demand] = self.request_counts.get(demand, 0.0) + 1.0
+        self._new_requests[demand] = self._new_requests.get(demand, 0) + 1
+        share = self.admitted_fractions.get(demand, 1.0)
         # a call of a server that isn't known as one yet would be refused, as in the
         # first seconds of a surge, and what was done for its request lost
-        if share >= 1.0 or not self.is_of_clients(demand.route_name):
+        if share >= 1.0 or not self.is_client_route(demand.route_name):
             return True
         # nodes that begin alike would all refuse their first request, or none
         credit = self._credits.get(demand)
@@ -247,16 +255,16 @@
         It is called once each `STEP_S`.
         """
         self._update_rates(table)
-        self.shares = {}
-        levels = {name: self.find_level(name) for name in table.services}
-        short = {name: level for name, level in levels.items() if level < 1.0}
-        if short and (self.graph.is_mature() or table.teams.is_required):
-            for service, asked in self._pile(table, short).items():
-                if service in short:
-                    self._limit(divide_level(asked, short[service]))
-        self.offered = {
-            demand: count * OFFERED_FADE
-            for demand, count in self.offered.items()
+        self.admitted_fractions = {}
+        levels = {name: self.find_admitted_fraction(name) for name in table.services}
+        overloaded = {name: level for name, level in levels.items() if level < 1.0}
+        if overloaded and (self.graph.has_learned_calls() or table.teams.is_required):
+            for service, asked in self._estimate_demands(table, overloaded).items():
+                if service in overloaded:
+                    self._apply_limits(divide_level(asked, overloaded[service]))
+        self.request_counts = {
+            demand: count * DEMAND_DECAY
+            for demand, count in self.request_counts.items()
             if demand.route_name in table.routes
         }
         self._credits = {
@@ -266,45 +274,50 @@
         }
 
     def _update_rates(self, table: RouteTable) -> None:
-        for demand in self.rates.keys() | self._counted.keys():
-            rate = self.rates.get(demand, 0.0)
-            counted = self._counted.get(demand, 0) / STEP_S
-            rate += RATE_WEIGHT * (counted - rate)
-            self.rates[demand] = rate
-            if rate < LEAST_RATE or demand.route_name not in table.routes:
-                del self.rates[demand]
-        self._counted.clear()
-
-    def _list_offered(self) -> dict[Demand, float]:
+        for demand in self.request_rates.keys() | self._new_requests.keys():
+            rate = self.request_rates.get(demand, 0.0)
+            counted = self._new_requests.get(demand, 0) / STEP_S
+            rate += RATE_SMOOTHING * (counted - rate)
+            self.request_rates[demand] = rate
+            if rate < MIN_RATE_PER_S or demand.route_name not in table.routes:
+                del self.request_rates[demand]
+        self._new_requests.clear()
+
+    def _get_demands(self) -> dict[Demand, float]:
         """Return what is offered of each demand, for how much one is of all."""
-        return self.find_offered() or {
+        return self.find_offered_rates() or {
             demand: count
-            for demand, count in self.offered.items()
-            if count >= MIN_OFFERED
+            for demand, count in self.request_counts.items()
+            if count >= MIN_REQUEST_COUNT
         }
 
-    def _pile(
-        self, table: RouteTable, short: dict[str, float]
+    def _estimate_demands(
+        self, table: RouteTable, overloaded: dict[str, float]
     ) -> dict[str, list[AskedCalls]]:
         """Return what the offered requests ask of each service, by demand."""
-        piles: dict[str, list[AskedCalls]] = {}
-        for demand, count in self._list_offered().items():
+        demands_by_service: dict[str, list[AskedCalls]] = {}
+        for demand, count in self._get_demands().items():
             route = table.routes.get(demand.route_name)
-            if route is None or self.graph.is_called(demand.route_name):
+            if route is None or self.graph.is_called_by_servers(demand.route_name):
                 continue
-            reached = self.graph.count_calls(route, table)
-            if self._may_lead_anywhere(route, table):
-                reached = {**dict.fromkeys(short, 1.0), **reached}
+            reached = self.graph.count_calls_by_service(route, table)
+            if self._has_unknown_calls(route, table):
+                reached = {**dict.fromkeys(overloaded, 1.0), **reached}
             for service, calls in reached.items():
                 asked = AskedCalls(demand, count * calls)
-                piles.setdefault(service, []).append(asked)
-        return piles
+                demands_by_service.setdefault(service, []).append(asked)
+        return demands_by_service
 
-    def _may_lead_anywhere(self, route: Route, table: RouteTable) -> bool:
+    def _has_unknown_calls(self, route: Route, table: RouteTable) -> bool:
         """Tell whether the calls of a client's route are not known yet."""
-        known = route.name in self.graph.vectors or route.name in self.graph.settled
+        known = (
+            route.name in self.graph.calls_per_run
+            or route.name in self.graph.learned_routes
+        )
         return table.teams.is_required and route.needs_key and not known
 
-    def _limit(self, shares: dict[Demand, float]) -> None:
+    def _apply_limits(self, shares: dict[Demand, float]) -> None:
         for demand, share in shares.items():
-            self.shares[demand] = min(self.shares.get(demand, 1.0), share)
+            self.admitted_fractions[demand] = min(
+                self.admitted_fractions.get(demand, 1.0), share
+            )
--- a/eelgrassmount/relay/levels.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -22,7 +22,7 @@
     from eelgrassmount.relay.members import Member, MemberLoad
 
 
-def tell_level_change(
+def log_overload_change(
     service: str, before: float, level: float, load: GateLoad
 ) -> None:
     """Write a line when a service becomes short, and when it no longer is."""
@@ -37,39 +37,39 @@
 
 
 @define(eq=False)
-class ServiceLevels:
+class AdmittedFractions:
     """Keeps the level of each service, and notes which ones can't be reached."""
 
     beliefs: Beliefs
 
     def update(self) -> None:
         """Work out the levels of all services anew, once each `STEP_S`."""
-        asked = self._list_asked()
+        required = self._estimate_required_runs()
         for service, found in self.beliefs.members.by_service.items():
-            self._update_service(service, found.values(), asked.get(service, {}))
+            self._update_service(service, found.values(), required.get(service, {}))
 
     def _update_service(
-        self, service: str, members: Collection[Member], asked: dict[str, float]
+        self, service: str, members: Collection[Member], required: dict[str, float]
     ) -> None:
         beliefs = self.beliefs
         oldest_s = beliefs.clock() - REPORT_LIMIT_S
         control = beliefs.levels.setdefault(service, LevelControl())
         before = control.level
         load = GateLoad()
-        fresh = self._list_fresh(members, oldest_s)
-        if fresh:
-            load = measure_load(fresh)
-            foreseen = foresee_demand(asked, fresh, self._count_usable(members))
-            age = self._measure_age(fresh)
-            control.update(load.demand, load.wait, age, foreseen)
+        recent = self._list_recent_loads(members, oldest_s)
+        if recent:
+            load = measure_load(recent)
+            forecast = foresee_demand(required, recent, self._count_usable(members))
+            age = self._compute_report_age(recent)
+            control.update(load.demand, load.wait, age, forecast)
         else:
             control.relax()
-        tell_level_change(service, before, control.level, load)
-        self._note_reach(service, members)
+        log_overload_change(service, before, control.level, load)
+        self._update_reachability(service, members)
         if beliefs.find_level(service) < 1.0:
             self._ask_for_reports(members, oldest_s)
 
-    def _list_fresh(
+    def _list_recent_loads(
         self, members: Iterable[Member], oldest_s: float
     ) -> list[MemberLoad]:
         """Return the loads that were reported lately, of servers that take work."""
@@ -82,7 +82,7 @@
             and one.load.accepting
         ]
 
-    def _note_reach(self, service: str, members: Collection[Member]) -> None:
+    def _update_reachability(self, service: str, members: Collection[Member]) -> None:
         """Note whether any server of a service can be sent a call from here.
 
         What leads to one that can't is refused while it has not run, also where the
@@ -109,25 +109,27 @@
             servers=len(members),
         )
 
-    def _list_asked(self) -> dict[str, dict[str, float]]:
+    def _estimate_required_runs(self) -> dict[str, dict[str, float]]:
         """Return the runs a second that offered requests ask of each service, by route.
 
         There is none before other nodes are heard of.
         """
         beliefs = self.beliefs
-        asked: dict[str, dict[str, float]] = {}
-        if beliefs.outlook.nodes < 2 or not beliefs.graph.is_mature():
-            return asked
+        required: dict[str, dict[str, float]] = {}
+        if beliefs.outlook.nodes < 2 or not beliefs.graph.has_learned_calls():
+            return required
         routes = beliefs.table.routes
         for demand, rate in beliefs.outlook.offered.items():
             route = routes.get(demand.route_name)
-            if route is None or beliefs.graph.is_called(demand.route_name):
+            if route is None or beliefs.graph.is_called_by_servers(demand.route_name):
                 continue
-            for run, times in beliefs.graph.list_runs(route, beliefs.table).items():
+            for run, times in beliefs.graph.count_runs_by_route(
+                route, beliefs.table
+            ).items():
                 for service, part in routes[run].divide().items():
-                    runs = asked.setdefault(service, {})
+                    runs = required.setdefault(service, {})
                     runs[run] = runs.get(run, 0.0) + rate * times * part
-        return asked
+        return required
 
     def _count_usable(self, members: Iterable[Member]) -> int:
         return sum(1 for one in members if one.load.accepting and not one.failures)
@@ -142,7 +144,7 @@
             if member.is_connected() and member.load.reported_s <= oldest_s:
                 member.link.send(FrameKind.PING, ttypes.RelayConfigRequest(0))
 
-    def _measure_age(self, loads: list[MemberLoad]) -> int:
+    def _compute_report_age(self, loads: list[MemberLoad]) -> int:
         """Return the mean age of reports in steps."""
         now_s = self.beliefs.clock()
         age_s = sum(now_s - load.reported_s for load in loads) / len(loads)
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -8,14 +8,14 @@
 from loguru import logger
 
 from eelgrassmount.errors import PlatformDocumentError, WrongServerError
-from eelgrassmount.relay.refused import MessageKind
+from eelgrassmount.relay.rejected_messages import MessageKind
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.heartbeats import Heartbeat
-    from eelgrassmount.relay.refused import RefusedMessages
+    from eelgrassmount.relay.rejected_messages import RejectedMessages
     from eelgrassmount.relay.server import LocalServer
 
 ACCEPTED = b"content-type: application/json\r\n"
@@ -34,7 +34,7 @@
     read: Callable[[str, str, bytes], Heartbeat | None]
     check: Callable[[Heartbeat], None]
     on_change: Callable[[], None]
-    refused: RefusedMessages
+    refused: RejectedMessages
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
@@ -65,7 +65,7 @@
 
     def _refuse(self, exchange: Exchange, status: int, cause: str, detail: str) -> None:
         source = exchange.find_peer()
-        self.refused.note(MessageKind.ANNOUNCEMENT, source, cause, detail)
+        self.refused.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
         exchange.respond(status, b"", detail.encode())
 
 
--- a/eelgrassmount/relay/answers.py
+++ b/eelgrassmount/relay/answers.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.relay.messages import Fate
+from eelgrassmount.relay.messages import Outcome
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     from eelgrassmount.relay.lineage import Lineage
     from eelgrassmount.relay.messages import Reply
     from eelgrassmount.relay.metrics import RelayMetrics
-    from eelgrassmount.relay.sender import Flow, Sender
+    from eelgrassmount.relay.sender import PendingRequest, Sender
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaVerdict
 
@@ -60,65 +60,69 @@
     give_back: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
-    def begin(self, flow: Flow) -> None:
+    def begin(self, pending: PendingRequest) -> None:
         """Have a request sent to a server."""
         self.open_flows += 1
-        flow.exchange.on_abandon = lambda: self._abandon(flow)
-        self.sender.begin(flow)
+        pending.exchange.on_abandon = lambda: self._abandon(pending)
+        self.sender.start(pending)
 
-    def deliver(self, flow: Flow, reply: Reply) -> None:
+    def deliver(self, pending: PendingRequest, reply: Reply) -> None:
         """Hand the answer of a server on."""
-        self._end(flow)
-        call = flow.call
+        self._end(pending)
+        call = pending.call
         seconds = self.clock() - call.arrived_s
         self.metrics.count_answer(call.route.name, reply.status, seconds)
         inputs = {
             "route": call.route.name,
-            "server": flow.server,
+            "server": pending.server,
             "seconds": round(seconds, 3),
         }
         if reply.status >= 500:
             outcome = f"status-{reply.status}"
-            self.decisions.note("server failed", call.request_id, outcome, **inputs)
+            self.decisions.record("server failed", call.request_id, outcome, **inputs)
         else:
             self.decisions.sample("answered", call.request_id, **inputs)
-        self._respond(flow, reply.status, reply.head, reply.body)
+        self._respond(pending, reply.status, reply.head, reply.body)
 
-    def give_up(self, flow: Flow) -> None:
+    def give_up(self, pending: PendingRequest) -> None:
         """Give the final answer of a request that no server answers."""
-        last = flow.last
-        if last is not None and last.fate is Fate.ANSWERED:
-            self.deliver(flow, last)
+        last = pending.last_reply
+        if last is not None and last.outcome is Outcome.ANSWERED:
+            self.deliver(pending, last)
             return
-        self._end(flow)
+        self._end(pending)
         reason = Reason.NO_SERVER if last is None else last.reason
-        if flow.may_have_run:
-            self._fail(flow, BAD_GATEWAY, reason)
+        if pending.may_have_run:
+            self._fail(pending, BAD_GATEWAY, reason)
         else:
-            self.refuse(flow, reason)
+            self.refuse(pending, reason)
 
-    def time_out(self, flow: Flow) -> None:
+    def time_out(self, pending: PendingRequest) -> None:
         """Answer a request at its deadline."""
-        if flow.ended:
+        if pending.ended:
             return
-        sent = flow.current is not None or flow.spare is not None or flow.may_have_run
-        self._end(flow)
+        sent = (
+            pending.current_attempt is not None
+            or pending.silent_attempt is not None
+            or pending.may_have_run
+        )
+        self._end(pending)
         if sent:
-            self._fail(flow, TIMEOUT, Reason.DEADLINE)
+            self._fail(pending, TIMEOUT, Reason.DEADLINE)
         else:
-            self.refuse(flow, Reason.DEADLINE)
+            self.refuse(pending, Reason.DEADLINE)
 
-    def refuse(self, flow: Flow, reason: Reason | None) -> None:
+    def refuse(self, pending: PendingRequest, reason: Reason | None) -> None:
         """Say that a request has not run, and when to come back."""
-        call = flow.call
-        if flow.team is not None:
-            self.give_back(flow.team)
+        call = pending.call
+        if pending.team is not None:
+            self.give_back(pending.team)
         delay_s = call.route.objective_s * self.rng.uniform(
             COME_BACK_MIN, COME_BACK_MAX
         )
         self.metrics.count_refusal(call.route.name, str(reason))
-        share = self.admission.shares.get(call.demand, 1.0)
-        self.decisions.note(
+        share = self.admission.admitted_fractions.get(call.demand, 1.0)
+        self.decisions.record(
             "refused",
             call.request_id,
             str(reason),
@@ -128,7 +132,7 @@
             retry_after_s=round(delay_s, 3),
         )
         head = self.dialect.write_refusal(call.request_id, delay_s)
-        self._respond(flow, UNAVAILABLE, head)
+        self._respond(pending, UNAVAILABLE, head)
 
     def refuse_uninformed(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
@@ -174,7 +178,7 @@
         """Answer a request of which nothing was begun."""
         self.metrics.count_refusal(route_name, reason)
         inputs = {"route": route_name} if route_name else {"host": head.host}
-        self.decisions.note(
+        self.decisions.record(
             "refused",
             head.request_id,
             reason,
@@ -184,37 +188,41 @@
         )
         exchange.respond(status, self.dialect.write_refusal(head.request_id, delay_s))
 
-    def _abandon(self, flow: Flow) -> None:
-        if not flow.ended:
-            self._end(flow)
-            self.metrics.count_abandoned(flow.call.route.name)
+    def _abandon(self, pending: PendingRequest) -> None:
+        if not pending.ended:
+            self._end(pending)
+            self.metrics.count_abandoned(pending.call.route.name)
 
-    def _end(self, flow: Flow) -> None:
-        flow.ended = True
-        self.sender.cancel(flow)
+    def _end(self, pending: PendingRequest) -> None:
+        pending.ended = True
+        self.sender.cancel(pending)
         self.open_flows -= 1
-        flow.exchange.on_abandon = None
-        if flow.timer is not None:
-            flow.timer.cancel()
-            flow.timer = None
+        pending.exchange.on_abandon = None
+        if pending.timer is not None:
+            pending.timer.cancel()
+            pending.timer = None
 
-    def _fail(self, flow: Flow, status: int, reason: Reason | None) -> None:
-        call = flow.call
+    def _fail(
+        self, pending: PendingRequest, status: int, reason: Reason | None
+    ) -> None:
+        call = pending.call
         self.metrics.count_failure(call.route.name, str(reason))
-        self.decisions.note(
+        self.decisions.record(
             "failed",
             call.request_id,
             str(reason),
             route=call.route.name,
             status=status,
-            attempts=flow.attempts,
-            tried=flow.tried,
+            attempts=pending.attempts,
+            tried=pending.tried,
             seconds=round(self.clock() - call.arrived_s, 3),
         )
-        self._respond(flow, status, self.dialect.write_refusal(call.request_id, 0.0))
+        self._respond(pending, status, self.dialect.write_refusal(call.request_id, 0.0))
 
-    def _respond(self, flow: Flow, status: int, head: bytes, body: bytes = b"") -> None:
-        if flow.made is not None:
+    def _respond(
+        self, pending: PendingRequest, status: int, head: bytes, body: bytes = b""
+    ) -> None:
+        if pending.made_call is not None:
             # before the answer goes out, as the next call follows it at once
-            self.lineage.note_answer(flow.made, status < 300)
-        flow.exchange.respond(status, head, body)
+            self.lineage.note_answer(pending.made_call, status < 300)
+        pending.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/beliefs.py
+++ b/eelgrassmount/relay/beliefs.py
@@ -73,11 +73,11 @@
 
     def find_allowance(self, route: Route) -> float:
         """Return the seconds that a call of a route may take."""
-        return self.graph.find_allowance(route, self.table)
+        return self.graph.find_time_allowance(route, self.table)
 
     def find_call_limit(self, route_name: str) -> float:
         """Return the longest that the calls of a run of a route may take."""
-        return self.graph.find_call_limit(route_name, self.table)
+        return self.graph.find_call_timeout(route_name, self.table)
 
     def knows_clients(self) -> bool:
         """Tell whether keys tell requests of clients from calls of servers."""
--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -11,7 +11,7 @@
 
 from eelgrassmount.errors import AddressError, BadFrameError
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.messages import Fate
+from eelgrassmount.relay.messages import Outcome
 from eelgrassmount.relay.routes import MAX_RANK
 from eelgrassmount.topics.era import UNKNOWN_ERA
 from eelgrassmount.util.addresses import parse_address
@@ -38,7 +38,7 @@
 MAX_COUNT = 1e9
 
 _REASONS = frozenset(str(reason) for reason in Reason)
-_FATES = frozenset(int(fate) for fate in Fate)
+_FATES = frozenset(int(fate) for fate in Outcome)
 
 
 def check_struct(struct: Any) -> None:
@@ -126,7 +126,7 @@
         _refuse(reply, "outcome", "none that is known")
     if reply.reason and reply.reason not in _REASONS:
         _refuse(reply, "reason", "none that is known")
-    if reply.outcome == Fate.ANSWERED and not 100 <= reply.status <= 999:
+    if reply.outcome == Outcome.ANSWERED and not 100 <= reply.status <= 999:
         _refuse(reply, "status", "no status of an answer")
     _check_ranges(reply, _REPLY_RANGES)
     _check_head(reply)
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.beliefs import Beliefs
-    from eelgrassmount.relay.gate import Gate
+    from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.inbound import Inbound
     from eelgrassmount.relay.routes import RouteTable
 
@@ -45,7 +45,7 @@
     """What runs at each step: levels, shares, and reports to other nodes."""
 
     beliefs: Beliefs
-    gate: Gate
+    dispatcher: Dispatcher
     inbound: Inbound
     update_levels: Callable[[], None]
     update_shares: Callable[[RouteTable], None]
@@ -55,7 +55,7 @@
 
     def step(self) -> None:
         """Work out the levels of all services and the shares of routes, and report."""
-        self.gate.update_load()
+        self.dispatcher.update_load()
         self._note_own_load()
         self.update_levels()
         self.update_shares(self.beliefs.table)
@@ -80,7 +80,7 @@
         return max(1, math.ceil(callers / REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
-        load = self.gate.measures.load
+        load = self.dispatcher.measures.load
         return load.demand > LOADED_DEMAND or load.wait > LOADED_WAIT
 
     def report_now(self) -> None:
@@ -102,20 +102,20 @@
             rows = write_rows(beliefs.own_vectors)
         return ttypes.RelayReport(
             self._accepts(),
-            self.gate.in_flight,
-            self.gate.queued,
+            self.dispatcher.in_flight,
+            self.dispatcher.queued,
             beliefs.server.compute_limit(),
-            round(self.gate.measures.load.demand * SCALE),
+            round(self.dispatcher.measures.load.demand * SCALE),
             beliefs.table.version,
             [
                 ttypes.RouteTime(name, stats.run_s * MS)
-                for name, stats in self.gate.measures.routes.items()
+                for name, stats in self.dispatcher.measures.routes.items()
             ],
             rows[:MAX_ROWS],
-            round(self.gate.measures.failure_share * PPM),
+            round(self.dispatcher.measures.failure_share * PPM),
             counts,
-            round(self.gate.measures.load.wait * SCALE),
-            round(self.gate.measures.lost_share * PPM),
+            round(self.dispatcher.measures.load.wait * SCALE),
+            round(self.dispatcher.measures.lost_share * PPM),
         )
 
     def _accepts(self) -> bool:
@@ -129,14 +129,14 @@
             return
         load = own.load
         load.accepting = self._accepts()
-        load.in_flight = self.gate.in_flight
-        load.queued = self.gate.queued
+        load.in_flight = self.dispatcher.in_flight
+        load.queued = self.dispatcher.queued
         load.limit = self.beliefs.server.compute_limit()
-        load.demand = self.gate.measures.load.demand
-        load.wait = self.gate.measures.load.wait
-        load.failure_share = self.gate.measures.failure_share
-        load.lost_share = self.gate.measures.lost_share
-        routes = self.gate.measures.routes
+        load.demand = self.dispatcher.measures.load.demand
+        load.wait = self.dispatcher.measures.load.wait
+        load.failure_share = self.dispatcher.measures.failure_share
+        load.lost_share = self.dispatcher.measures.lost_share
+        routes = self.dispatcher.measures.routes
         load.run_s = {name: one.run_s for name, one in routes.items()}
         load.reported_s = self.beliefs.clock()
         own.sent_since = 0
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -9,17 +9,17 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import FrameConnection, FrameKind, encode_frame
-from eelgrassmount.relay.gate import Job
-from eelgrassmount.relay.messages import Call, Fate, Origin, Reply
+from eelgrassmount.relay.messages import Call, Origin, Outcome, Reply
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from eelgrassmount.errors import BadFrameError
+    from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.frames import FrameTaker
-    from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.routes import Route
 
 # replies to calls that must not run twice are kept for a sender that asks again
@@ -64,7 +64,7 @@
     """
 
     incarnation: str
-    gate: Gate
+    dispatcher: Dispatcher
     clock: Callable[[], float]
     find_route: Callable[[str, bool], Route]
     make_hello: Callable[[], ttypes.RelayHello]
@@ -218,10 +218,10 @@
         self.inbound.note_sequence(self.sender, sequence)
         self.jobs[sequence] = job
         if self.inbound.accepting:
-            self.inbound.gate.offer(job)
+            self.inbound.dispatcher.submit(job)
         else:
             job.ended = True
-            job.done(Reply(Fate.NOT_RUN, Reason.DRAINING))
+            job.done(Reply(Outcome.NOT_RUN, Reason.DRAINING))
 
     def _join(self, frame: ttypes.RelayCall) -> bool:
         """Join a call that has come before; tell whether that settles it."""
@@ -230,7 +230,7 @@
             self._move(kept, frame)
             return True
         if self._may_have_run(frame):
-            reply = Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST)
+            reply = Reply(Outcome.MAY_HAVE_RUN, Reason.PEER_LOST)
             self._send_reply(frame.sequence, reply)
             return True
         return False
@@ -291,7 +291,7 @@
         job = self.jobs.pop(sequence, None)
         if job is None:
             return
-        self.inbound.gate.cancel(job)
+        self.inbound.dispatcher.cancel(job)
         kept = self.inbound.kept.get((self.sender, sequence))
         if kept is not None and kept.job is job and job.ended:
             # it waited at the gate, which tells of it no more
@@ -299,17 +299,17 @@
             del self.inbound.kept[kept.key]
 
     def _send_reply(self, sequence: int, reply: Reply) -> None:
-        gate = self.inbound.gate
+        dispatcher = self.inbound.dispatcher
         self.send(
             FrameKind.REPLY,
             ttypes.RelayReply(
                 sequence,
-                int(reply.fate),
+                int(reply.outcome),
                 reply.reason,
                 reply.status,
                 reply.head,
                 reply.body,
-                gate.in_flight,
-                gate.queued,
+                dispatcher.in_flight,
+                dispatcher.queued,
             ),
         )
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/ingress.py
@@ -8,7 +8,7 @@
 
 from eelgrassmount.relay.messages import Call, Origin
 from eelgrassmount.relay.routes import RouteTable, TargetChooser
-from eelgrassmount.relay.sender import Flow
+from eelgrassmount.relay.sender import PendingRequest
 from eelgrassmount.teams.access import judge_key
 from eelgrassmount.verdict import Reason
 
@@ -31,27 +31,27 @@
 
 
 @define(eq=False)
-class Entry:
+class Ingress:
     """Takes requests and decides whether each of them may begin.
 
-    ``note_called`` hears of each route that is asked for on this VM, and
-    ``note_client`` instead where a client must have done so; ``is_inner``
+    ``record_request`` hears of each route that is asked for on this VM, and
+    ``record_client_request`` instead where a client must have done so; ``is_called_by_servers``
     tells whether running servers call a route, whose calls are not refused here.
-    ``is_of_clients`` tells whether clients are seen to use a route.
+    ``is_client_route`` tells whether clients are seen to use a route.
     ``is_current`` tells whether this node knows what stands on the log now.
     """
 
-    own_service: Callable[[], str]
+    get_local_service: Callable[[], str]
     dialect: Dialect
     answers: Answering
     admission: Admission
     quarantine: Quarantine
     clock: Callable[[], float]
     rng: random.Random
-    is_inner: Callable[[str], bool]
-    is_of_clients: Callable[[str], bool]
-    note_called: Callable[[str], None]
-    note_client: Callable[[str], None]
+    is_called_by_servers: Callable[[str], bool]
+    is_client_route: Callable[[str], bool]
+    record_request: Callable[[str], None]
+    record_client_request: Callable[[str], None]
     lineage: Lineage
     is_current: Callable[[], bool]
     quotas: QuotaTaker
@@ -74,7 +74,7 @@
         access = judge_key(table.teams, route.needs_key, head.api_key, self.is_current)
         team = access.team
         if team is not None and team.has_quota():
-            self._take_quota(exchange, head, route, team)
+            self._request_quota(exchange, head, route, team)
         elif access.refusal is None:
             self._admit(exchange, head, route, team)
         elif access.refusal is Reason.API_KEY_UNJUDGED:
@@ -83,7 +83,7 @@
         else:
             self.answers.refuse_access(exchange, head, route.name, access.refusal)
 
-    def _take_quota(
+    def _request_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
     ) -> None:
         """Begin a request if its team's quota allows it.
@@ -108,44 +108,44 @@
     ) -> None:
         """Begin a request unless what it leads to is short of room."""
         if team is None:
-            self.note_called(route.name)
+            self.record_request(route.name)
         else:
-            self.note_client(route.name)
+            self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
-        made = None
+        made_call = None
         # calls of servers have no key
-        if team is None and self._may_be_call(route):
-            made = self._find_caller(exchange, head, route)
-        origin = self._find_origin(route, team, made)
-        call = self._make_call(exchange, head, route, team, deadline_s, origin)
+        if team is None and self._may_be_downstream_call(route):
+            made_call = self._find_caller(exchange, head, route)
+        origin = self._find_origin(route, team, made_call)
+        call = self._create_call(exchange, head, route, team, deadline_s, origin)
         counted = team if team is not None and team.has_quota() else None
-        flow = Flow(exchange, call, made, counted)
-        if not origin.inner and not self.admission.allows(call.demand):
-            self.answers.refuse(flow, Reason.OVERLOAD)
+        pending = PendingRequest(exchange, call, made_call, counted)
+        if not origin.downstream and not self.admission.allows(call.demand):
+            self.answers.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
-            self.answers.refuse(flow, Reason.QUARANTINED)
+            self.answers.refuse(pending, Reason.QUARANTINED)
             return
-        self.answers.begin(flow)
+        self.answers.begin(pending)
 
     def _find_origin(
-        self, route: Route, team: Team | None, made: MadeCall | None
+        self, route: Route, team: Team | None, made_call: MadeCall | None
     ) -> Origin:
         """Return the request that a call belongs to; without a known run, a new one."""
-        if made is not None:
-            return made.make_origin()
-        left = self.lineage.count_runs(route.name)
-        if team is None and self.is_inner(route.name):
+        if made_call is not None:
+            return made_call.make_origin()
+        remaining_runs = self.lineage.count_runs(route.name)
+        if team is None and self.is_called_by_servers(route.name):
             # a call without a known run is refused last
-            return Origin(0, inner=True, left=left)
-        return Origin(self.table.find_rank(route, team), left=left)
+            return Origin(0, downstream=True, remaining_runs=remaining_runs)
+        return Origin(self.table.find_rank(route, team), remaining_runs=remaining_runs)
 
-    def _may_be_call(self, route: Route) -> bool:
+    def _may_be_downstream_call(self, route: Route) -> bool:
         """Tell whether a request without a key may be a call of a server."""
-        if self.is_inner(route.name):
+        if self.is_called_by_servers(route.name):
             return True
         keyed = self.table.teams.is_required and not route.needs_key
-        return keyed and not self.is_of_clients(route.name)
+        return keyed and not self.is_client_route(route.name)
 
     def _find_caller(
         self, exchange: Exchange, head: RequestHead, route: Route
@@ -167,7 +167,7 @@
             remaining_ms = DEFAULT_REMAINING_MS
         return exchange.arrived_s + min(remaining_ms / 1000, route.timeout_s)
 
-    def _make_call(
+    def _create_call(
         self,
         exchange: Exchange,
         head: RequestHead,
@@ -183,7 +183,7 @@
             head.request_id,
             route,
             self.chooser.choose(route, self.rng.random()),
-            self.own_service(),
+            self.get_local_service(),
             exchange.method,
             exchange.target,
             lines,
--- a/eelgrassmount/relay/learning.py
+++ b/eelgrassmount/relay/learning.py
@@ -66,7 +66,7 @@
 def _is_young(beliefs: Beliefs) -> bool:
     """Tell whether the own runs show less than what others know."""
     young = beliefs.clock() - beliefs.started_s < LEARNING_S
-    return young and bool(beliefs.graph.vectors)
+    return young and bool(beliefs.graph.calls_per_run)
 
 
 def apply_vectors(beliefs: Beliefs) -> None:
@@ -75,15 +75,17 @@
     beliefs.client_routes |= find_client_routes(asked)
     beliefs.client_routes &= beliefs.table.routes.keys()
     outlook = beliefs.outlook
-    beliefs.graph.settled |= {
+    beliefs.graph.learned_routes |= {
         name for name, runs in outlook.runs.items() if runs >= SETTLED_RUNS
     }
     merged = pool_vectors(outlook.runs, outlook.calls)
     if not beliefs.knows_clients():
         merged.update(_learn_from_states(beliefs, find_inner_routes(asked)))
     for name, calls in merged.items():
-        if name in beliefs.table.routes and (calls or name in beliefs.graph.vectors):
-            beliefs.graph.put(name, calls)
+        if name in beliefs.table.routes and (
+            calls or name in beliefs.graph.calls_per_run
+        ):
+            beliefs.graph.set_calls(name, calls)
 
 
 def _learn_from_states(
--- a/eelgrassmount/relay/lineage.py
+++ b/eelgrassmount/relay/lineage.py
@@ -93,10 +93,17 @@
         A call whose run is not known is refused last, as it may be an urgent one's.
         """
         if self.run is None:
-            return Origin(0, inner=True, repeated=self.repeated, left=self.size)
+            return Origin(
+                0, downstream=True, within_retry=self.repeated, remaining_runs=self.size
+            )
         above = self.run.call.origin
-        left = max(self.size, above.left - self.run.done)
-        return Origin(above.priority, inner=True, repeated=above.repeated, left=left)
+        left = max(self.size, above.remaining_runs - self.run.done)
+        return Origin(
+            above.priority,
+            downstream=True,
+            within_retry=above.within_retry,
+            remaining_runs=left,
+        )
 
 
 @define
@@ -151,7 +158,7 @@
         now_s = self.clock()
         run = self.runs[job] = Run(call, now_s, now_s + given_s)
         self._by_deadline.setdefault(_round(run.deadline_s), {})[job] = run
-        self._repeated += call.origin.repeated
+        self._repeated += call.origin.within_retry
 
     def end(self, job: object, well: bool = False) -> None:
         """Note that a run has ended, well or not."""
@@ -160,7 +167,7 @@
             return
         if well:
             self.completed.note_run(run.call.route.name, run.calls)
-        self._repeated -= run.call.origin.repeated
+        self._repeated -= run.call.origin.within_retry
         deadline = _round(run.deadline_s)
         found = self._by_deadline[deadline]
         del found[job]
--- a/eelgrassmount/relay/link.py
+++ b/eelgrassmount/relay/link.py
@@ -12,7 +12,7 @@
 
 from eelgrassmount.gen import ttypes
 from eelgrassmount.relay.frames import FrameConnection, FrameKind
-from eelgrassmount.relay.messages import Fate, Reply
+from eelgrassmount.relay.messages import Outcome, Reply
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
@@ -119,11 +119,11 @@
             call.head,
             call.body,
             "",
-            call.origin.inner,
-            call.origin.repeated,
-            call.origin.left,
-            call.asked_before,
-            call.again,
+            call.origin.downstream,
+            call.origin.within_retry,
+            call.origin.remaining_runs,
+            call.counted_as_demand,
+            call.is_retry,
         )
         opened = OpenCall(frame, call, done)
         self.open_calls[sequence] = opened
@@ -183,7 +183,7 @@
         for sequence in waiting:
             opened = self.open_calls.pop(sequence, None)
             if opened is not None:
-                opened.done(Reply(Fate.NOT_RUN, Reason.PEER_LOST))
+                opened.done(Reply(Outcome.NOT_RUN, Reason.PEER_LOST))
         self._close_retired()
 
     def _close_retired(self) -> None:
@@ -362,13 +362,13 @@
                 opened.resumes += 1
                 opened.frame.resumed = True
             elif self.open_calls.pop(sequence, None) is not None:
-                opened.done(Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST))
+                opened.done(Reply(Outcome.MAY_HAVE_RUN, Reason.PEER_LOST))
 
     def _fail_all(self) -> None:
         calls = list(self.open_calls.values())
         self.open_calls.clear()
         for opened in calls:
-            fate = Fate.MAY_HAVE_RUN if opened.written else Fate.NOT_RUN
+            fate = Outcome.MAY_HAVE_RUN if opened.written else Outcome.NOT_RUN
             opened.done(Reply(fate, Reason.PEER_LOST))
         self._close_retired()
 
@@ -406,7 +406,7 @@
         opened = self.open_calls.pop(reply.sequence, None)
         if opened is not None:
             reason = Reason(reply.reason) if reply.reason else None
-            fate = Fate(reply.outcome)
+            fate = Outcome(reply.outcome)
             opened.done(Reply(fate, reason, reply.status, reply.head, reply.body))
         self._close_retired()
 
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -68,7 +68,9 @@
             service
             for name in beliefs.called_before
             if name in routes
-            for service in beliefs.graph.count_calls(routes[name], beliefs.table)
+            for service in beliefs.graph.count_calls_by_service(
+                routes[name], beliefs.table
+            )
         }
 
     def _choose_links(self, service: str) -> list[Member]:
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -16,7 +16,7 @@
     from eelgrassmount.verdict import Reason
 
 
-class Fate(IntEnum):
+class Outcome(IntEnum):
     """Whether a call has its answer, or else whether it may have run."""
 
     ANSWERED = 0
@@ -29,15 +29,15 @@
     """The request of a client that a call belongs to, as far as it is known.
 
     ``priority`` is the request's rank, of which 0 is refused last. A call is
-    ``inner`` if a running server made it, and ``repeated`` if a run that leads to it
-    was a repeat. ``left`` counts the runs that the request still needs, as far as is
+    ``downstream`` if a running server made it, and ``within_retry`` if a run that leads to it
+    was a repeat. ``remaining_runs`` counts the runs that the request still needs, as far as is
     known, this one included.
     """
 
     priority: int
-    inner: bool = False
-    repeated: bool = False
-    left: int = 1
+    downstream: bool = False
+    within_retry: bool = False
+    remaining_runs: int = 1
 
 
 @define(eq=False)
@@ -48,7 +48,7 @@
     there is no answer.
     """
 
-    fate: Fate
+    outcome: Outcome
     reason: Reason | None = None
     status: int = 0
     head: bytes = b""
@@ -60,8 +60,8 @@
     """A request on its way to a backend server.
 
     ``head`` is the block of header lines that goes on to the server unchanged.
-    ``deadline_s`` is on the node's steady clock. It was ``asked_before`` when another
-    gate has counted it, and goes out ``again`` when an earlier sending may have reached
+    ``deadline_s`` is on the node's steady clock. It was ``counted_as_demand`` when another
+    gate has counted it, and goes out ``is_retry`` when an earlier sending may have reached
     a server, so that the retry budget has to hold it.
     """
 
@@ -76,8 +76,8 @@
     arrived_s: float
     deadline_s: float
     origin: Origin
-    asked_before: bool = False
-    again: bool = False
+    counted_as_demand: bool = False
+    is_retry: bool = False
     _digest: str = ""
 
     @property
--- a/eelgrassmount/relay/news.py
+++ b/eelgrassmount/relay/news.py
@@ -18,8 +18,8 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.dispatcher import Job
     from eelgrassmount.relay.frames import FrameTaker
-    from eelgrassmount.relay.gate import Job
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.members import Member
     from eelgrassmount.retry.quarantine import Quarantine
--- a/eelgrassmount/relay/calls.py
+++ b/eelgrassmount/relay/persistent_connections.py
@@ -14,11 +14,11 @@
     from eelgrassmount.http1.client import ClientConnection
     from eelgrassmount.util.addresses import Address
 
-CONNECT_LIMIT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 @define(eq=False)
-class KeptConnections:
+class PersistentConnections:
     """Connections to one address, one for each kind of call.
 
     Nothing is sent a second time from here, because a call without an answer may
@@ -29,13 +29,13 @@
     _connections: dict[str, ClientConnection] = field(factory=dict)
 
     async def call(
-        self, kind: str, data: bytes, limit_s: float
+        self, kind: str, data: bytes, timeout_s: float
     ) -> ClientAnswer | StoreFailure:
         """Send a request and return its answer."""
         connection = self._connections.pop(kind, None)
         if connection is None or connection.closed:
             try:
-                connection = await open_connection(self.address, CONNECT_LIMIT_S)
+                connection = await open_connection(self.address, CONNECT_TIMEOUT_S)
             except OSError as error:
                 return StoreFailure(FailureKind.UNREACHABLE, repr(error))
         outcome: asyncio.Future[ClientAnswer | Break] = (
@@ -48,9 +48,9 @@
 
         connection.send(data, note)
         try:
-            answer = await asyncio.wait_for(outcome, limit_s)
+            answer = await asyncio.wait_for(outcome, timeout_s)
         except TimeoutError:
-            return StoreFailure(FailureKind.UNANSWERED, f"silent for {limit_s} s")
+            return StoreFailure(FailureKind.UNANSWERED, f"silent for {timeout_s} s")
         finally:
             # a connection on which an answer is missing gives nothing further
             if not outcome.done() or outcome.cancelled():
--- a/eelgrassmount/relay/refused.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -12,11 +12,11 @@
     from collections.abc import Callable
 
 # a source that goes on is told of again after so long
-LINE_PERIOD_S = 60.0
+LOG_INTERVAL_S = 60.0
 # sources and causes that are told apart; those beyond are counted only
-MAX_TOLD = 256
+MAX_TRACKED_CAUSES = 256
 # characters of a source or an error in a line
-MAX_SHOWN = 200
+MAX_SHOWN_CHARS = 200
 
 
 class MessageKind(StrEnum):
@@ -30,15 +30,15 @@
 
 
 @define(eq=False)
-class RefusedMessages:
+class RejectedMessages:
     """Counts messages that were not taken up, by kind.
 
-    A line is written once in `LINE_PERIOD_S` for each source and cause, so that a
+    A line is written once in `LOG_INTERVAL_S` for each source and cause, so that a
     writer which never stops does not fill the logs. ``count`` raises the counter of
     a kind.
 
-        >>> refused = RefusedMessages(clock=lambda: 0.0)
-        >>> refused.note(MessageKind.NODE, "key-1", "address", "address: 'x'")
+        >>> refused = RejectedMessages(clock=lambda: 0.0)
+        >>> refused.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
         >>> refused.totals["node-record"]
         1
     """
@@ -46,9 +46,9 @@
     clock: Callable[[], float]
     count: Callable[[str, int], None] = lambda kind, messages: None
     totals: dict[str, int] = field(factory=dict)
-    _told_s: dict[tuple[str, str, str], float] = field(factory=dict)
+    _logged_s: dict[tuple[str, str, str], float] = field(factory=dict)
 
-    def note(
+    def record(
         self,
         kind: MessageKind,
         source: str,
@@ -59,33 +59,33 @@
         """Count messages; ``cause`` is one of a few, ``detail`` is for people."""
         self.totals[kind] = self.totals.get(kind, 0) + messages
         self.count(kind, messages)
-        if self._may_tell((kind, source[:MAX_SHOWN], cause)):
+        if self._may_log((kind, source[:MAX_SHOWN_CHARS], cause)):
             # a configuration is the operator's, and meant for all nodes
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
-                "message not taken up",
+                "message rejected",
                 kind=str(kind),
-                source=source[:MAX_SHOWN],
-                cause=detail[:MAX_SHOWN],
+                source=source[:MAX_SHOWN_CHARS],
+                cause=detail[:MAX_SHOWN_CHARS],
                 refused=self.totals[kind],
             )
 
-    def _may_tell(self, key: tuple[str, str, str]) -> bool:
+    def _may_log(self, key: tuple[str, str, str]) -> bool:
         now_s = self.clock()
-        if key not in self._told_s and len(self._told_s) >= MAX_TOLD:
-            self._forget(now_s)
-            if len(self._told_s) >= MAX_TOLD:
+        if key not in self._logged_s and len(self._logged_s) >= MAX_TRACKED_CAUSES:
+            self._remove_expired(now_s)
+            if len(self._logged_s) >= MAX_TRACKED_CAUSES:
                 return False
-        told_s = self._told_s.get(key)
-        if told_s is not None and now_s - told_s < LINE_PERIOD_S:
+        logged_s = self._logged_s.get(key)
+        if logged_s is not None and now_s - logged_s < LOG_INTERVAL_S:
             return False
-        self._told_s[key] = now_s
+        self._logged_s[key] = now_s
         return True
 
-    def _forget(self, now_s: float) -> None:
-        self._told_s = {
-            key: told_s
-            for key, told_s in self._told_s.items()
-            if now_s - told_s < LINE_PERIOD_S
+    def _remove_expired(self, now_s: float) -> None:
+        self._logged_s = {
+            key: logged_s
+            for key, logged_s in self._logged_s.items()
+            if now_s - logged_s < LOG_INTERVAL_S
         }
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -23,10 +23,10 @@
     from eelgrassmount.relay.routes import Route
 
 # noise on the scores, so that nodes that know the same don't all choose the same
-NOISE = 0.05
+SCORE_NOISE_SHARE = 0.05
 # every so many choices go to the node that has been unused for longest, so that
 # what is believed of it is found out to be still true
-EXPLORE_PERIOD = 100
+EXPLORATION_INTERVAL = 100
 # of a larger service, so many nodes are looked at for one choice
 MAX_CANDIDATES = 12
 
@@ -39,19 +39,19 @@
     failure_domain: str
     clock: Callable[[], float]
     rng: random.Random
-    find_allowance: Callable[[Route], float] = lambda route: route.objective_s
-    _choices: int = 0
-    _sizes: dict[str, float] = field(factory=dict)
+    find_time_allowance: Callable[[Route], float] = lambda route: route.objective_s
+    _choice_count: int = 0
+    _mean_sizes: dict[str, float] = field(factory=dict)
 
-    def note_size(self, route_name: str, size_bytes: int) -> None:
+    def record_size(self, route_name: str, size_bytes: int) -> None:
         """Take up the size of a call's body with that of its answer."""
-        known = self._sizes.get(route_name, float(size_bytes))
-        self._sizes[route_name] = known + SIZE_WEIGHT * (size_bytes - known)
+        known = self._mean_sizes.get(route_name, float(size_bytes))
+        self._mean_sizes[route_name] = known + SIZE_WEIGHT * (size_bytes - known)
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
         """Forget the sizes of all other routes."""
-        self._sizes = {
-            name: size for name, size in self._sizes.items() if knows_route(name)
+        self._mean_sizes = {
+            name: size for name, size in self._mean_sizes.items() if knows_route(name)
         }
 
     def choose(
@@ -63,29 +63,31 @@
             return None
         connected = [one for one in candidates if one.is_connected()]
         candidates = connected or candidates
-        self._choices += 1
-        if self._choices % EXPLORE_PERIOD == 0:
+        self._choice_count += 1
+        if self._choice_count % EXPLORATION_INTERVAL == 0:
             return min(candidates, key=lambda member: member.used_s)
-        return self._find_cheapest(candidates, route)
+        return self._find_lowest_cost(candidates, route)
 
-    def _find_cheapest(self, candidates: list[Member], route: Route) -> Member:
+    def _find_lowest_cost(self, candidates: list[Member], route: Route) -> Member:
         # it is the most frequent work of a node: one pass, without calls that each
         # candidate would need anew
         name = route.name
         own_domain = self.failure_domain
-        allowed_s = self.find_allowance(route)
-        far_s = measure_far(self._sizes.get(name, USUAL_BYTES)) * allowed_s
-        typical_s = -1.0
+        allowed_s = self.find_time_allowance(route)
+        cross_domain_s = (
+            measure_far(self._mean_sizes.get(name, USUAL_BYTES)) * allowed_s
+        )
+        mean_run_s = -1.0
         draw = self.rng.random
         best = candidates[0]
-        least = math.inf
+        lowest = math.inf
         for member in candidates:
             load = member.load
             run_s = load.run_s.get(name)
             if run_s is None:
-                if typical_s < 0.0:
-                    typical_s = self._find_typical(candidates, route)
-                run_s = typical_s
+                if mean_run_s < 0.0:
+                    mean_run_s = self._compute_mean_run_s(candidates, route)
+                run_s = mean_run_s
             expected_s = expect_time(
                 run_s, load.in_flight + load.queued + member.sent_since, load.limit
             )
@@ -93,10 +95,10 @@
                 expected_s, allowed_s, load.failure_share, route.objective_s
             )
             if member.failure_domain != own_domain:
-                score += far_s
-            score *= 1.0 - NOISE + 2.0 * NOISE * draw()
-            if score < least:
-                least = score
+                score += cross_domain_s
+            score *= 1.0 - SCORE_NOISE_SHARE + 2.0 * SCORE_NOISE_SHARE * draw()
+            if score < lowest:
+                lowest = score
                 best = member
         return best
 
@@ -108,10 +110,10 @@
         """
         now_s = self.clock()
         known = self.members.list_service(service)
-        looked_at = known
+        considered = known
         if len(known) > MAX_CANDIDATES:
-            looked_at = self._sample(known)
-        for members in (looked_at, known):
+            considered = self._sample(known)
+        for members in (considered, known):
             found = [
                 member
                 for member in members
@@ -121,37 +123,37 @@
                 return found
         return []
 
-    def list_others(self, service: str, names: Collection[str]) -> set[str]:
+    def list_other_nodes(self, service: str, names: Collection[str]) -> set[str]:
         """Return the names of a service's nodes but for those given."""
         known = self.members.list_service(service)
         return {member.name for member in known if member.name not in names}
 
-    def list_failures(self, service: str) -> list[float]:
+    def list_failure_shares(self, service: str) -> list[float]:
         """Return the share of runs of each server of a service that ended badly."""
         return [
             one.load.failure_share + one.load.lost_share
             for one in self.members.list_service(service)
         ]
 
-    def find_usual(self, service: str, route: Route) -> float:
+    def find_mean_run_s(self, service: str, route: Route) -> float:
         """Return the mean duration in seconds of a route's runs, 0 if none is known."""
-        return self._find_typical(self.members.list_service(service), route)
+        return self._compute_mean_run_s(self.members.list_service(service), route)
 
-    def has_choice(self, service: str, excluded: Container[str]) -> bool:
+    def has_candidate(self, service: str, excluded: Container[str]) -> bool:
         """Tell whether a node outside of those excluded may be sent a call."""
         return bool(self._list_candidates(service, excluded))
 
     def _sample(self, candidates: Collection[Member]) -> list[Member]:
-        near = [one for one in candidates if self._is_near(one)]
-        far = [one for one in candidates if not self._is_near(one)]
+        local = [one for one in candidates if self._is_local(one)]
+        remote = [one for one in candidates if not self._is_local(one)]
         half = MAX_CANDIDATES // 2
-        chosen = self.rng.sample(near, min(len(near), MAX_CANDIDATES - half))
-        return chosen + self.rng.sample(far, min(len(far), half))
+        chosen = self.rng.sample(local, min(len(local), MAX_CANDIDATES - half))
+        return chosen + self.rng.sample(remote, min(len(remote), half))
 
-    def _is_near(self, member: Member) -> bool:
+    def _is_local(self, member: Member) -> bool:
         return member.failure_domain == self.failure_domain
 
-    def _find_typical(self, candidates: Iterable[Member], route: Route) -> float:
+    def _compute_mean_run_s(self, candidates: Iterable[Member], route: Route) -> float:
         known = [
             member.load.run_s[route.name]
             for member in candidates
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -1,4 +1,4 @@
-"""The sending of requests to servers, and again where that is allowed."""
+"""The attempt of requests to servers, and again where that is allowed."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from attrs import define, evolve, field
 
 from eelgrassmount.policy.repeats import is_in_vain
-from eelgrassmount.relay.gate import Job
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.measures import SILENT_SHARE, SILENT_TIMES
-from eelgrassmount.relay.messages import Call, Fate, Reply
+from eelgrassmount.relay.messages import Call, Outcome, Reply
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.gate import Gate
+    from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.lineage import MadeCall
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.metrics import RelayMetrics
@@ -36,18 +36,18 @@
 # are rejected, hardly one is so often
 MAX_REJECTIONS = 8
 # status of a server's answer at the end of the time that it was given
-TIMED_OUT = 504
+GATEWAY_TIMEOUT = 504
 # time that a call must have left to be sent again
-REPEAT_ROOM_S = 0.02
+MIN_RETRY_TIME_S = 0.02
 
 
 # reasons for which no other node would take a call either
-_FINAL = (Reason.QUARANTINED, Reason.DEADLINE)
+_FINAL_REASONS = (Reason.QUARANTINED, Reason.DEADLINE)
 
 
 @define(eq=False)
-class Sending:
-    """One sending of a request, to a server beside this node or elsewhere."""
+class Attempt:
+    """One attempt of a request, to a server beside this node or elsewhere."""
 
     member: Member
     job: Job | None = None
@@ -55,28 +55,28 @@
 
 
 @define(eq=False)
-class Flow:
+class PendingRequest:
     """One request while it has no answer.
 
-    ``made`` names the run that has made it, if it is a call of the server here, and
+    ``made_call`` names the run that has made it, if it is a call of the server here, and
     ``team`` is that of its client, if it counts for a quota.
-    ``last`` is the latest reply and ``server`` the node that gave it; ``attempts``
-    counts the sendings that may have reached a server, ``refusals`` those that have
+    ``last_reply`` is the latest reply and ``server`` the node that gave it; ``attempts``
+    counts the attempts that may have rejecting_nodes a server, ``refusals`` those that have
     not, of which servers gave ``rejections``, and ``budget_refusals`` the gates that
-    held no repeat for it; ``reached`` names the nodes whose servers
+    held no repeat for it; ``rejecting_nodes`` names the nodes whose servers
     have read the call. ``tried`` names the nodes that were asked, in their order, and
-    ``excluded`` those that are not to be asked again. ``current`` is the latest
-    sending. ``spare`` is one whose server was silent when another was asked: its answer
+    ``excluded`` those that are not to be asked again. ``current_attempt`` is the latest
+    attempt. ``silent_attempt`` is one whose server was silent when another was asked: its answer
     counts if it comes first.
     """
 
     exchange: Exchange
     call: Call
-    made: MadeCall | None = None
+    made_call: MadeCall | None = None
     team: Team | None = None
     timer: asyncio.TimerHandle | None = None
-    current: Sending | None = None
-    spare: Sending | None = None
+    current_attempt: Attempt | None = None
+    silent_attempt: Attempt | None = None
     attempts: int = 0
     refusals: int = 0
     rejections: int = 0
@@ -84,22 +84,22 @@
     may_have_run: bool = False
     ended: bool = False
     excluded: set[str] = field(factory=set)
-    reached: set[str] = field(factory=set)
+    rejecting_nodes: set[str] = field(factory=set)
     tried: list[str] = field(factory=list)
-    last: Reply | None = None
+    last_reply: Reply | None = None
     server: str = ""
 
 
-class Answers(Protocol):
+class Responder(Protocol):
     """Gives a request its one answer."""
 
-    def deliver(self, flow: Flow, reply: Reply) -> None:
+    def deliver(self, pending: PendingRequest, reply: Reply) -> None:
         """Hand the answer of a server on."""
 
-    def give_up(self, flow: Flow) -> None:
+    def give_up(self, pending: PendingRequest) -> None:
         """Answer a request that no server answers."""
 
-    def time_out(self, flow: Flow) -> None:
+    def time_out(self, pending: PendingRequest) -> None:
         """Answer a request at its deadline."""
 
 
@@ -111,242 +111,264 @@
     gate that it comes to refuses it unless the retry budget holds it.
     """
 
-    own_name: str
+    local_name: str
     router: Router
-    gate: Gate
+    dispatcher: Dispatcher
     admission: Admission
     decisions: DecisionLog
     metrics: RelayMetrics
     clock: Callable[[], float]
     open_link: Callable[[Member], None]
-    answers: Answers = field(init=False)
+    answers: Responder = field(init=False)
 
-    def begin(self, flow: Flow) -> None:
+    def start(self, pending: PendingRequest) -> None:
         """Send a request to a server, and again where that is allowed."""
-        call = flow.call
+        call = pending.call
         if call.route.idempotent:
-            self._wake(flow, SILENT_SHARE * call.route.objective_s)
+            self._schedule_check(pending, SILENT_SHARE * call.route.objective_s)
         else:
-            self._wake(flow, math.inf)
-        self._send(flow)
+            self._schedule_check(pending, math.inf)
+        self._send(pending)
 
-    def _wake(self, flow: Flow, patience_s: float) -> None:
+    def _schedule_check(self, pending: PendingRequest, delay_s: float) -> None:
         """Look at a flow again after its patience, or at its deadline if sooner."""
-        remaining_s = max(0.0, flow.call.deadline_s - self.clock())
+        remaining_s = max(0.0, pending.call.deadline_s - self.clock())
         loop = asyncio.get_running_loop()
-        if patience_s < remaining_s:
-            flow.timer = loop.call_later(patience_s, self._leave_silent, flow)
+        if delay_s < remaining_s:
+            pending.timer = loop.call_later(delay_s, self._retry_if_silent, pending)
         else:
-            flow.timer = loop.call_later(remaining_s, self.answers.time_out, flow)
+            pending.timer = loop.call_later(remaining_s, self.answers.time_out, pending)
 
-    def _leave_silent(self, flow: Flow) -> None:
+    def _retry_if_silent(self, pending: PendingRequest) -> None:
         """Ask another server when the one that was asked stays silent.
 
-        Not under overload, when all are slow and each sending more makes it worse.
+        Not under overload, when all are slow and each attempt more makes it worse.
         """
-        call = flow.call
-        usual_s = self.router.find_usual(call.service, call.route)
+        call = pending.call
+        mean_run_s = self.router.find_mean_run_s(call.service, call.route)
         waited_s = self.clock() - call.arrived_s
-        missing_s = SILENT_TIMES * usual_s - waited_s
-        if missing_s > 0.0:
-            self._wake(flow, missing_s)
+        remaining_wait_s = SILENT_TIMES * mean_run_s - waited_s
+        if remaining_wait_s > 0.0:
+            self._schedule_check(pending, remaining_wait_s)
             return
-        self._wake(flow, math.inf)
-        current = flow.current
-        if current is None or self.admission.find_level(call.service) < 1.0:
+        self._schedule_check(pending, math.inf)
+        current = pending.current_attempt
+        if current is None or self.admission.find_admitted_fraction(call.service) < 1.0:
             return
         member = current.member
-        if not self.router.has_choice(call.service, {*flow.excluded, member.name}):
+        if not self.router.has_candidate(
+            call.service, {*pending.excluded, member.name}
+        ):
             return
-        # the sending that is left counts, as it may have reached its server
-        attempts = flow.attempts + 1
-        if attempts >= call.route.max_attempts or not self._may_send_again(call):
+        # the attempt that is left counts, as it may have rejecting_nodes its server
+        attempts = pending.attempts + 1
+        if attempts >= call.route.max_attempts or not self._has_time_to_retry(call):
             return
-        flow.attempts = attempts
-        flow.spare = current
-        flow.current = None
-        self._repeat(flow, member, Reason.SERVER_SILENT)
-
-    def _send(self, flow: Flow) -> None:
-        call = flow.call
-        member = self.router.choose(call.service, call.route, flow.excluded)
+        pending.attempts = attempts
+        pending.silent_attempt = current
+        pending.current_attempt = None
+        self._retry(pending, member, Reason.SERVER_SILENT)
+
+    def _send(self, pending: PendingRequest) -> None:
+        call = pending.call
+        member = self.router.choose(call.service, call.route, pending.excluded)
         if member is None:
-            self._give_up(flow)
+            self._give_up(pending)
             return
-        flow.tried.append(member.name)
+        pending.tried.append(member.name)
         member.used_s = self.clock()
         member.sent_since += 1
-        sending = flow.current = Sending(member)
+        attempt = pending.current_attempt = Attempt(member)
 
         def note(reply: Reply) -> None:
-            sending.job = None
-            if sending is flow.current:
-                self._note_reply(flow, member, reply)
-            elif sending is flow.spare:
-                self._note_spare(flow, member, reply)
-
-        if member.name == self.own_name:
-            job = sending.job = Job(call, note)
-            self.gate.offer(job)
+            attempt.job = None
+            if attempt is pending.current_attempt:
+                self._handle_reply(pending, member, reply)
+            elif attempt is pending.silent_attempt:
+                self._handle_silent_reply(pending, member, reply)
+
+        if member.name == self.local_name:
+            job = attempt.job = Job(call, note)
+            self.dispatcher.submit(job)
         else:
             if member.link is None:
                 self.open_link(member)
-            sending.sequence = member.link.call(call, note)
+            attempt.sequence = member.link.call(call, note)
 
-    def _give_up(self, flow: Flow) -> None:
+    def _give_up(self, pending: PendingRequest) -> None:
         """End a request that no further server takes, unless one is at work on it."""
-        if flow.spare is None:
-            self.answers.give_up(flow)
-
-    def _note_spare(self, flow: Flow, member: Member, reply: Reply) -> None:
-        """Take the answer of a server that was silent; the sending is counted."""
-        flow.spare = None
-        if reply.fate is not Fate.NOT_RUN:
-            flow.may_have_run = True
-        if reply.fate is Fate.ANSWERED and reply.status < 500:
-            flow.server = member.name
-            self.answers.deliver(flow, reply)
-        elif flow.current is None:
-            if flow.last is None or flow.last.fate is not Fate.ANSWERED:
-                flow.last = reply
-                flow.server = member.name
-            self.answers.give_up(flow)
-
-    def _note_reply(self, flow: Flow, member: Member, reply: Reply) -> None:
-        flow.current = None
+        if pending.silent_attempt is None:
+            self.answers.give_up(pending)
+
+    def _handle_silent_reply(
+        self, pending: PendingRequest, member: Member, reply: Reply
+    ) -> None:
+        """Take the answer of a server that was silent; the attempt is counted."""
+        pending.silent_attempt = None
+        if reply.outcome is not Outcome.NOT_RUN:
+            pending.may_have_run = True
+        if reply.outcome is Outcome.ANSWERED and reply.status < 500:
+            pending.server = member.name
+            self.answers.deliver(pending, reply)
+        elif pending.current_attempt is None:
+            if (
+                pending.last_reply is None
+                or pending.last_reply.outcome is not Outcome.ANSWERED
+            ):
+                pending.last_reply = reply
+                pending.server = member.name
+            self.answers.give_up(pending)
+
+    def _handle_reply(
+        self, pending: PendingRequest, member: Member, reply: Reply
+    ) -> None:
+        pending.current_attempt = None
         if reply.reason is Reason.RETRY_BUDGET:
-            self._note_budget_spent(flow, member)
+            self._handle_budget_refusal(pending, member)
             return
-        flow.last = reply
-        flow.server = member.name
-        if reply.fate is Fate.ANSWERED:
-            self._note_answer(flow, member, reply)
-        elif reply.fate is Fate.NOT_RUN:
-            self._note_refusal(flow, member, reply)
+        pending.last_reply = reply
+        pending.server = member.name
+        if reply.outcome is Outcome.ANSWERED:
+            self._handle_answer(pending, member, reply)
+        elif reply.outcome is Outcome.NOT_RUN:
+            self._handle_refusal(pending, member, reply)
         else:
-            self._note_loss(flow, member, reply)
+            self._handle_loss(pending, member, reply)
 
-    def _note_answer(self, flow: Flow, member: Member, reply: Reply) -> None:
-        flow.attempts += 1
+    def _handle_answer(
+        self, pending: PendingRequest, member: Member, reply: Reply
+    ) -> None:
+        pending.attempts += 1
         if reply.status >= 500:
-            flow.may_have_run = True
+            pending.may_have_run = True
             # a server that has used up the time it was given would do so again
-            hopeless = reply.status == TIMED_OUT or self._is_in_vain(flow.call)
-            if not hopeless and self._may_repeat(flow):
-                self._repeat(flow, member, f"status-{reply.status}")
+            futile = reply.status == GATEWAY_TIMEOUT or self._is_retry_futile(
+                pending.call
+            )
+            if not futile and self._may_retry(pending):
+                self._retry(pending, member, f"status-{reply.status}")
             else:
-                self._give_up(flow)
+                self._give_up(pending)
             return
-        size_bytes = len(flow.call.body) + len(reply.body)
-        self.router.note_size(flow.call.route.name, size_bytes)
-        self.answers.deliver(flow, reply)
-
-    def _note_refusal(self, flow: Flow, member: Member, reply: Reply) -> None:
-        flow.refusals += 1
-        flow.excluded.add(member.name)
+        size_bytes = len(pending.call.body) + len(reply.body)
+        self.router.record_size(pending.call.route.name, size_bytes)
+        self.answers.deliver(pending, reply)
+
+    def _handle_refusal(
+        self, pending: PendingRequest, member: Member, reply: Reply
+    ) -> None:
+        pending.refusals += 1
+        pending.excluded.add(member.name)
         if reply.reason in (Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING):
             # until its next report says otherwise
             member.load.accepting = False
             member.load.reported_s = self.clock()
         if reply.reason is Reason.SERVER_SHED:
-            self._note_rejection(flow, member)
+            self._handle_rejection(pending, member)
             return
-        if flow.refusals >= MAX_REFUSALS or reply.reason in _FINAL:
-            self._give_up(flow)
+        if pending.refusals >= MAX_REFUSALS or reply.reason in _FINAL_REASONS:
+            self._give_up(pending)
             return
         self.metrics.count_retry(reply.reason)
         if reply.reason is Reason.OVERLOAD:
-            flow.call.asked_before = True
-        self._send(flow)
+            pending.call.counted_as_demand = True
+        self._send(pending)
 
-    def _note_budget_spent(self, flow: Flow, member: Member) -> None:
+    def _handle_budget_refusal(self, pending: PendingRequest, member: Member) -> None:
         """Ask one more gate for a repeat, and then end with what came before it."""
-        flow.budget_refusals += 1
-        flow.excluded.add(member.name)
+        pending.budget_refusals += 1
+        pending.excluded.add(member.name)
         self.metrics.count_retry(Reason.RETRY_BUDGET)
-        if flow.budget_refusals < MAX_BUDGET_REFUSALS:
-            self._send(flow)
+        if pending.budget_refusals < MAX_BUDGET_REFUSALS:
+            self._send(pending)
         else:
-            self._give_up(flow)
+            self._give_up(pending)
 
-    def _note_rejection(self, flow: Flow, member: Member) -> None:
+    def _handle_rejection(self, pending: PendingRequest, member: Member) -> None:
         """Send a call again that its server has read and not run, if it may be.
 
         The most servers that one request may be sent to holds, but those that have
         rejected it may be asked again: while all reject many of their calls, a request
         with several would else hardly ever be finished.
         """
-        flow.rejections += 1
-        flow.reached.add(member.name)
-        spent = flow.rejections + flow.attempts >= MAX_REJECTIONS
-        if spent or not self._may_send_again(flow.call):
-            self._give_up(flow)
+        pending.rejections += 1
+        pending.rejecting_nodes.add(member.name)
+        spent = pending.rejections + pending.attempts >= MAX_REJECTIONS
+        if spent or not self._has_time_to_retry(pending.call):
+            self._give_up(pending)
             return
-        if len(flow.reached) + flow.attempts >= flow.call.route.max_attempts:
-            service = flow.call.service
-            flow.excluded = self.router.list_others(service, flow.reached)
-        self._mark_repeated(flow)
-        flow.call.asked_before = True
+        if (
+            len(pending.rejecting_nodes) + pending.attempts
+            >= pending.call.route.max_attempts
+        ):
+            service = pending.call.service
+            pending.excluded = self.router.list_other_nodes(
+                service, pending.rejecting_nodes
+            )
+        self._mark_retry(pending)
+        pending.call.counted_as_demand = True
         self.metrics.count_retry(Reason.SERVER_SHED)
-        self._send(flow)
-
-    def _mark_repeated(self, flow: Flow) -> None:
-        """Let the next sending count as a repeat, and the calls of its run too."""
-        call = flow.call
-        call.again = True
-        call.origin = evolve(call.origin, repeated=True)
-
-    def _note_loss(self, flow: Flow, member: Member, reply: Reply) -> None:
-        flow.attempts += 1
-        flow.may_have_run = True
-        if self._may_repeat(flow):
-            self._repeat(flow, member, reply.reason)
+        self._send(pending)
+
+    def _mark_retry(self, pending: PendingRequest) -> None:
+        """Let the next attempt count as a repeat, and the calls of its run too."""
+        call = pending.call
+        call.is_retry = True
+        call.origin = evolve(call.origin, within_retry=True)
+
+    def _handle_loss(
+        self, pending: PendingRequest, member: Member, reply: Reply
+    ) -> None:
+        pending.attempts += 1
+        pending.may_have_run = True
+        if self._may_retry(pending):
+            self._retry(pending, member, reply.reason)
         else:
-            self._give_up(flow)
+            self._give_up(pending)
 
-    def _may_repeat(self, flow: Flow) -> bool:
-        route = flow.call.route
-        reached = len(flow.reached) + flow.attempts
-        if not route.idempotent or reached >= route.max_attempts:
+    def _may_retry(self, pending: PendingRequest) -> bool:
+        route = pending.call.route
+        rejecting_nodes = len(pending.rejecting_nodes) + pending.attempts
+        if not route.idempotent or rejecting_nodes >= route.max_attempts:
             return False
-        return self._may_send_again(flow.call)
+        return self._has_time_to_retry(pending.call)
 
-    def _is_in_vain(self, call: Call) -> bool:
+    def _is_retry_futile(self, call: Call) -> bool:
         """Tell whether a run that makes calls would only fail by them again."""
-        calls = self.admission.graph.vectors.get(call.route.name)
-        return bool(calls) and is_in_vain(self.router.list_failures(call.service))
+        calls = self.admission.graph.calls_per_run.get(call.route.name)
+        return bool(calls) and is_in_vain(self.router.list_failure_shares(call.service))
 
-    def _may_send_again(self, call: Call) -> bool:
-        return call.deadline_s - self.clock() >= REPEAT_ROOM_S
+    def _has_time_to_retry(self, call: Call) -> bool:
+        return call.deadline_s - self.clock() >= MIN_RETRY_TIME_S
 
-    def _repeat(self, flow: Flow, member: Member, reason: str) -> None:
-        flow.excluded.add(member.name)
-        self._mark_repeated(flow)
+    def _retry(self, pending: PendingRequest, member: Member, reason: str) -> None:
+        pending.excluded.add(member.name)
+        self._mark_retry(pending)
         self.metrics.count_retry(reason)
-        self.decisions.note(
+        self.decisions.record(
             "sent again",
-            flow.call.request_id,
+            pending.call.request_id,
             str(reason),
-            route=flow.call.route.name,
+            route=pending.call.route.name,
             after=member.name,
-            attempts=flow.attempts,
+            attempts=pending.attempts,
         )
-        self._send(flow)
+        self._send(pending)
 
-    def cancel(self, flow: Flow) -> None:
+    def cancel(self, pending: PendingRequest) -> None:
         """Give up what was sent and has no reply, which is not heard any more."""
-        sendings = (flow.current, flow.spare)
-        flow.current = None
-        flow.spare = None
-        for sending in sendings:
-            if sending is not None:
-                self._cancel(sending)
-
-    def _cancel(self, sending: Sending) -> None:
-        job = sending.job
-        link = sending.member.link
-        sending.job = None
+        attempts = (pending.current_attempt, pending.silent_attempt)
+        pending.current_attempt = None
+        pending.silent_attempt = None
+        for attempt in attempts:
+            if attempt is not None:
+                self._cancel(attempt)
+
+    def _cancel(self, attempt: Attempt) -> None:
+        job = attempt.job
+        link = attempt.member.link
+        attempt.job = None
         if job is not None:
-            self.gate.cancel(job)
+            self.dispatcher.cancel(job)
         elif link is not None:
-            link.cancel(sending.sequence)
+            link.cancel(attempt.sequence)
--- a/eelgrassmount/relay/state.py
+++ b/eelgrassmount/relay/state.py
@@ -190,17 +190,17 @@
         {name: round(one.level, 3) for name, one in beliefs.levels.items()},
         [
             ShareState(demand.route_name, demand.rank, round(share, 3))
-            for demand, share in sorted(node.admission.shares.items())
+            for demand, share in sorted(node.admission.admitted_fractions.items())
         ],
         {
             name: {called: round(count, 2) for called, count in calls.items()}
-            for name, calls in beliefs.graph.vectors.items()
+            for name, calls in beliefs.graph.calls_per_run.items()
         },
         {
             name: round(beliefs.find_allowance(route), 3)
             for name, route in routes.items()
         },
-        _read_budgets(node.gate.budget),
+        _read_budgets(node.dispatcher.budget),
         [
             _read_member(one, now_s)
             for one in beliefs.members.by_name.values()
@@ -250,7 +250,7 @@
 
 def _read_server(node: RelayNode, now_s: float) -> ServerState:
     server = node.beliefs.server
-    gate = node.gate
+    dispatcher = node.dispatcher
     known = server.incarnation or ServerIncarnation("")
     return ServerState(
         known.identity,
@@ -258,11 +258,11 @@
         str(server.find_refusal(now_s) or ""),
         server.slots,
         server.compute_limit(),
-        gate.in_flight,
-        gate.queued,
-        round(gate.measures.load.demand, 3),
-        round(gate.measures.load.wait, 3),
-        round(gate.measures.failure_share, 3),
+        dispatcher.in_flight,
+        dispatcher.queued,
+        round(dispatcher.measures.load.demand, 3),
+        round(dispatcher.measures.load.wait, 3),
+        round(dispatcher.measures.failure_share, 3),
     )
 
 
--- a/eelgrassmount/topics/learned.py
+++ b/eelgrassmount/topics/learned.py
@@ -51,10 +51,10 @@
         self._kept = read_rows(record.calls)
         graph = self.beliefs.graph
         for name, calls in self._kept.items():
-            room = len(graph.vectors) < MAX_ROUTES
-            new = name not in graph.vectors
+            room = len(graph.calls_per_run) < MAX_ROUTES
+            new = name not in graph.calls_per_run
             if new and room and self.beliefs.knows_route(name):
-                graph.put(name, calls)
+                graph.set_calls(name, calls)
 
     def forget_kept(self) -> None:
         """Suppose that nothing is kept, until a record is found."""
@@ -65,7 +65,7 @@
         beliefs = self.beliefs
         now_s = beliefs.clock()
         vectors = {
-            name: calls for name, calls in beliefs.graph.vectors.items() if calls
+            name: calls for name, calls in beliefs.graph.calls_per_run.items() if calls
         }
         if not is_same(vectors, self._seen):
             self._seen = vectors
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -264,13 +264,13 @@
         a surge, all that is begun meanwhile may be lost.
         """
         beliefs = self.beliefs
-        learning = beliefs.called_before and not beliefs.graph.is_mature()
+        learning = beliefs.called_before and not beliefs.graph.has_learned_calls()
         return LEARNING_PERIOD_S if learning else PERIOD_S
 
     def _find_count_period(self) -> float:
         """Return the seconds between two exchanges of counts."""
         beliefs = self.beliefs
-        known = beliefs.graph.is_mature()
+        known = beliefs.graph.has_learned_calls()
         short = any(control.level < 1.0 for control in beliefs.levels.values())
         return self._find_period() if short or not known else CALM_PERIOD_S
 
--- a/tests/cmd/test_status.py
+++ b/tests/cmd/test_status.py
@@ -6,7 +6,7 @@
 
 from eelgrassmount.cmd.status import _format_relay
 from eelgrassmount.compose.relay import build_relay
-from eelgrassmount.relay.refused import MessageKind
+from eelgrassmount.relay.rejected_messages import MessageKind
 from eelgrassmount.relay.state import read_state
 from tests.relay.lone_node import SETTINGS
 
@@ -14,8 +14,8 @@
 def test_messages_that_were_not_taken_up_are_counted():
     node = build_relay(SETTINGS)
     assert not any("not taken up" in line for line in print_state(node))
-    node.refused.note(MessageKind.ANNOUNCEMENT, "10.0.0.1", "body", "not JSON")
-    node.refused.note(MessageKind.NODE, "node-2", "address", "no address")
+    node.refused.record(MessageKind.ANNOUNCEMENT, "10.0.0.1", "body", "not JSON")
+    node.refused.record(MessageKind.NODE, "node-2", "address", "no address")
     assert "not taken up   1 announcement, 1 node-record" in print_state(node)
 
 
--- a/tests/policy/test_repeats.py
+++ b/tests/policy/test_repeats.py
@@ -52,10 +52,10 @@
     def run(self) -> None:
         for _ in range(7000):
             self.now_s += 10.0 / 7000
-            self.budget.note_request("part")
+            self.budget.count_request("part")
         while self._events:
             self.now_s, _, priority, left = heapq.heappop(self._events)
-            self.budget.note_request("part")
+            self.budget.count_request("part")
             if self._call(priority, left):
                 if left == 1:
                     self.finished[priority] += 1
@@ -63,7 +63,9 @@
                     self._push(self.now_s + CALL_S, priority, left - 1)
 
     def _call(self, priority: int, left: int) -> bool:
-        origin = Origin(priority if self.keeps else 0, left=left if self.keeps else 1)
+        origin = Origin(
+            priority if self.keeps else 0, remaining_runs=left if self.keeps else 1
+        )
         for _ in range(MAX_SENDINGS):
             if self.rng.random() < ACCEPTED:
                 return True
--- a/tests/relay/test_budget.py
+++ b/tests/relay/test_budget.py
@@ -29,9 +29,9 @@
     ]
 
 
-def take_all(budget: RetryBudget, origin: Origin = FIRST, ends_chain: bool = True):
+def take_all(budget: RetryBudget, origin: Origin = FIRST, is_leaf: bool = True):
     taken = 0
-    while budget.take("list", origin, ends_chain):
+    while budget.take("list", origin, is_leaf):
         taken += 1
     return taken
 
@@ -45,13 +45,13 @@
     return taken
 
 
-@pytest.mark.parametrize("ends_chain", [True, False])
-def test_sum_over_all_nodes_stays_in_the_budget(ends_chain):
+@pytest.mark.parametrize("is_leaf", [True, False])
+def test_sum_over_all_nodes_stays_in_the_budget(is_leaf):
     retries = 0
     for budget in make_budgets(lambda: 100.0):
         for _ in range(100):
-            budget.note_request("list")
-        retries += take_all(budget, ends_chain=ends_chain)
+            budget.count_request("list")
+        retries += take_all(budget, is_leaf=is_leaf)
     assert 0 < retries <= RATIO * 1000 * RATIO_SHARE + SLACK * SLACK_SHARE
 
 
@@ -63,12 +63,12 @@
         for _ in range(3):
             above = make_budgets(lambda: 100.0)[0]
             for _ in range(100):
-                above.note_request("list")
-            inherited += take_all(above, ends_chain=False)
+                above.count_request("list")
+            inherited += take_all(above, is_leaf=False)
         for _ in range(100):
-            budget.note_request("list")
+            budget.count_request("list")
         for _ in range(inherited):
-            budget.note_inherited("list")
+            budget.count_inherited_retry("list")
         retries += inherited + take_all(budget)
     assert retries <= RATIO * 1000 + SLACK
 
@@ -79,9 +79,9 @@
         clock = [100.0]
         budget = RetryBudget(lambda clock=clock: clock[0], RATIO, WINDOW_S, SLACK, int)
         for _ in range(1000):
-            budget.note_request("list")
+            budget.count_request("list")
         for _ in range(inherited):
-            budget.note_inherited("list")
+            budget.count_inherited_retry("list")
         taken.append(take_long(budget, clock, 9.0))
     assert taken[0] - taken[1] == pytest.approx(40, abs=3)
 
@@ -91,7 +91,7 @@
     clock = [100.0]
     budget = RetryBudget(lambda: clock[0], RATIO, WINDOW_S, 0.0, lambda: 1)
     for _ in range(1000):
-        budget.note_request("list")
+        budget.count_request("list")
     seconds = [take_long(budget, clock, 1.0) for _ in range(8)]
     assert seconds[0] < 0.5 * sum(seconds)
     assert min(seconds) > 0.05 * sum(seconds)
@@ -136,7 +136,7 @@
     clock = [100.0]
     budget = RetryBudget(lambda: clock[0], RATIO, WINDOW_S, 0.0, lambda: 1)
     for _ in range(100):
-        budget.note_request("list")
+        budget.count_request("list")
     clock[0] += 11.0
     allowed = RATIO * RATIO_SHARE * EARLIER_WEIGHT * 100
     assert allowed - 2 < take_long(budget, clock, 8.0) <= allowed
@@ -147,9 +147,9 @@
 def test_last_repeats_are_for_requests_that_are_nearly_done():
     (budget,) = make_budgets(lambda: 100.0, nodes=1)
     for _ in range(1000):
-        budget.note_request("list")
-    far = take_all(budget, Origin(0, True, left=11))
-    near = take_all(budget, Origin(0, True, left=1))
+        budget.count_request("list")
+    far = take_all(budget, Origin(0, True, remaining_runs=11))
+    near = take_all(budget, Origin(0, True, remaining_runs=1))
     assert far > 0
     assert near == pytest.approx(find_kept(11, 0) * (far + near), abs=2)
 
@@ -157,9 +157,9 @@
 def test_last_repeats_are_for_the_first_priority():
     (budget,) = make_budgets(lambda: 100.0, nodes=1)
     for _ in range(1000):
-        budget.note_request("list")
-    other = take_all(budget, Origin(2, True, left=2))
-    first = take_all(budget, Origin(0, True, left=2))
+        budget.count_request("list")
+    other = take_all(budget, Origin(2, True, remaining_runs=2))
+    first = take_all(budget, Origin(0, True, remaining_runs=2))
     assert other > 0
     assert first == pytest.approx(KEPT_FOR_FIRST * (other + first), rel=0.1)
 
@@ -186,7 +186,7 @@
         clock[0] += 0.05
         for budget, rate in zip(budgets, rates, strict=True):
             for _ in range(int(rate * 0.05 + rng.random())):
-                budget.note_request("list")
+                budget.count_request("list")
                 requests.append(clock[0])
             while budget.take("list", FIRST, True):
                 repeats.append(clock[0])
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -290,7 +290,7 @@
                 await anyio.sleep(0.01)
         connection.close()
         with anyio.fail_after(0.5):
-            while back.node.gate.in_flight:
+            while back.node.dispatcher.in_flight:
                 await anyio.sleep(0.01)
 
     run(scenario, LIST)
@@ -501,9 +501,9 @@
         for vm in (late, first):
             graph = vm.node.beliefs.graph
             with anyio.fail_after(3):
-                while graph.vectors != calls:
+                while graph.calls_per_run != calls:
                     await anyio.sleep(0.02)
-            assert graph.is_called("shop.example/book/")
+            assert graph.is_called_by_servers("shop.example/book/")
 
     run(scenario, LIST, BOOK)
 
--- a/tests/relay/test_gate.py
+++ b/tests/relay/test_dispatcher.py
@@ -11,7 +11,7 @@
 from eelgrassmount.http1.client import Break, ClientAnswer
 from eelgrassmount.platform.headers import DIALECT
 from eelgrassmount.relay.budget import RetryBudget
-from eelgrassmount.relay.gate import CRASH_SPAN_S, Gate, Job
+from eelgrassmount.relay.dispatcher import CRASH_WINDOW_S, Dispatcher, Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.measures import (
     DEFAULT_RUN_S,
@@ -19,7 +19,7 @@
     MAX_MEAN_WAIT_S,
     RouteStats,
 )
-from eelgrassmount.relay.messages import Fate, Origin, Reply
+from eelgrassmount.relay.messages import Origin, Outcome, Reply
 from eelgrassmount.relay.server import LocalServer
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.util.addresses import Address
@@ -74,7 +74,7 @@
         self.server.note_heartbeat(Heartbeat(I1, service="list", slots=slots))
         self.pool = FakePool()
         self.crashes: list[tuple[ServerIncarnation, list[Job]]] = []
-        self.gate = Gate(
+        self.dispatcher = Dispatcher(
             self.server,
             self.pool,
             DIALECT,
@@ -88,7 +88,7 @@
     def offer(self, call=None, **changes) -> Job:
         call = call or make_call(now_s=self.now_s, **changes)
         job = Job(call, self.replies.append)
-        self.gate.offer(job)
+        self.dispatcher.submit(job)
         return job
 
     def restart(self, age_s: float = 0.0):
@@ -96,7 +96,7 @@
         self.server.note_heartbeat(
             Heartbeat(I1_AGAIN, service="list", slots=self.server.slots, sequence=1)
         )
-        self.gate.restart(I1, self.now_s - age_s)
+        self.dispatcher.restart(I1, self.now_s - age_s)
 
     def answer(self, status=200, headers=SIGNED, index=0):
         self.pool.open[index].end(ClientAnswer(status, headers, b"body"))
@@ -111,7 +111,7 @@
     setup.offer()
     setup.answer()
     (reply,) = setup.replies
-    assert (reply.fate, reply.status, reply.body) == (Fate.ANSWERED, 200, b"body")
+    assert (reply.outcome, reply.status, reply.body) == (Outcome.ANSWERED, 200, b"body")
     assert reply.head == b"eelgrassmount-response-signature: s\r\n"
 
 
@@ -126,7 +126,7 @@
 def test_time_in_the_queue_is_taken_off_the_time_left():
     setup = Setup(slots=1)
     setup.offer()
-    setup.offer(origin=Origin(1, inner=True))
+    setup.offer(origin=Origin(1, downstream=True))
     setup.now_s += 0.5
     setup.answer()
     assert b"eelgrassmount-deadline-ms: 1500\r\n" in setup.pool.sent[1]
@@ -134,7 +134,7 @@
 
 def test_no_more_runs_than_slots_and_the_soonest_due_go_first():
     setup = Setup(slots=1)
-    setup.gate.measures.mean_run_s = 0.001
+    setup.dispatcher.measures.mean_run_s = 0.001
     setup.offer(request_id="first")
     for name, objective_s in (("late", 1.0), ("soon", 0.1), ("next", 0.3)):
         route = make_route(objective_s=objective_s)
@@ -144,20 +144,20 @@
         setup.answer()
     order = [data.split()[1] for data in setup.pool.sent]
     assert order == [b"/list/1", b"/soon", b"/next", b"/late"]
-    assert setup.gate.queued == 0
-    assert setup.gate.in_flight == 0
+    assert setup.dispatcher.queued == 0
+    assert setup.dispatcher.in_flight == 0
 
 
 def test_call_whose_request_is_nearly_done_goes_before_others():
     """Calls of one route for requests that begin, and one that needs no further run."""
     setup = Setup(slots=1)
-    setup.gate.measures.mean_run_s = 0.001
+    setup.dispatcher.measures.mean_run_s = 0.001
     setup.offer()
     for name, origin in (
         ("direct", Origin(2)),
-        ("begins", Origin(2, inner=True, left=11)),
-        ("urgent", Origin(0, inner=True, left=11)),
-        ("ends", Origin(2, inner=True, left=1)),
+        ("begins", Origin(2, downstream=True, remaining_runs=11)),
+        ("urgent", Origin(0, downstream=True, remaining_runs=11)),
+        ("ends", Origin(2, downstream=True, remaining_runs=1)),
     ):
         setup.offer(make_call(now_s=setup.now_s, target=f"/{name}", origin=origin))
     for _ in range(5):
@@ -168,17 +168,17 @@
 
 def test_call_is_counted_as_demand_by_the_first_gate_only():
     setup = Setup(slots=2)
-    setup.offer(asked_before=True)
-    assert setup.gate.measures.arrivals == 0
+    setup.offer(counted_as_demand=True)
+    assert setup.dispatcher.measures.arrivals == 0
     setup.offer()
-    assert setup.gate.measures.arrivals == 1
+    assert setup.dispatcher.measures.arrivals == 1
 
 
 def test_call_of_a_long_chain_goes_before_one_with_a_tighter_objective():
     setup = Setup(slots=1)
-    setup.gate.measures.mean_run_s = 0.001
+    setup.dispatcher.measures.mean_run_s = 0.001
     allowances = {"shop/part/": 0.05}
-    setup.gate.find_allowance = lambda route: allowances.get(
+    setup.dispatcher.find_time_allowance = lambda route: allowances.get(
         route.name, route.objective_s
     )
     setup.offer()
@@ -191,10 +191,10 @@
 
 def test_call_that_would_wait_too_long_is_refused_at_once():
     setup = Setup(slots=1)
-    setup.gate.measures.mean_run_s = 1.0
+    setup.dispatcher.measures.mean_run_s = 1.0
     setup.offer()
     setup.offer()
-    assert setup.replies[0].fate is Fate.NOT_RUN
+    assert setup.replies[0].outcome is Outcome.NOT_RUN
     assert setup.replies[0].reason is Reason.OVERLOAD
 
 
@@ -213,31 +213,31 @@
 
 def test_other_service_is_refused(setup):
     setup.offer(service="elsewhere")
-    assert setup.replies[0].fate is Fate.NOT_RUN
+    assert setup.replies[0].outcome is Outcome.NOT_RUN
     assert setup.pool.sent == []
 
 
 @pytest.mark.parametrize(
     ("outcome", "fate"),
     [
-        (Break.REFUSED, Fate.NOT_RUN),
-        (Break.CLOSED, Fate.MAY_HAVE_RUN),
-        (Break.TRUNCATED, Fate.MAY_HAVE_RUN),
-        (Break.MALFORMED, Fate.MAY_HAVE_RUN),
-        (ClientAnswer(200, [], b"x"), Fate.MAY_HAVE_RUN),
-        (ClientAnswer(421, [], b""), Fate.NOT_RUN),
+        (Break.REFUSED, Outcome.NOT_RUN),
+        (Break.CLOSED, Outcome.MAY_HAVE_RUN),
+        (Break.TRUNCATED, Outcome.MAY_HAVE_RUN),
+        (Break.MALFORMED, Outcome.MAY_HAVE_RUN),
+        (ClientAnswer(200, [], b"x"), Outcome.MAY_HAVE_RUN),
+        (ClientAnswer(421, [], b""), Outcome.NOT_RUN),
         (
             ClientAnswer(503, [(b"eelgrassmount-not-executed", b"1")], b""),
-            Fate.NOT_RUN,
+            Outcome.NOT_RUN,
         ),
-        (ClientAnswer(503, [], b""), Fate.ANSWERED),
-        (ClientAnswer(500, SIGNED, b""), Fate.ANSWERED),
+        (ClientAnswer(503, [], b""), Outcome.ANSWERED),
+        (ClientAnswer(500, SIGNED, b""), Outcome.ANSWERED),
     ],
 )
 def test_not_run_is_said_only_when_it_is_certain(setup, outcome, fate):
     setup.offer()
     setup.pool.open[0].end(outcome)
-    assert setup.replies[0].fate is fate
+    assert setup.replies[0].outcome is fate
 
 
 def test_wrong_incarnation_is_replaced_by_the_one_that_answered(setup):
@@ -255,45 +255,45 @@
 def test_cancelled_idempotent_call_is_cut_and_the_other_runs_on(setup):
     job = setup.offer()
     other = setup.offer(make_call(make_route(idempotent=False)))
-    setup.gate.cancel(job)
-    setup.gate.cancel(other)
+    setup.dispatcher.cancel(job)
+    setup.dispatcher.cancel(other)
     assert len(setup.pool.open) == 1
-    assert setup.gate.in_flight == 1
+    assert setup.dispatcher.in_flight == 1
 
 
 def test_cancelled_call_in_the_queue_never_runs():
     setup = Setup(slots=1)
     setup.offer()
     job = setup.offer()
-    setup.gate.cancel(job)
+    setup.dispatcher.cancel(job)
     setup.answer()
     assert len(setup.pool.sent) == 1
-    assert setup.gate.queued == 0
+    assert setup.dispatcher.queued == 0
 
 
 def test_server_that_never_answers_is_given_up_after_the_deadline(setup):
     setup.offer()
     setup.now_s += 2.2
-    setup.gate.sweep()
+    setup.dispatcher.sweep()
     assert setup.replies == []
     setup.now_s += 0.2
-    setup.gate.sweep()
+    setup.dispatcher.sweep()
     assert setup.replies[0].reason is Reason.DEADLINE
-    assert setup.gate.in_flight == 0
+    assert setup.dispatcher.in_flight == 0
 
 
 def test_run_that_stays_silent_counts_as_a_failure_before_it_ends(setup):
     setup.offer()
     setup.answer()
     setup.offer()
-    setup.gate.sweep()
-    assert setup.gate.measures.failure_share == 0.0
+    setup.dispatcher.sweep()
+    assert setup.dispatcher.measures.failure_share == 0.0
     setup.now_s += 1.5
-    setup.gate.sweep()
-    counted = setup.gate.measures.failure_share
+    setup.dispatcher.sweep()
+    counted = setup.dispatcher.measures.failure_share
     assert counted > 0.0
-    setup.gate.sweep()
-    assert setup.gate.measures.failure_share == counted
+    setup.dispatcher.sweep()
+    assert setup.dispatcher.measures.failure_share == counted
 
 
 def test_run_of_a_slow_server_is_not_silent_before_several_times_its_usual(setup):
@@ -304,19 +304,19 @@
         setup.answer()
     setup.offer()
     setup.now_s += 2 * usual_s
-    setup.gate.sweep()
-    assert setup.gate.measures.failure_share == 0.0
+    setup.dispatcher.sweep()
+    assert setup.dispatcher.measures.failure_share == 0.0
 
 
 def test_silent_run_that_is_cancelled_stays_counted(setup):
     job = setup.offer()
     setup.now_s += 1.5
-    setup.gate.cancel(job)
-    assert setup.gate.measures.failure_share > 0.0
+    setup.dispatcher.cancel(job)
+    assert setup.dispatcher.measures.failure_share > 0.0
     quick = setup.offer()
-    counted = setup.gate.measures.failure_share
-    setup.gate.cancel(quick)
-    assert setup.gate.measures.failure_share == counted
+    counted = setup.dispatcher.measures.failure_share
+    setup.dispatcher.cancel(quick)
+    assert setup.dispatcher.measures.failure_share == counted
 
 
 def test_crash_is_told_once_the_server_refuses_connections(setup):
@@ -330,35 +330,37 @@
 
 def test_demand_and_wait_are_parts_of_what_is_possible():
     setup = Setup(slots=1)
-    setup.gate.update_load()
+    setup.dispatcher.update_load()
     setup.now_s += 1.0
     for _ in range(3):
         setup.offer()
     setup.now_s += 1.0
-    setup.gate.update_load()
-    run_s = setup.gate.measures.mean_run_s
-    assert setup.gate.measures.load.demand == pytest.approx(LOAD_WEIGHT * 3 * run_s / 2)
+    setup.dispatcher.update_load()
+    run_s = setup.dispatcher.measures.mean_run_s
+    assert setup.dispatcher.measures.load.demand == pytest.approx(
+        LOAD_WEIGHT * 3 * run_s / 2
+    )
     # two wait for one of two seconds; three tenths of the least time are allowed
-    setup.gate.measures.routes["r"] = RouteStats(allowed_s=0.2)
-    setup.gate.measures.routes["s"] = RouteStats(allowed_s=0.4)
-    assert setup.gate.measures.allow_mean_wait() == pytest.approx(0.06)
-    assert setup.gate.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
+    setup.dispatcher.measures.routes["r"] = RouteStats(allowed_s=0.2)
+    setup.dispatcher.measures.routes["s"] = RouteStats(allowed_s=0.4)
+    assert setup.dispatcher.measures.allow_mean_wait() == pytest.approx(0.06)
+    assert setup.dispatcher.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
 
 
 def test_server_that_runs_already_is_identified_by_its_health():
     setup = Setup()
     setup.server.incarnation = None
-    setup.gate.identify("/health")
+    setup.dispatcher.identify("/health")
     assert setup.pool.sent == [b"GET /health HTTP/1.1\r\nhost: server\r\n\r\n"]
     setup.answer(200, [(b"eelgrassmount-instance-id", b"i7")])
     assert setup.server.incarnation == ServerIncarnation("i7")
-    assert setup.gate.in_flight == 0
+    assert setup.dispatcher.in_flight == 0
 
 
 def test_server_that_is_not_well_is_not_taken_up_by_its_health():
     setup = Setup()
     setup.server.incarnation = None
-    setup.gate.identify("/health")
+    setup.dispatcher.identify("/health")
     setup.answer(503, [(b"eelgrassmount-instance-id", b"i7")])
     assert setup.server.incarnation is None
 
@@ -378,7 +380,7 @@
     setup.offer()
     setup.answer(503, headers)
     assert setup.replies[0].reason is Reason.SERVER_SHED
-    assert setup.gate.measures.failure_share > 0.0
+    assert setup.dispatcher.measures.failure_share > 0.0
 
 
 # A server that starts again under its identity kept the calls of its earlier start:
@@ -392,9 +394,9 @@
     work = setup.offer(make_call(make_route(idempotent=False), request_id="b"))
     setup.now_s += 0.5
     setup.restart()
-    assert setup.gate.in_flight == 0
+    assert setup.dispatcher.in_flight == 0
     for reply in setup.replies:
-        assert reply.fate is Fate.MAY_HAVE_RUN
+        assert reply.outcome is Outcome.MAY_HAVE_RUN
         assert reply.reason is Reason.SERVER_CRASHED
     ((ended, jobs),) = setup.crashes
     assert ended == I1
@@ -406,13 +408,13 @@
     before = setup.offer(request_id="a")
     setup.now_s += 0.5
     setup.offer(request_id="b")
-    assert setup.gate.in_flight == 2
+    assert setup.dispatcher.in_flight == 2
     setup.now_s += 0.1
     setup.restart(age_s=0.2)
-    assert [reply.fate for reply in setup.replies] == [Fate.MAY_HAVE_RUN]
+    assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
     assert setup.crashes == [(I1, [before])]
     setup.answer()
-    assert [reply.fate for reply in setup.replies][1:] == [Fate.ANSWERED]
+    assert [reply.outcome for reply in setup.replies][1:] == [Outcome.ANSWERED]
 
 
 def test_call_whose_connection_is_being_opened_goes_to_the_new_start(setup):
@@ -423,22 +425,22 @@
     assert setup.replies == []
     assert setup.crashes == []
     setup.answer()
-    assert setup.replies[0].fate is Fate.ANSWERED
+    assert setup.replies[0].outcome is Outcome.ANSWERED
 
 
 def test_queued_calls_wait_for_the_new_start():
     setup = Setup(slots=1)
     setup.offer(request_id="a")
     setup.offer(request_id="b")
-    assert setup.gate.queued == 1
+    assert setup.dispatcher.queued == 1
     setup.now_s += 0.1
     setup.restart()
     # before the next call, which would go out on an idle connection
     assert setup.pool.forgotten == [1]
-    assert [reply.fate for reply in setup.replies] == [Fate.MAY_HAVE_RUN]
-    assert (setup.gate.queued, setup.gate.in_flight) == (0, 1)
+    assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
+    assert (setup.dispatcher.queued, setup.dispatcher.in_flight) == (0, 1)
     setup.answer()
-    assert setup.replies[1].fate is Fate.ANSWERED
+    assert setup.replies[1].outcome is Outcome.ANSWERED
 
 
 def test_nothing_is_learned_of_the_earlier_start_for_the_new_one(setup):
@@ -448,22 +450,22 @@
         setup.answer(status)
     setup.offer()
     setup.now_s += 0.5
-    assert setup.gate.measures.failure_share > 0.0
-    assert setup.gate.measures.routes
+    assert setup.dispatcher.measures.failure_share > 0.0
+    assert setup.dispatcher.measures.routes
     setup.restart()
-    assert setup.gate.measures.routes == {}
-    assert setup.gate.measures.mean_run_s == DEFAULT_RUN_S
-    assert setup.gate.measures.failure_share == 0.0
+    assert setup.dispatcher.measures.routes == {}
+    assert setup.dispatcher.measures.mean_run_s == DEFAULT_RUN_S
+    assert setup.dispatcher.measures.failure_share == 0.0
 
 
 def test_what_broke_shortly_before_the_new_start_is_suspected(setup):
     setup.offer(request_id="long ago")
     setup.pool.open[0].end(Break.CLOSED)
-    setup.now_s += 2 * CRASH_SPAN_S
+    setup.now_s += 2 * CRASH_WINDOW_S
     broken = setup.offer(request_id="a")
     setup.pool.open[0].end(Break.CLOSED)
-    setup.now_s += CRASH_SPAN_S / 2
-    setup.restart(age_s=CRASH_SPAN_S / 4)
+    setup.now_s += CRASH_WINDOW_S / 2
+    setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == [(I1, [broken])]
 
 
@@ -475,13 +477,13 @@
 def test_call_that_broke_at_the_new_start_is_not_suspected_for_the_earlier(setup):
     setup.offer()
     setup.pool.open[0].end(Break.CLOSED)
-    setup.restart(age_s=CRASH_SPAN_S / 4)
+    setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == []
 
 
 def repeat(setup: Setup, sender: int) -> None:
     """Offer a call that has been sent before."""
-    setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}", again=True))
+    setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}", is_retry=True))
 
 
 def test_repeats_of_many_nodes_are_taken_as_the_service_may_have_them():
@@ -491,36 +493,36 @@
     was ever sent again, however little of the budget was used.
     """
     setup = Setup(slots=1000, slack=0.0)
-    setup.gate.budget.ratio = 0.2
+    setup.dispatcher.budget.ratio = 0.2
     for sender in range(200):
         setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}"))
     for sender in range(5):
         repeat(setup, sender)
     assert setup.replies == []
-    assert setup.gate.in_flight == 205
+    assert setup.dispatcher.in_flight == 205
 
 
 def test_repeat_beyond_the_budget_is_refused_and_has_not_run():
     setup = Setup(slots=1000, slack=0.0)
     repeat(setup, 1)
     (reply,) = setup.replies
-    assert (reply.fate, reply.reason) == (Fate.NOT_RUN, Reason.RETRY_BUDGET)
+    assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.RETRY_BUDGET)
     assert setup.pool.sent == []
 
 
 def test_call_that_another_gate_refused_is_counted_once_and_is_no_repeat():
     setup = Setup(slots=1000, slack=0.0)
-    setup.offer(asked_before=True)
+    setup.offer(counted_as_demand=True)
     setup.offer()
-    assert setup.gate.in_flight == 2
-    assert setup.gate.budget.list_services() == [("list", 1, 0)]
+    assert setup.dispatcher.in_flight == 2
+    assert setup.dispatcher.budget.list_services() == [("list", 1, 0)]
 
 
 def test_calls_of_a_repeated_run_count_and_are_not_refused():
     setup = Setup(slots=1000, slack=0.0)
-    setup.offer(origin=Origin(0, inner=True, repeated=True))
-    assert setup.gate.in_flight == 1
-    assert setup.gate.budget.list_services() == [("list", 1, 1)]
+    setup.offer(origin=Origin(0, downstream=True, within_retry=True))
+    assert setup.dispatcher.in_flight == 1
+    assert setup.dispatcher.budget.list_services() == [("list", 1, 1)]
 
 
 def test_run_that_failed_with_a_call_of_its_own_is_not_the_fault_of_its_server():
@@ -530,15 +532,15 @@
     a level each server had few runs by which to be found well again.
     """
     setup = Setup()
-    setup.gate.claim_loss = lambda job: True
+    setup.dispatcher.claim_loss = lambda job: True
     for _ in range(40):
         setup.offer()
         setup.answer(500)
-    assert setup.gate.measures.failure_share == 0.0
-    assert setup.gate.measures.lost_share > 0.8
+    assert setup.dispatcher.measures.failure_share == 0.0
+    assert setup.dispatcher.measures.lost_share > 0.8
     setup.offer()
     setup.answer()
-    assert setup.gate.measures.lost_share < 0.9
+    assert setup.dispatcher.measures.lost_share < 0.9
 
 
 def test_few_failures_among_runs_that_are_lost_do_not_make_a_server_seem_short():
@@ -550,13 +552,13 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.gate.claim_loss = lambda job: lost
+    setup.dispatcher.claim_loss = lambda job: lost
     seen = []
     for _ in range(400):
         lost = rng.random() < 0.9
         setup.offer()
         setup.answer(500 if lost or rng.random() < 0.5 else 200)
-        seen.append(setup.gate.measures.failure_share)
+        seen.append(setup.dispatcher.measures.failure_share)
     assert sum(seen[100:]) / len(seen[100:]) < 0.15
 
 
@@ -564,23 +566,23 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.gate.claim_loss = lambda job: lost
+    setup.dispatcher.claim_loss = lambda job: lost
     for _ in range(400):
         lost = rng.random() < 0.3
         setup.offer()
         setup.answer(500)
-    assert setup.gate.measures.failure_share > 0.7
+    assert setup.dispatcher.measures.failure_share > 0.7
 
 
 def test_run_that_waits_for_a_call_is_not_silent(setup):
-    setup.gate.is_lost_below = lambda job: True
+    setup.dispatcher.has_lost_call = lambda job: True
     setup.offer()
     setup.now_s += 1.5
-    setup.gate.sweep()
-    assert setup.gate.measures.failure_share == 0.0
-    setup.gate.is_lost_below = lambda job: False
-    setup.gate.sweep()
-    assert setup.gate.measures.failure_share > 0.0
+    setup.dispatcher.sweep()
+    assert setup.dispatcher.measures.failure_share == 0.0
+    setup.dispatcher.has_lost_call = lambda job: False
+    setup.dispatcher.sweep()
+    assert setup.dispatcher.measures.failure_share > 0.0
 
 
 def read_given_ms(setup: Setup) -> int:
@@ -591,7 +593,7 @@
 
 # Of 60 runs in flight that had up to 1 s, calls with 0.7 s of their own told nothing.
 def test_run_has_a_little_less_time_than_its_calls_may_take(setup):
-    setup.gate.find_call_limit = lambda route_name: 0.7
+    setup.dispatcher.find_call_timeout = lambda route_name: 0.7
     setup.offer()
     assert 590 <= read_given_ms(setup) <= 595
     setup.answer()
@@ -600,7 +602,7 @@
 
 
 def test_run_that_usually_takes_long_keeps_its_time(setup):
-    setup.gate.find_call_limit = lambda route_name: 0.7
+    setup.dispatcher.find_call_timeout = lambda route_name: 0.7
     for _ in range(30):
         setup.offer()
         setup.now_s += 0.4
@@ -614,7 +616,9 @@
 def test_call_that_waits_to_its_deadline_is_refused_as_not_run():
     setup = Setup(slots=1)
     timers = []
-    setup.gate.call_later = lambda delay_s, action: timers.append((delay_s, action))
+    setup.dispatcher.call_later = lambda delay_s, action: timers.append(
+        (delay_s, action)
+    )
     setup.offer()
     waiting = setup.offer(deadline_s=setup.now_s + 0.1)
     (delay_s, expire) = timers[0]
@@ -622,9 +626,9 @@
     setup.now_s += delay_s
     expire()
     (reply,) = setup.replies
-    assert (reply.fate, reply.reason) == (Fate.NOT_RUN, Reason.DEADLINE)
+    assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.DEADLINE)
     assert waiting.ended
-    assert setup.gate.queued == 0
+    assert setup.dispatcher.queued == 0
     # it is passed over, and does not run, once there is room
     setup.answer()
     assert len(setup.pool.sent) == 1
@@ -633,11 +637,11 @@
 def test_call_that_has_started_goes_on_to_its_deadline():
     setup = Setup(slots=1)
     timers = []
-    setup.gate.call_later = lambda delay_s, action: timers.append(action)
+    setup.dispatcher.call_later = lambda delay_s, action: timers.append(action)
     setup.offer()
     setup.offer(deadline_s=setup.now_s + 0.1)
     setup.answer()
     timers[0]()
     assert len(setup.replies) == 1
     setup.answer()
-    assert setup.replies[-1].fate is Fate.ANSWERED
+    assert setup.replies[-1].outcome is Outcome.ANSWERED
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -13,8 +13,8 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.http1.client import ClientAnswer
 from eelgrassmount.relay.controllers import MAX_ROWS
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import encode_struct
-from eelgrassmount.relay.gate import Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.learning import count_calls
 from eelgrassmount.relay.measures import MAX_MEAN_WAIT_S
@@ -25,7 +25,7 @@
 from tests.relay.deployment import make_document, make_rule
 from tests.relay.lone_node import SETTINGS
 from tests.relay.samples import make_call
-from tests.relay.test_gate import SIGNED, FakePool
+from tests.relay.test_dispatcher import SIGNED, FakePool
 
 LIST = make_rule("/list/", "list")
 # one call of it may take a tenth of the time of others
@@ -40,7 +40,7 @@
         self.node.timers = TimerService(ManualClock(0.0), random.Random(3))
         self.node.beliefs.clock = self.node.timers.read
         subscribe_timers(self.node)
-        self.pool = self.node.gate.pool = FakePool()
+        self.pool = self.node.dispatcher.pool = FakePool()
         self.pool.sweep = lambda: None
         server = self.node.beliefs.server
         incarnation = ServerIncarnation("i1")
@@ -64,8 +64,8 @@
         """Let a request be sent from the VM and a run of it start."""
         self.node.beliefs.note_call(name)
         route = self.node.beliefs.find_route(name, True)
-        call = make_call(route, now_s=self.node.gate.clock())
-        self.node.gate.offer(Job(call, self.note_reply))
+        call = make_call(route, now_s=self.node.dispatcher.clock())
+        self.node.dispatcher.submit(Job(call, self.note_reply))
 
     def note_reply(self, reply: Reply) -> None:
         assert reply.status == 200
@@ -94,14 +94,14 @@
     both = {setup.list_name, setup.part_name}
     assert {time.route_name for time in report.times} == both
     assert {count.route_name for count in report.counts} == both
-    tight_s = setup.node.gate.measures.allow_mean_wait()
+    tight_s = setup.node.dispatcher.measures.allow_mean_wait()
     assert tight_s < MAX_MEAN_WAIT_S
     setup.configure(2, LIST)
     setup.wait(60.0)
     report = setup.node.controllers.make_report(True)
     assert [time.route_name for time in report.times] == [setup.list_name]
     assert [count.route_name for count in report.counts] == [setup.list_name]
-    assert setup.node.gate.measures.allow_mean_wait() > tight_s
+    assert setup.node.dispatcher.measures.allow_mean_wait() > tight_s
 
 
 def test_run_that_outlasts_its_route_is_judged_by_what_is_usual(setup):
@@ -109,17 +109,17 @@
     setup.start(setup.part_name)
     setup.configure(2, LIST)
     setup.wait(3.0)
-    assert setup.part_name in setup.node.gate.measures.routes
+    assert setup.part_name in setup.node.dispatcher.measures.routes
     setup.pool.open[-1].end(ClientAnswer(200, SIGNED, b""))
     setup.wait(3.0)
-    assert setup.part_name not in setup.node.gate.measures.routes
+    assert setup.part_name not in setup.node.dispatcher.measures.routes
 
 
 def test_nothing_is_forgotten_without_a_configuration(setup):
     setup.run(setup.part_name)
     setup.node.beliefs.table = RouteTable()
     setup.wait(3.0)
-    assert setup.part_name in setup.node.gate.measures.routes
+    assert setup.part_name in setup.node.dispatcher.measures.routes
 
 
 def test_counts_of_the_busiest_routes_are_told_first(setup):
@@ -143,19 +143,19 @@
     graph = setup.node.beliefs.graph
     learned = {setup.part_name: {setup.list_name: 2.0}}
     for name, calls in learned.items():
-        graph.put(name, calls)
+        graph.set_calls(name, calls)
     setup.wait(1.0)
-    assert graph.is_called(setup.list_name)
+    assert graph.is_called_by_servers(setup.list_name)
     setup.configure(2, LIST)
     # runs that had begun before still make calls
     setup.wait(2.0)
-    assert graph.is_called(setup.list_name)
+    assert graph.is_called_by_servers(setup.list_name)
     setup.wait(60.0)
-    assert graph.vectors == {}
-    assert not graph.is_called(setup.list_name)
+    assert graph.calls_per_run == {}
+    assert not graph.is_called_by_servers(setup.list_name)
     record = ttypes.LearnedRecord(write_rows(learned))
     setup.node.learned.take(encode_struct(record))
-    assert graph.vectors == {}
+    assert graph.calls_per_run == {}
 
 
 def test_routes_that_only_other_nodes_know_are_not_kept(setup):
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -21,7 +21,7 @@
 from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay import frames
 from eelgrassmount.relay.frames import decode_struct, encode_struct
-from eelgrassmount.relay.refused import MAX_TOLD
+from eelgrassmount.relay.rejected_messages import MAX_TRACKED_CAUSES
 from eelgrassmount.topics.store import StoredRecord
 from eelgrassmount.util.addresses import parse_address
 from eelgrassmount.util.fields import find_field
@@ -405,7 +405,7 @@
         assert (await lone.announce(sequence=2)).status == 200
         refused = lone.node.refused
         assert refused.totals["announcement"] == len(calls)
-        assert len(refused._told_s) <= min(MAX_TOLD, len(calls))
+        assert len(refused._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
 
     run(scenario)
 
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -6,6 +6,7 @@
 
 from eelgrassmount.policy.loads import measure_load
 from eelgrassmount.relay.admission import CallGraph
+from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.beliefs import Beliefs
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.frames import FrameKind
@@ -15,7 +16,6 @@
     apply_vectors,
     count_calls,
 )
-from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.links import MAX_LINKS, LinkKeeper
 from eelgrassmount.relay.measures import RunMeasures
 from eelgrassmount.relay.members import MemberLoad, MemberTable
@@ -51,10 +51,10 @@
         beliefs.learner.end("shop/book/")
         count_calls(beliefs)
     apply_vectors(beliefs)
-    calls = beliefs.graph.vectors["shop/book/"]
+    calls = beliefs.graph.calls_per_run["shop/book/"]
     assert calls["shop/part/"] == pytest.approx(2.0, abs=0.1)
-    assert beliefs.graph.is_called("shop/part/")
-    assert not beliefs.graph.is_called("shop/book/")
+    assert beliefs.graph.is_called_by_servers("shop/part/")
+    assert not beliefs.graph.is_called_by_servers("shop/book/")
 
 
 def test_links_are_kept_to_the_services_in_use_only():
@@ -67,7 +67,7 @@
     links = LinkKeeper(beliefs, None)
     assert links._list_wanted() == set()
     beliefs.note_call("shop/s3/")
-    beliefs.graph.put("shop/s3/", {"shop/s7/": 1.0})
+    beliefs.graph.set_calls("shop/s3/", {"shop/s7/": 1.0})
     count_calls(beliefs)
     assert links._list_wanted() == {"s3", "s7"}
 
@@ -98,7 +98,7 @@
         beliefs,
         FakeGate(),
         inbound,
-        ServiceLevels(beliefs).update,
+        AdmittedFractions(beliefs).update,
         lambda table: None,
     )
 
@@ -126,9 +126,9 @@
     for name, calls in (("a", {"shop/part/": 4.0}), ("b", {}), ("c", {})):
         member = beliefs.members.put(name, f"{name}:1", "near", "desk")
         member.load.vectors = {"shop/book/": calls}
-    beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
+    beliefs.graph.set_calls("shop/book/", {"shop/part/": 4.0})
     apply_vectors(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+    assert beliefs.graph.calls_per_run["shop/book/"] == {}
 
 
 def test_what_was_heard_is_not_told_on_and_corrections_are_taken():
@@ -138,27 +138,27 @@
     controllers = make_controllers(beliefs, inbound)
     member.load.vectors = {"shop/book/": {"shop/part/": 4.0}}
     apply_vectors(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 4.0}
+    assert beliefs.graph.calls_per_run["shop/book/"] == {"shop/part/": 4.0}
     assert controllers.make_report(True).calls == []
     member.load.vectors = {"shop/book/": {}}
     apply_vectors(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+    assert beliefs.graph.calls_per_run["shop/book/"] == {}
 
 
 def test_node_that_has_just_started_goes_by_what_is_known():
     now = [1.0]
     beliefs = make_beliefs(now)
-    beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
+    beliefs.graph.set_calls("shop/book/", {"shop/part/": 2.0})
     for _ in range(40):
         beliefs.learner.begin("shop/book/")
         now[0] += 0.01
         beliefs.learner.end("shop/book/")
     apply_vectors(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 2.0}
+    assert beliefs.graph.calls_per_run["shop/book/"] == {"shop/part/": 2.0}
     assert beliefs.own_vectors == {}
     now[0] += LEARNING_S
     apply_vectors(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+    assert beliefs.graph.calls_per_run["shop/book/"] == {}
 
 
 def test_links_to_a_large_service_are_chosen_anew_when_its_nodes_change():
@@ -191,7 +191,7 @@
     member = beliefs.members.put("a", "a:1", "near", "list")
     member.link = FakeLink()
     member.load = MemberLoad(limit=10, demand=2.0, reported_s=now[0])
-    levels = ServiceLevels(beliefs)
+    levels = AdmittedFractions(beliefs)
     for _ in range(20):
         levels.update()
     assert beliefs.find_level("list") < 0.5
@@ -229,7 +229,7 @@
         member.load.reported_s = 1.0
         member.load.accepting = accepting
         member.load.demand = demand
-    levels = ServiceLevels(beliefs)
+    levels = AdmittedFractions(beliefs)
     levels.update()
     assert beliefs.find_level("list") < 1.0
 
@@ -259,9 +259,9 @@
     """Requests were begun whose last calls found no server, and were lost."""
     now = [10.0]
     beliefs = make_beliefs(now)
-    beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
+    beliefs.graph.set_calls("shop/book/", {"shop/part/": 4.0})
     members = [beliefs.members.put(name, f"{name}:1", "far", "part") for name in "ab"]
-    levels = ServiceLevels(beliefs)
+    levels = AdmittedFractions(beliefs)
     members[0].note_unreachable(now[0])
     levels.update()
     assert beliefs.find_level("part") == 1.0
@@ -281,7 +281,7 @@
     member = beliefs.members.put("own", "a:1", "near", "desk")
     member.load.accepting = False
     member.load.reported_s = 10.0
-    ServiceLevels(beliefs).update()
+    AdmittedFractions(beliefs).update()
     assert beliefs.unreachable == set()
 
 
@@ -299,4 +299,4 @@
     beliefs = make_beliefs([1.0])
     beliefs.outlook.runs = {"shop/book/": SETTLED_RUNS, "shop/part/": SETTLED_RUNS - 1}
     apply_vectors(beliefs)
-    assert beliefs.graph.settled == {"shop/book/"}
+    assert beliefs.graph.learned_routes == {"shop/book/"}
--- a/tests/relay/test_lineage.py
+++ b/tests/relay/test_lineage.py
@@ -36,7 +36,7 @@
             route,
             self.now_s,
             deadline_s=self.now_s + remaining_s,
-            origin=origin or Origin(route.priority, left=9),
+            origin=origin or Origin(route.priority, remaining_runs=9),
         )
         self.lineage.begin(job, call, remaining_s)
 
@@ -57,7 +57,7 @@
 def test_call_has_the_priority_of_its_only_run(setup):
     setup.begin("j1", BROWSE)
     setup.now_s += 0.01
-    assert setup.find().make_origin() == Origin(2, inner=True, left=9)
+    assert setup.find().make_origin() == Origin(2, downstream=True, remaining_runs=9)
 
 
 def test_run_that_has_ended_makes_no_calls(setup):
@@ -95,7 +95,9 @@
     setup.now_s += 0.01
     setup.lineage.note_answer(made, well=True)
     setup.now_s += CONTINUES_S / 2
-    assert setup.find("c1").make_origin() == Origin(0, inner=True, left=7)
+    assert setup.find("c1").make_origin() == Origin(
+        0, downstream=True, remaining_runs=7
+    )
 
 
 def test_later_call_over_a_connection_is_not_taken_for_the_next_one(setup):
@@ -182,7 +184,7 @@
 def begin_many(setup, repeated=0):
     """Let more runs begin than are compared, with other deadlines than calls have."""
     for number in range(MAX_COMPARED + 1):
-        origin = Origin(0, repeated=number < repeated, left=9)
+        origin = Origin(0, within_retry=number < repeated, remaining_runs=9)
         setup.begin(f"m{number}", BOOK, 0.9 + number / 1000, origin)
     setup.now_s += 0.01
 
@@ -191,7 +193,7 @@
     begin_many(setup)
     found = setup.find()
     assert found.run is None
-    assert found.make_origin() == Origin(0, inner=True, left=2)
+    assert found.make_origin() == Origin(0, downstream=True, remaining_runs=2)
 
 
 def test_deadline_tells_one_run_among_many(setup):
--- a/tests/relay/test_link.py
+++ b/tests/relay/test_link.py
@@ -19,7 +19,7 @@
     PeerLink,
 )
 from eelgrassmount.relay.members import Member
-from eelgrassmount.relay.messages import Fate
+from eelgrassmount.relay.messages import Outcome
 from tests.http1.transports import MemoryTransport
 from tests.relay.samples import make_call, make_route
 
@@ -123,7 +123,7 @@
     setup.fall_silent()
     setup.link._note_refused(ConnectionRefusedError())
     assert setup.transport.closing
-    assert [reply.fate for reply in setup.replies] == [Fate.MAY_HAVE_RUN] * 2
+    assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN] * 2
     assert not setup.link.is_up()
     assert not setup.member.can_take(setup.now_s)
 
@@ -154,7 +154,7 @@
     assert setup.member.can_take(setup.now_s)
     second.note_frame(
         FrameKind.REPLY,
-        ttypes.RelayReply(sequences[0], Fate.ANSWERED, None, 200, b"", b"", 0, 0),
+        ttypes.RelayReply(sequences[0], Outcome.ANSWERED, None, 200, b"", b"", 0, 0),
     )
     assert [reply.status for reply in setup.replies] == [200]
 
@@ -214,7 +214,7 @@
         assert setup.replies == []
         setup.open_second()
     setup.link._connection.connection_lost(None)
-    assert setup.replies[0].fate is Fate.MAY_HAVE_RUN
+    assert setup.replies[0].outcome is Outcome.MAY_HAVE_RUN
 
 
 def test_node_that_often_stands_still_is_told_of_now_and_then(setup):
@@ -254,7 +254,7 @@
     setup.link._connection = None
     setup.call()
     setup.link._fail_all()
-    assert setup.replies[0].fate is Fate.NOT_RUN
+    assert setup.replies[0].outcome is Outcome.NOT_RUN
 
 
 def test_cancelled_call_is_told_to_the_other_node_and_not_answered(setup):
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -78,7 +78,7 @@
         return any(
             job.call.request_id == request_id
             for vm in self.backs
-            for job in vm.node.gate.running
+            for job in vm.node.dispatcher.running
         )
 
     async def break_things(self) -> None:
@@ -131,12 +131,12 @@
         """Look whether something is left over."""
         for vm in self.backs:
             inbound = vm.node.inbound
-            assert vm.node.gate.in_flight == 0
+            assert vm.node.dispatcher.in_flight == 0
             assert inbound.count_open() == 0
             assert not inbound.kept
             assert len(inbound.connections) <= len(self.deployment.vms)
         for vm in self.fronts:
-            assert vm.node.entry.answers.open_flows == 0
+            assert vm.node.ingress.answers.open_flows == 0
             for member in vm.node.beliefs.members.by_name.values():
                 assert member.link is None or not member.link.open_calls
 
--- a/tests/relay/test_news.py
+++ b/tests/relay/test_news.py
@@ -8,7 +8,7 @@
 
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.gate import Job
+from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from tests.relay.lone_node import SETTINGS
 from tests.relay.samples import make_call
@@ -55,9 +55,9 @@
 def test_node_is_wired_to_begin_anew_with_its_server(node):
     server = node.beliefs.server
     server.note_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=5))
-    node.gate.measures.failure_share = 0.5
+    node.dispatcher.measures.failure_share = 0.5
     server.note_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS + 1)))
-    assert node.gate.measures.failure_share == 0.0
+    assert node.dispatcher.measures.failure_share == 0.0
 
 
 # A restart under the same identity left no line: the heartbeat of the later start was
--- a/tests/relay/test_routing.py
+++ b/tests/relay/test_routing.py
@@ -71,7 +71,7 @@
 def test_slow_server_gives_way_sooner_where_a_call_may_take_less_time(setup):
     setup.add("a", run_s=0.045)
     setup.add("b", "far", run_s=0.015)
-    setup.router.find_allowance = lambda route: 0.06
+    setup.router.find_time_allowance = lambda route: 0.06
     assert setup.count()["b"] == 99
 
 
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -13,7 +13,7 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.relay.inbound import JOIN_WAIT_S, KEEP_REPLY_S, KEEP_SENDER_S
 from eelgrassmount.relay.link import CONNECT_LIMIT_S, SILENCE_LIMIT_S
-from eelgrassmount.relay.messages import Fate
+from eelgrassmount.relay.messages import Outcome
 from tests.relay.deployment import (
     Deployment,
     Vm,
@@ -215,9 +215,9 @@
         await anyio.sleep(LATENCY_S / 2)
         scene.network.reset(scene.place)
         await anyio.sleep(0.01)
-        assert scene.back.node.gate.in_flight == 1
+        assert scene.back.node.dispatcher.in_flight == 1
         await anyio.sleep(JOIN_WAIT_S + 0.05)
-        assert scene.back.node.gate.in_flight == 0
+        assert scene.back.node.dispatcher.in_flight == 0
         assert not scene.back.node.inbound.kept
         assert scene.back.node.count_open() == 0
 
@@ -231,7 +231,7 @@
         for link in scene.network.list_open(scene.place):
             link.far.break_off()
         await anyio.sleep(RUN_S + 0.02)
-        assert scene.back.node.gate.in_flight == 0
+        assert scene.back.node.dispatcher.in_flight == 0
         scene.network.reset(scene.place)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 200
         assert scene.back.server.runs == ["a1"]
@@ -307,7 +307,7 @@
     return sum(
         repeats
         for vm in (pair.back, pair.other)
-        for _, _, repeats in vm.node.gate.budget.list_services()
+        for _, _, repeats in vm.node.dispatcher.budget.list_services()
     )
 
 
@@ -318,7 +318,7 @@
         assert answer.status == 200
         assert count_repeats(pair) == 1
         await anyio.sleep(0.01)
-        assert pair.other.node.gate.in_flight == 0
+        assert pair.other.node.dispatcher.in_flight == 0
 
     play(scenario, Pair)
 
@@ -327,11 +327,11 @@
     async def scenario(pair: Pair) -> None:
         pair.other.server.work_s = 0.1
         await wait_for_both(pair)
-        assert pair.back.node.gate.in_flight == 1
+        assert pair.back.node.dispatcher.in_flight == 1
         answer = await asyncio.wait_for(pair.future, 0.2)
         assert answer.status == 200
         await anyio.sleep(0.01)
-        assert pair.back.node.gate.in_flight == 0
+        assert pair.back.node.dispatcher.in_flight == 0
 
     play(scenario, Pair)
 
@@ -368,7 +368,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fate", "status"), [(Fate.NOT_RUN, 503), (Fate.MAY_HAVE_RUN, 502)]
+    ("fate", "status"), [(Outcome.NOT_RUN, 503), (Outcome.MAY_HAVE_RUN, 502)]
 )
 def test_read_that_all_refuse_has_run_only_if_its_first_server_says_so(fate, status):
     async def scenario(pair: Pair) -> None:
@@ -393,7 +393,7 @@
         answer = await asyncio.wait_for(pair.future, 6)
         assert answer.status == 504
         await anyio.sleep(0.01)
-        assert pair.back.node.gate.in_flight == 0
+        assert pair.back.node.dispatcher.in_flight == 0
 
     play(scenario, Pair)
 
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -211,7 +211,7 @@
     async def scenario(deployment: Deployment) -> None:
         deployment.log.trouble = Trouble.SILENT
         vm = await deployment.add("other", "c")
-        vm.node.entry.table = type(vm.node.entry.table)()
+        vm.node.ingress.table = type(vm.node.ingress.table)()
         assert await ask_with(vm, "k-1") == 503
 
     play(scenario)
--- a/tests/topics/test_learned.py
+++ b/tests/topics/test_learned.py
@@ -37,36 +37,36 @@
 
 
 def test_nothing_learned_is_not_written(setup):
-    setup.beliefs.graph.put("shop/part/", {})
+    setup.beliefs.graph.set_calls("shop/part/", {})
     assert setup.wait(20) == []
 
 
 def test_what_has_settled_is_written_and_taken_up_elsewhere(setup):
-    setup.beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
+    setup.beliefs.graph.set_calls("shop/book/", {"shop/part/": 2.0})
     assert setup.wait(int(SETTLED_S)) == []
     record = setup.wait(1)[0]
     other = Setup()
     other.learned.take(record)
-    assert other.beliefs.graph.vectors == CALLS
-    assert other.beliefs.graph.is_called("shop/part/")
+    assert other.beliefs.graph.calls_per_run == CALLS
+    assert other.beliefs.graph.is_called_by_servers("shop/part/")
     assert other.wait(20) == []
 
 
 def test_what_changes_all_the_time_is_not_written(setup):
     written = []
     for number in range(20):
-        setup.beliefs.graph.put("shop/book/", {"shop/part/": 1.0 + number % 2})
+        setup.beliefs.graph.set_calls("shop/book/", {"shop/part/": 1.0 + number % 2})
         written += setup.wait(1)
     assert written == []
 
 
 def test_own_learning_goes_before_a_record(setup):
-    setup.beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
+    setup.beliefs.graph.set_calls("shop/book/", {"shop/part/": 4.0})
     other = Setup()
-    other.beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
+    other.beliefs.graph.set_calls("shop/book/", {"shop/part/": 2.0})
     record = other.wait(10)[0]
     setup.learned.take(record)
-    assert setup.beliefs.graph.vectors["shop/book/"] == {"shop/part/": 4.0}
+    assert setup.beliefs.graph.calls_per_run["shop/book/"] == {"shop/part/": 4.0}
 
 
 def test_many_nodes_write_about_one_record_a_second():
@@ -74,7 +74,7 @@
     for seed in range(50):
         setup = Setup(members=50)
         setup.beliefs.rng = random.Random(seed)
-        setup.beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
+        setup.beliefs.graph.set_calls("shop/book/", {"shop/part/": 2.0})
         written += len(setup.wait(int(SETTLED_S) + 10))
     assert 5 <= written <= 25
 
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -150,7 +150,9 @@
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for vm in deployment.vms:
-            vm.node.beliefs.graph.put("shop.example/list/", {"shop.example/desk/": 2.0})
+            vm.node.beliefs.graph.set_calls(
+                "shop.example/list/", {"shop.example/desk/": 2.0}
+            )
         await anyio.sleep(15.0)
         assert LEARNED_KEY in list_written(deployment)
         await come_back(deployment, copy)
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -325,7 +325,9 @@
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
             # calls are known, and no service is short
-            vm.node.beliefs.graph.put("shop.example/list/", {"shop.example/part/": 1.0})
+            vm.node.beliefs.graph.set_calls(
+                "shop.example/list/", {"shop.example/part/": 1.0}
+            )
         await anyio.sleep(CALM_PERIOD_S)
         with mock.patch.object(LogReaders, "note_subscribe", note):
             await anyio.sleep(4 * CALM_PERIOD_S)
@@ -356,7 +358,9 @@
         assert readers._find_period() == PERIOD_S
         readers.beliefs.called_before["shop.example/list/"] = 3.0
         assert readers._find_period() == LEARNING_PERIOD_S
-        readers.beliefs.graph.put("shop.example/list/", {"shop.example/part/": 1.0})
+        readers.beliefs.graph.set_calls(
+            "shop.example/list/", {"shop.example/part/": 1.0}
+        )
         assert readers._find_period() == PERIOD_S
 
     play(scenario, nodes=2)
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -123,9 +123,9 @@
 )
 def test_bad_record_of_learned_calls_changes_nothing(node, record):
     node.take_nodes((make_learned(("shop/a/", "shop/b/", 2.0)),))
-    assert node.beliefs.graph.vectors == CALLS
+    assert node.beliefs.graph.calls_per_run == CALLS
     node.take_nodes((record, make_record()))
-    assert node.beliefs.graph.vectors == CALLS
+    assert node.beliefs.graph.calls_per_run == CALLS
     assert len(list_members(node)) == 2
     assert node.refused.totals == {"learned-calls": 1}
 
@@ -134,7 +134,7 @@
     for start in range(0, 3 * learned.MAX_ROUTES, 4000):
         rows = [(f"shop/{start + number}/", "", 0.0) for number in range(4000)]
         node.take_nodes((make_learned(*rows),))
-    assert len(node.beliefs.graph.vectors) == learned.MAX_ROUTES
+    assert len(node.beliefs.graph.calls_per_run) == learned.MAX_ROUTES
 
 
 @pytest.mark.parametrize(
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -14,11 +14,11 @@
 
 from eelgrassmount.cmd.relay import run_relay
 from eelgrassmount.policy import levels
-from eelgrassmount.relay import admission, budget, gate, routing, sender
+from eelgrassmount.relay import admission, budget, dispatcher, routing, sender
 from eelgrassmount.relay.admission import Admission, CallGraph
+from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.controllers import Controllers
-from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.lineage import Lineage
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
@@ -36,8 +36,10 @@
 
 def ignore_calls() -> None:
     """Count only the service that a route leads to, and not what its runs call."""
-    walk = CallGraph._walk
-    CallGraph._walk = lambda self, route, table, depth=0: walk(self, route, table, 0)
+    walk = CallGraph._count_runs_to_depth
+    CallGraph._count_runs_to_depth = lambda self, route, table, depth=0: walk(
+        self, route, table, 0
+    )
 
 
 def ignore_priority() -> None:
@@ -47,12 +49,12 @@
 
 def ignore_allowance() -> None:
     """Give each call its own objective, whatever its request has left."""
-    CallGraph.find_allowance = lambda self, route, table: route.objective_s
+    CallGraph.find_time_allowance = lambda self, route, table: route.objective_s
 
 
 def ignore_order() -> None:
     """Queue by the due time alone."""
-    gate.find_patience = lambda origin: 1.0
+    dispatcher.find_patience = lambda origin: 1.0
 
 
 def ignore_lineage() -> None:
@@ -77,7 +79,7 @@
 
 def repeat_in_vain() -> None:
     """Repeat runs that make calls also where all servers fail."""
-    Sender._is_in_vain = lambda self, call: False
+    Sender._is_retry_futile = lambda self, call: False
 
 
 def wait_for_silent() -> None:
@@ -112,7 +114,7 @@
 
 def ask_for_no_reports() -> None:
     """Wait for the reports of a short service."""
-    ServiceLevels._ask_for_reports = lambda self, members, oldest_s: None
+    AdmittedFractions._ask_for_reports = lambda self, members, oldest_s: None
 
 
 def tell_callers_only() -> None:
