--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -1,4 +1,4 @@
-"""Admission of whole requests where they enter, by what they lead to."""
+"""Admission control for client requests, based on the services they lead to."""
 
 from __future__ import annotations
 
@@ -17,25 +17,23 @@
 
     from eelgrassmount.relay.routes import Route, RouteTable
 
-# what was offered fades with this factor at each step
+# decay factor of request counts per step
 DEMAND_DECAY = 0.9
-# routes with fewer requests are left out
+# demands with fewer requests are ignored
 MIN_REQUEST_COUNT = 0.5
-# weight of the latest step in the requests a second of a route; a rate that has faded
-# to the least is none
+# smoothing of request rates; lower rates are removed
 RATE_SMOOTHING = 0.3
 MIN_RATE_PER_S = 0.01
-# how deep chains of calls are followed
 MAX_CHAIN_DEPTH = 6
 
 
 @define(eq=False)
 class CallGraph:
-    """Which services each route leads to, from the vectors of all nodes.
+    """Which services each route leads to, as learned by all nodes.
 
-    ``vectors`` holds, by route, the calls that one run of it makes. It is mature
-    once any vector is known: before, calls of servers can't be told from requests.
-    ``settled`` are the routes whose calls are known, also if there are none.
+    ``calls_per_run`` maps a route to the mean number of calls that one run of it makes
+    to each other route. ``learned_routes`` are the routes whose calls are known,
+    including those that make none.
     """
 
     calls_per_run: dict[str, dict[str, float]] = field(factory=dict)
@@ -47,7 +45,7 @@
     _run_counts: dict[str, float] | None = None
 
     def set_calls(self, route_name: str, calls: dict[str, float]) -> None:
-        """Take up the vector of a route."""
+        """Store the calls per run of a route."""
         known = self.calls_per_run.get(route_name)
         self.forget_routes()
         if known is None or known.keys() != calls.keys():
@@ -57,30 +55,30 @@
         self.calls_per_run[route_name] = calls
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
-        """Forget the vectors of all other routes."""
+        """Remove the calls of all other routes."""
         self.learned_routes = {
             name for name in self.learned_routes if knows_route(name)
         }
-        left = [name for name in self.calls_per_run if not knows_route(name)]
-        for name in left:
+        removed = [name for name in self.calls_per_run if not knows_route(name)]
+        for name in removed:
             del self.calls_per_run[name]
-        if left:
+        if removed:
             self._called_routes = None
             self.forget_routes()
 
     def forget_routes(self) -> None:
-        """Follow the chains anew, after the routes have changed."""
+        """Clear cached results after routes or their calls have changed."""
         self._calls_by_service.clear()
         self._runs_by_depth.clear()
         self._time_allowances.clear()
         self._run_counts = None
 
     def find_time_allowance(self, route: Route, table: RouteTable) -> float:
-        """Return the seconds that a call of a route may take for all to be in time.
+        """Return the seconds that a call of a route may take.
 
-        That is its objective, or less where a request with a tighter one makes many
-        such calls: what a request has is divided among its calls as if they were
-        made one after the other and took the same time::
+        This is the objective of the route, or less if a request with a tighter
+        objective makes many such calls. The time of a request is divided among its
+        calls as if they were sequential and took equally long::
 
             # book has 0.8 s and makes 2 calls of list, each with 4 calls of part
             graph.find_time_allowance(part, table)  # 0.8 / (1 + 2 * (1 + 4))
@@ -100,13 +98,16 @@
                 if name not in allowances:
                     continue
                 for called in calls.keys() & allowances.keys():
-                    part = run_counts.get(called, 1.0) / run_counts[name]
-                    divided = allowances[name] * part
-                    allowances[called] = min(allowances[called], divided)
+                    share = run_counts.get(called, 1.0) / run_counts[name]
+                    limit_s = allowances[name] * share
+                    allowances[called] = min(allowances[called], limit_s)
         return allowances
 
     def find_call_timeout(self, route_name: str, table: RouteTable) -> float:
-        """Return the longest that the calls of a run may take, by their routes."""
+        """Return the shortest timeout in seconds among the routes that a run calls.
+
+        Infinite if the run is not known to make calls.
+        """
         called = self.calls_per_run.get(route_name, {}).keys() & table.routes.keys()
         return min((table.routes[name].timeout_s for name in called), default=math.inf)
 
@@ -120,7 +121,7 @@
         return self._run_counts
 
     def _compute_run_counts(self) -> dict[str, float]:
-        """Return how many runs a request of each route leads to, itself included."""
+        """Return the number of runs per request by route, the request included."""
         run_counts: dict[str, float] = {}
         for _ in range(MAX_CHAIN_DEPTH):
             run_counts = {
@@ -137,16 +138,16 @@
     def count_calls_by_service(
         self, route: Route, table: RouteTable
     ) -> dict[str, float]:
-        """Return how many calls a request of a route makes of each service.
+        """Return how many calls a request of a route makes to each service.
 
-        The request itself counts as one; calls of calls are counted along the
-        whole chain, up to a depth that ends cycles.
+        The request itself counts as one call. Downstream calls are counted up to
+        `MAX_CHAIN_DEPTH`, so that cycles end.
         """
         found = self._calls_by_service.get(route.name)
         if found is None:
             found = self._calls_by_service[route.name] = {}
-            for name, times in self.count_runs_by_route(route, table).items():
-                _add_service_runs(table.routes.get(name, route), times, found)
+            for name, runs in self.count_runs_by_route(route, table).items():
+                _add_service_runs(table.routes.get(name, route), runs, found)
         return found
 
     def count_runs_by_route(self, route: Route, table: RouteTable) -> dict[str, float]:
@@ -156,10 +157,10 @@
     def _count_runs_to_depth(
         self, route: Route, table: RouteTable, depth: int = MAX_CHAIN_DEPTH
     ) -> dict[str, float]:
-        """Return the runs by route of a request, with its chain followed so deep.
+        """Return the runs by route of a request, following its calls to a depth.
 
-        Routes lead to the same others: what each adds at a depth is found once for
-        all, as many routes that call one another would else take too long.
+        Results are cached by route and depth: without the cache, the time grows
+        exponentially with the number of routes that call each other.
         """
         known = self._runs_by_depth.get((route.name, depth))
         if known is not None:
@@ -169,27 +170,27 @@
         for name, per_run in calls.items():
             called = table.routes.get(name)
             if called is not None and name != route.name:
-                for run, times in self._count_runs_to_depth(
+                for run, runs in self._count_runs_to_depth(
                     called, table, depth - 1
                 ).items():
-                    found[run] = found.get(run, 0.0) + per_run * times
+                    found[run] = found.get(run, 0.0) + per_run * runs
         self._runs_by_depth[route.name, depth] = found
         return found
 
     def has_learned_calls(self) -> bool:
-        """Tell whether calls of servers can be told from requests of clients."""
+        """Return whether downstream calls can be told from client requests."""
         return bool(self.calls_per_run)
 
     def may_call(self, route_name: str, called_name: str) -> bool:
-        """Tell whether runs of a route make calls of another, or may do so.
+        """Return whether runs of a route call another route, or may do so.
 
-        One whose calls are not known may call any.
+        A route whose calls are not known may call any route.
         """
         calls = self.calls_per_run.get(route_name)
         return calls is None or called_name in calls
 
     def is_called_by_servers(self, route_name: str) -> bool:
-        """Tell whether running servers make calls of a route."""
+        """Return whether the runs of any route call this route."""
         if self._called_routes is None:
             self._called_routes = {
                 name for calls in self.calls_per_run.values() for name in calls
@@ -197,27 +198,28 @@
         return route_name in self._called_routes
 
 
-def _add_service_runs(route: Route, times: float, found: dict[str, float]) -> None:
-    """Add the runs of a route to those of the services that it leads to."""
-    for service, part in route.divide().items():
-        found[service] = found.get(service, 0.0) + times * part
+def _add_service_runs(route: Route, runs: float, found: dict[str, float]) -> None:
+    """Add the runs of a route to the counts of its target services."""
+    for service, share in route.divide().items():
+        found[service] = found.get(service, 0.0) + runs * share
 
 
 @define(eq=False)
 class Admission:
-    """Decides at the entry whether a request of a client may begin.
-
-    The demands that lead to a service stand one above the other, the most urgent
-    at the bottom, each as high as the calls that its requests ask of the service.
-    The level says up to which part of this pile requests are admitted. A demand at
-    the level is admitted in proportion, and of all services that a request needs
-    the scarcest decides. ``find_offered_rates`` returns the requests a second that
-    are offered to all nodes, if they are known: the few of one node in its last second
-    say little on a large fleet. ``rates`` holds those that are offered to this node,
-    and ``offered`` its fading counts, by which it goes alone. Only routes are cut that
-    clients are seen to use. Where keys tell clients from servers, one whose calls are
-    not known yet may lead to any service, so that the least urgent requests go first
-    also in the first seconds of a surge.
+    """Decides which client requests a node admits while services are overloaded.
+
+    For each overloaded service, demands are ordered by urgency and weighted by the
+    calls that their requests make to it. The most urgent demands are admitted until
+    their calls reach the admitted fraction of the service; the demand at the limit is
+    admitted in part. If a request needs several services, the smallest fraction
+    applies.
+
+    ``find_offered_rates`` returns the requests per second that clients offer to all
+    nodes; while it is empty, the node uses its own decaying ``request_counts``.
+    ``request_rates`` holds the requests per second offered to this node. Only routes
+    that clients are known to use are limited. Where API keys separate clients from
+    servers, a route whose calls are not known yet counts as a user of every overloaded
+    service, so that urgent requests have precedence from the first seconds of a surge.
     """
 
     graph: CallGraph
@@ -232,15 +234,15 @@
     _new_requests: dict[Demand, int] = field(factory=dict)
 
     def allows(self, demand: Demand) -> bool:
-        """Decide on one request, dividing evenly over time."""
+        """Return whether to admit one request; admissions are spread evenly."""
         self.request_counts[demand] = self.request_counts.get(demand, 0.0) + 1.0
         self._new_requests[demand] = self._new_requests.get(demand, 0) + 1
         share = self.admitted_fractions.get(demand, 1.0)
-        # a call of a server that isn't known as one yet would be refused, as in the
-        # first seconds of a surge, and what was done for its request lost
+        # Refusing an unrecognized downstream call would waste the work already done
+        # for its request.
         if share >= 1.0 or not self.is_client_route(demand.route_name):
             return True
-        # nodes that begin alike would all refuse their first request, or none
+        # A random start keeps nodes from all refusing their first request.
         credit = self._credits.get(demand)
         credit = share + (self.rng.random() if credit is None else credit)
         if credit >= 1.0:
@@ -250,18 +252,22 @@
         return False
 
     def update(self, table: RouteTable) -> None:
-        """Work out the shares anew from the levels and what was offered lately.
+        """Recompute the admitted fractions of all demands.
 
-        It is called once each `STEP_S`.
+        Must be called once each `STEP_S`.
         """
         self._update_rates(table)
         self.admitted_fractions = {}
-        levels = {name: self.find_admitted_fraction(name) for name in table.services}
-        overloaded = {name: level for name, level in levels.items() if level < 1.0}
+        fractions = {name: self.find_admitted_fraction(name) for name in table.services}
+        overloaded = {
+            name: fraction for name, fraction in fractions.items() if fraction < 1.0
+        }
         if overloaded and (self.graph.has_learned_calls() or table.teams.is_required):
-            for service, asked in self._estimate_demands(table, overloaded).items():
+            for service, service_calls in self._estimate_demands(
+                table, overloaded
+            ).items():
                 if service in overloaded:
-                    self._apply_limits(divide_level(asked, overloaded[service]))
+                    self._apply_limits(divide_level(service_calls, overloaded[service]))
         self.request_counts = {
             demand: count * DEMAND_DECAY
             for demand, count in self.request_counts.items()
@@ -284,7 +290,7 @@
         self._new_requests.clear()
 
     def _get_demands(self) -> dict[Demand, float]:
-        """Return what is offered of each demand, for how much one is of all."""
+        """Return the offered amount of each demand, for all nodes if known."""
         return self.find_offered_rates() or {
             demand: count
             for demand, count in self.request_counts.items()
@@ -294,22 +300,25 @@
     def _estimate_demands(
         self, table: RouteTable, overloaded: dict[str, float]
     ) -> dict[str, list[AskedCalls]]:
-        """Return what the offered requests ask of each service, by demand."""
+        """Return the calls that each demand makes to each service."""
         demands_by_service: dict[str, list[AskedCalls]] = {}
         for demand, count in self._get_demands().items():
             route = table.routes.get(demand.route_name)
             if route is None or self.graph.is_called_by_servers(demand.route_name):
                 continue
-            reached = self.graph.count_calls_by_service(route, table)
+            calls_by_service = self.graph.count_calls_by_service(route, table)
             if self._has_unknown_calls(route, table):
-                reached = {**dict.fromkeys(overloaded, 1.0), **reached}
-            for service, calls in reached.items():
-                asked = AskedCalls(demand, count * calls)
-                demands_by_service.setdefault(service, []).append(asked)
+                calls_by_service = {
+                    **dict.fromkeys(overloaded, 1.0),
+                    **calls_by_service,
+                }
+            for service, calls in calls_by_service.items():
+                service_calls = AskedCalls(demand, count * calls)
+                demands_by_service.setdefault(service, []).append(service_calls)
         return demands_by_service
 
     def _has_unknown_calls(self, route: Route, table: RouteTable) -> bool:
-        """Tell whether the calls of a client's route are not known yet."""
+        """Return whether the calls of a client route are not known yet."""
         known = (
             route.name in self.graph.calls_per_run
             or route.name in self.graph.learned_routes
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -1,4 +1,4 @@
-"""The levels of all services, from reports of load and what clients offer."""
+"""Admitted fraction of each service, from load reports and offered load."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def log_overload_change(
-    service: str, before: float, level: float, load: GateLoad
+    service: str, previous: float, fraction: float, load: GateLoad
 ) -> None:
-    """Write a line when a service becomes short, and when it no longer is."""
-    if (level < 1.0) == (before < 1.0):
+    """Log when the overload of a service begins or ends."""
+    if (fraction < 1.0) == (previous < 1.0):
         return
     logger.info(
-        "overload begins" if level < 1.0 else "overload ended",
+        "overload begins" if fraction < 1.0 else "overload ended",
         service=service,
         demand=round(load.demand, 2),
         wait=round(load.wait, 2),
@@ -38,23 +38,23 @@
 
 @define(eq=False)
 class AdmittedFractions:
-    """Keeps the level of each service, and notes which ones can't be reached."""
+    """Updates the admitted fraction and the reachability of each service."""
 
-    beliefs: Beliefs
+    state: Beliefs
 
     def update(self) -> None:
-        """Work out the levels of all services anew, once each `STEP_S`."""
+        """Update the admitted fractions of all services; called each `STEP_S`."""
         required = self._estimate_required_runs()
-        for service, found in self.beliefs.members.by_service.items():
-            self._update_service(service, found.values(), required.get(service, {}))
+        for service, members in self.state.members.by_service.items():
+            self._update_service(service, members.values(), required.get(service, {}))
 
     def _update_service(
         self, service: str, members: Collection[Member], required: dict[str, float]
     ) -> None:
-        beliefs = self.beliefs
-        oldest_s = beliefs.clock() - REPORT_LIMIT_S
-        control = beliefs.levels.setdefault(service, LevelControl())
-        before = control.level
+        state = self.state
+        oldest_s = state.clock() - REPORT_LIMIT_S
+        control = state.levels.setdefault(service, LevelControl())
+        previous = control.level
         load = GateLoad()
         recent = self._list_recent_loads(members, oldest_s)
         if recent:
@@ -64,88 +64,88 @@
             control.update(load.demand, load.wait, age, forecast)
         else:
             control.relax()
-        log_overload_change(service, before, control.level, load)
+        log_overload_change(service, previous, control.level, load)
         self._update_reachability(service, members)
-        if beliefs.find_level(service) < 1.0:
+        if state.find_level(service) < 1.0:
             self._ask_for_reports(members, oldest_s)
 
     def _list_recent_loads(
         self, members: Iterable[Member], oldest_s: float
     ) -> list[MemberLoad]:
-        """Return the loads that were reported lately, of servers that take work."""
+        """Return the recently reported loads of servers that accept calls."""
         return [
             one.load
             for one in members
             if one.load.reported_s > oldest_s
             and one.load.limit
-            # what leaves has slots that nobody may use
+            # the slots of a draining server are not usable
             and one.load.accepting
         ]
 
     def _update_reachability(self, service: str, members: Collection[Member]) -> None:
-        """Note whether any server of a service can be sent a call from here.
+        """Record whether this node can send calls to any server of a service.
 
-        What leads to one that can't is refused while it has not run, also where the
-        last server of the deepest service is in a failure domain that is cut off.
+        Requests that need an unreachable service are refused before they run, also if
+        its last servers are in a failure domain that is partitioned from this node.
         """
-        beliefs = self.beliefs
-        now_s = beliefs.clock()
-        if not beliefs.table.version:
-            # a node that has just started knows few others, and refuses all
+        state = self.state
+        now_s = state.clock()
+        if not state.table.version:
+            # A starting node knows few others and refuses all requests anyway.
             return
-        # one that is silent may only stand still
-        reached = any(
+        # A silent member may only be paused.
+        reachable = any(
             not member.failures and member.is_accepting(now_s) for member in members
         )
-        if reached == (service not in beliefs.unreachable):
+        if reachable == (service not in state.unreachable):
             return
-        if reached:
-            beliefs.unreachable.discard(service)
+        if reachable:
+            state.unreachable.discard(service)
         else:
-            beliefs.unreachable.add(service)
+            state.unreachable.add(service)
         logger.warning(
-            "service reached again" if reached else "service unreachable",
+            "service reached again" if reachable else "service unreachable",
             service=service,
             servers=len(members),
         )
 
     def _estimate_required_runs(self) -> dict[str, dict[str, float]]:
-        """Return the runs a second that offered requests ask of each service, by route.
+        """Return the required runs per second, by service and route.
 
-        There is none before other nodes are heard of.
+        Empty until this node has the counts of other nodes.
         """
-        beliefs = self.beliefs
+        state = self.state
         required: dict[str, dict[str, float]] = {}
-        if beliefs.outlook.nodes < 2 or not beliefs.graph.has_learned_calls():
+        if state.outlook.nodes < 2 or not state.graph.has_learned_calls():
             return required
-        routes = beliefs.table.routes
-        for demand, rate in beliefs.outlook.offered.items():
+        routes = state.table.routes
+        for demand, rate in state.outlook.offered.items():
             route = routes.get(demand.route_name)
-            if route is None or beliefs.graph.is_called_by_servers(demand.route_name):
+            if route is None or state.graph.is_called_by_servers(demand.route_name):
                 continue
-            for run, times in beliefs.graph.count_runs_by_route(
-                route, beliefs.table
+            for run, runs in state.graph.count_runs_by_route(
+                route, state.table
             ).items():
-                for service, part in routes[run].divide().items():
-                    runs = required.setdefault(service, {})
-                    runs[run] = runs.get(run, 0.0) + rate * times * part
+                for service, share in routes[run].divide().items():
+                    rates = required.setdefault(service, {})
+                    rates[run] = rates.get(run, 0.0) + rate * runs * share
         return required
 
     def _count_usable(self, members: Iterable[Member]) -> int:
         return sum(1 for one in members if one.load.accepting and not one.failures)
 
     def _ask_for_reports(self, members: Iterable[Member], oldest_s: float) -> None:
-        """Ask the nodes of a short service that no longer report to this one.
+        """Request load reports from nodes of an overloaded service.
 
-        A node that refuses all that leads there sends it no calls, gets no reports
-        in turn, and would refuse for good.
+        Nodes report to their callers. A node that refuses all requests for a service
+        makes no calls to it, and without new reports would never admit them again.
         """
         for member in members:
             if member.is_connected() and member.load.reported_s <= oldest_s:
                 member.link.send(FrameKind.PING, ttypes.RelayConfigRequest(0))
 
     def _compute_report_age(self, loads: list[MemberLoad]) -> int:
-        """Return the mean age of reports in steps."""
-        now_s = self.beliefs.clock()
+        """Return the mean age of load reports in steps."""
+        now_s = self.state.clock()
         age_s = sum(now_s - load.reported_s for load in loads) / len(loads)
         return int(age_s / STEP_S)
--- a/eelgrassmount/relay/budget.py
+++ b/eelgrassmount/relay/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of a service, which its gates share."""
+"""Retry budget of a service, shared by its dispatchers."""
 
 from __future__ import annotations
 
@@ -22,18 +22,17 @@
     from eelgrassmount.policy.repeats import Allowance
     from eelgrassmount.relay.messages import Origin
 
-# sendings are counted in so many buckets of a window
 BUCKETS_PER_WINDOW = 20
-# a window is compared with requests of this many windows back, in steps of a half one
+# oldest requests that are counted for the budget of a window
 MAX_PAST_WINDOWS = 2
-# part of the requests of an earlier window that a node counts: the windows with most
-# differ from node to node, so that the sum over all nodes may be above that of any
+# Discount for requests of earlier windows. Nodes have their peaks in different
+# windows, and the sum of the peaks exceeds the requests of any single window.
 EARLIER_WEIGHT = 0.7
 
 
 @define
 class BucketCounter:
-    """How many events came in each of the latest buckets of time, the last one open."""
+    """Counts events in time buckets; the last bucket is still open."""
 
     bucket_s: float
     length: int
@@ -46,7 +45,7 @@
         self._counts[-1] += 1
 
     def count(self, now_s: float, newest: int, buckets: int) -> int:
-        """Return the events in buckets, of which ``newest`` is the latest: 0 is open."""
+        """Return the events of some buckets; ``newest`` 0 is the open bucket."""
         self._advance(now_s)
         end = len(self._counts) - newest
         return sum(list(self._counts)[max(0, end - buckets) : max(0, end)])
@@ -62,10 +61,10 @@
 
 @define
 class ServiceBudget:
-    """Requests and retries of one service in the latest buckets.
+    """Recent requests and retries of one service.
 
-    ``tokens`` are the retries that may be sent now, and ``random_draw`` is the bucket from 0
-    to 1 that was random_draw by chance in the window ``draw_window``.
+    ``tokens`` are the retries that may be sent now. ``random_draw``, from 0 to 1, was
+    drawn in the window ``draw_window``.
     """
 
     window_s: float
@@ -77,7 +76,7 @@
     retries: BucketCounter = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin to count."""
+        """Create the counters."""
         bucket_s = self.window_s / BUCKETS_PER_WINDOW
         self.requests = BucketCounter(
             bucket_s, MAX_PAST_WINDOWS * BUCKETS_PER_WINDOW + 1
@@ -85,10 +84,11 @@
         self.retries = BucketCounter(bucket_s, BUCKETS_PER_WINDOW + 1)
 
     def count_requests(self, now_s: float) -> float:
-        """Return the requests of this window, or of the one before or half before.
+        """Return the highest request count of this window and recent ones.
 
-        A repeat is allowed against whichever had most: when a shortage sends callers
-        away, those that were begun before it still need their retries.
+        The window ending half a window ago and the one ending a whole window ago are
+        included with a lower weight: when an overload drives callers away, earlier
+        requests still need their retries.
         """
         earlier = max(
             self.requests.count(now_s, newest, BUCKETS_PER_WINDOW)
@@ -99,28 +99,27 @@
         )
 
     def refill(self, allowed: Allowance, now_s: float) -> None:
-        """Add the tokens of the time since the last call."""
+        """Add the tokens earned since the last call."""
         windows = (now_s - self.refilled_s) / self.window_s
         self.tokens = refill_tokens(self.tokens, allowed, windows)
         self.refilled_s = now_s
 
     def spend(self, now_s: float) -> None:
-        """Count a repeat."""
+        """Count a retry."""
         self.retries.add(now_s)
         self.tokens -= 1.0
 
     def count_retries(self, now_s: float) -> int:
-        """Return the retries of this window, counted generously."""
+        """Return an upper bound of the retries in this window."""
         return self.retries.count(now_s, 0, BUCKETS_PER_WINDOW + 1)
 
 
 @define(eq=False)
 class RetryBudget:
-    """Allows second sendings so that the sum over all nodes stays in bounds.
+    """Limits the retries of a service over all of its nodes.
 
-    Each gate counts the requests that come to it and takes retries of a part of them,
-    plus its share of the slack. ``count_nodes`` tells among how many gates the slack is
-    divided.
+    Each dispatcher allows retries in proportion to the requests that it receives, plus
+    its share of the slack, which is divided among ``count_nodes()`` dispatchers.
     """
 
     clock: Callable[[], float]
@@ -132,17 +131,17 @@
     _budgets: dict[str, ServiceBudget] = field(factory=dict)
 
     def count_request(self, service: str) -> None:
-        """Count a first sending."""
+        """Count the first attempt of a call."""
         self._get_budget(service).requests.add(self.clock())
 
     def count_inherited_retry(self, service: str) -> None:
-        """Count a call of a run that was a repeat, which counts as one itself."""
+        """Charge a call of a retried run to the budget as a retry."""
         self._get_budget(service).spend(self.clock())
 
     def take(self, service: str, origin: Origin, is_leaf: bool) -> bool:
-        """Take one repeat of a call; ``False`` when there is none left for it.
+        """Return whether a call may be retried, and charge the retry to the budget.
 
-        ``is_leaf`` says that a run makes no calls of its own.
+        ``is_leaf`` tells whether the run makes no calls of its own.
         """
         budget = self._get_budget(service)
         now_s = self.clock()
@@ -159,7 +158,7 @@
             return False
         budget.refill(allowed, now_s)
         reserved = allowed.at_once * find_kept(origin.remaining_runs, origin.priority)
-        # what may be sent at once is less than one on a node with few requests
+        # nodes with few requests may send less than one retry at once
         if budget.tokens < max(reserved, min(1.0, allowed.at_once)):
             return False
         budget.spend(now_s)
@@ -168,10 +167,10 @@
     def _round_allowance(
         self, budget: ServiceBudget, whole: float, now_s: float
     ) -> float:
-        """Return the retries of a window, where a share below one is one by chance.
+        """Return the retries allowed in a window; an allowance below one is random.
 
-        A new draw is made in each window, so that of many gates with a fifth of a
-        repeat each, every fifth takes one.
+        There is one draw per window, so that of many dispatchers that may each send a
+        fifth of a retry, every fifth sends one.
         """
         window = int(now_s / self.window_s)
         if window != budget.draw_window:
@@ -180,7 +179,7 @@
         return round_allowance(whole, budget.random_draw)
 
     def list_services(self) -> list[tuple[str, int, int]]:
-        """Return each service with its requests and retries in the window now."""
+        """Return each service with its requests and retries in this window."""
         now_s = self.clock()
         return [
             (
--- a/eelgrassmount/relay/decisions.py
+++ b/eelgrassmount/relay/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines for decisions about single requests, bounded in number."""
+"""Rate-limited log lines for decisions about single requests."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# lines a second for what went wrong or was done again; a burst may use two seconds'
+# failures and retries; the burst is two seconds of lines
 MAX_LINES_PER_S = 10.0
 MAX_BURST_LINES = 20.0
-# lines a second for plain successes, as samples
+# successful requests
 MAX_SAMPLES_PER_S = 0.2
 
 
 @define(eq=False)
 class LineRateLimiter:
-    """Counts how many lines may still be written, and those left out."""
+    """Token bucket for log lines; counts the lines dropped."""
 
     rate_per_s: float
     tokens: float
@@ -27,7 +27,7 @@
     _updated_s: float = 0.0
 
     def take(self, now_s: float) -> bool:
-        """Take one line; ``False`` when there is none left."""
+        """Return whether another line may be written, and take a token for it."""
         earned = (now_s - self._updated_s) * self.rate_per_s
         self._updated_s = now_s
         self.tokens = min(MAX_BURST_LINES, self.tokens + earned)
@@ -40,7 +40,7 @@
 
 @define(eq=False)
 class DecisionLog:
-    """Writes one line a decision while the budget lasts."""
+    """Logs one line per decision within the rate limits."""
 
     clock: Callable[[], float]
     failures: LineRateLimiter
@@ -48,7 +48,7 @@
 
     @classmethod
     def create(cls, clock: Callable[[], float]) -> DecisionLog:
-        """Return a log with the usual budgets."""
+        """Return a log with the default limits."""
         return cls(
             clock,
             LineRateLimiter(MAX_LINES_PER_S, MAX_BURST_LINES),
@@ -58,17 +58,17 @@
     def record(
         self, decision: str, request_id: str, outcome: str, **inputs: Any
     ) -> None:
-        """Write a line about a refusal, a failure or a second sending."""
+        """Log a refusal, a failure or a retry."""
         if self.failures.take(self.clock()):
             logger.info(decision, request=request_id, outcome=outcome, **inputs)
 
     def sample(self, decision: str, request_id: str, **inputs: Any) -> None:
-        """Write a line about a success, now and then."""
+        """Log a sample of the successful requests."""
         if self.samples.take(self.clock()):
             logger.info(decision, request=request_id, outcome="answered", **inputs)
 
     def report_dropped_lines(self) -> None:
-        """Say how many lines about failures were left out since the last time."""
+        """Log how many lines were dropped since the last report."""
         count = self.failures.dropped
         if count:
             self.failures.dropped = 0
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -1,4 +1,4 @@
-"""The gate beside a backend server: what runs there, waits or is refused."""
+"""Dispatches calls to the local backend server within its concurrency limit."""
 
 from __future__ import annotations
 
@@ -30,17 +30,14 @@
     from eelgrassmount.retry.quarantine import Quarantine
 
 CallLater = Callable[[float, Callable[[], None]], object]
-# a server that has less time than this left is not begun with
+# shortest time before the deadline in which a call is still run
 MIN_RUN_TIME_S = 0.005
-# a call that waits so shortly before its deadline is refused: two hops take a few
-# milliseconds
+# queued calls are refused so long before their deadline, for the reply to arrive
 EXPIRY_MARGIN_S = 0.012
-# past its deadline, a call that has no answer is given up after so long
+# overdue calls are cancelled so long after their deadline
 DEADLINE_GRACE_S = 0.3
-# connections that break so shortly before the server refuses new ones were cut
-# by its crash
+# connections that break so long before the server is gone count as crashed
 CRASH_WINDOW_S = 1.0
-# lines about rejected calls are at least so far apart
 REJECTION_LOG_INTERVAL_S = 1.0
 
 _OUTCOMES = {
@@ -54,10 +51,10 @@
 
 @define(eq=False)
 class Job:
-    """A call at the gate; ``done`` is called once with its reply.
+    """A call at the dispatcher; ``done`` is called once with its reply.
 
-    It is ``server_restarted`` when the server has started again since it was sent.
-    ``timeout_s`` is the time that the server was given for it.
+    ``timeout_s`` is the time that the server was given for the call.
+    ``server_restarted`` is set if the server has restarted since the call was sent.
     """
 
     call: Call
@@ -71,20 +68,20 @@
     server_restarted: bool = False
 
     def was_sent_before(self, now_s: float) -> bool:
-        """Tell whether the server could read the call before a time."""
+        """Return whether the server could have read the call before a time."""
         written = self.sending is not None and self.sending.is_written()
         return written and self.started_s < now_s
 
 
 @define(eq=False)
 class Dispatcher:
-    """Gives the server no more calls than it has slots and queues the others.
+    """Runs as many calls at the server as it has slots, and queues the others.
 
-    The queue is ordered by the time at which each call is due, which comes sooner the
-    more urgent its request is. A call that would wait too long is refused at once, so
-    that another server can have it, and so is a repeat that the budget doesn't hold.
-    ``has_lost_call`` tells whether a call that a run has made failed, or is still open,
-    and ``claim_loss`` whether a run has failed by such a call.
+    The queue is ordered by due time, which is earlier for urgent requests. A call that
+    would wait too long is refused at once, so that another server can run it; so is a
+    retry beyond the retry budget. ``has_lost_call`` returns whether a downstream call
+    of a run has failed or is still open, ``claim_loss`` whether a run failed because of
+    such a call.
     """
 
     server: LocalServer
@@ -97,7 +94,7 @@
     find_time_allowance: Callable[[Route], float] = lambda route: route.objective_s
     find_call_timeout: Callable[[str], float] = lambda route_name: math.inf
     on_run_start: Callable[[Job], None] = lambda job: None
-    on_run_end: Callable[[Job, bool], None] = lambda job, well: None
+    on_run_end: Callable[[Job, bool], None] = lambda job, succeeded: None
     has_lost_call: Callable[[Job], bool] = lambda job: False
     claim_loss: Callable[[Job], bool] = lambda job: False
     on_crash: Callable[[ServerIncarnation, list[Job]], None] = lambda ended, jobs: None
@@ -114,23 +111,22 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many calls the server has now."""
+        """Return the number of calls running at the server."""
         return len(self.running)
 
     def submit(self, job: Job) -> None:
-        """Run a job now or later, or refuse it."""
+        """Run, queue or refuse a job."""
         now_s = self.clock()
         reason = self._find_refusal(job.call, now_s)
         if reason is not None:
             self._refuse(job, reason)
             return
-        # what one server after the other refuses would count for several: demand for
-        # three short servers seemed up to three times what it was
+        # calls that several servers refuse count as demand only once
         if not job.call.counted_as_demand:
             self.measures.arrivals += 1
             self.budget.count_request(job.call.service)
-        has_room = self.in_flight < self.server.compute_limit()
-        if not has_room and self._estimate_wait(job.call) > self._find_max_wait(
+        has_free_slot = self.in_flight < self.server.compute_limit()
+        if not has_free_slot and self._estimate_wait(job.call) > self._find_max_wait(
             job.call
         ):
             self._refuse(job, Reason.OVERLOAD)
@@ -138,7 +134,7 @@
         if not self._take_retry(job.call):
             self._refuse(job, Reason.RETRY_BUDGET)
             return
-        if has_room:
+        if has_free_slot:
             self._start(job, now_s)
             return
         self._update_queue_time(now_s)
@@ -155,10 +151,10 @@
         self.call_later(max(0.0, remaining_s), lambda: self._expire(job))
 
     def _expire(self, job: Job) -> None:
-        """Refuse a job that still waits shortly before its deadline.
+        """Refuse a job that is still queued shortly before its deadline.
 
-        Whoever waits for it can then say truly that it has not run, which lets clients
-        come back also with what must not run twice.
+        The caller then learns in time that the call has not run, and may retry it even
+        if it is not idempotent.
         """
         if job.ended or job.sending is not None or job in self.running:
             return
@@ -167,10 +163,10 @@
         self._refuse(job, Reason.DEADLINE)
 
     def _take_retry(self, call: Call) -> bool:
-        """Take a repeat out of the retry budget; tell whether it holds one.
+        """Return whether the retry budget allows a call, and charge it to the budget.
 
-        It is held here, where the calls of all nodes come together: of many nodes, each
-        has so few requests of a route that its part of a budget is less than a repeat.
+        The budget is kept at the receiving node: each sender has too few requests of a
+        route for a retry of its own.
         """
         if call.is_retry:
             is_leaf = self.is_leaf(call.route.name)
@@ -180,26 +176,26 @@
         return True
 
     def identify(self, health_path: str) -> None:
-        """Ask a server that has not announced itself yet which incarnation it is.
+        """Query the incarnation of a server that has not announced itself.
 
-        A node that starts beside a running server would otherwise refuse calls
-        until the next heartbeat.
+        Without it, a node that starts beside a running server refuses calls until the
+        next heartbeat.
         """
 
-        def note(outcome: ClientAnswer | Break) -> None:
-            if isinstance(outcome, ClientAnswer) and outcome.status == 200:
-                head = self.dialect.read_answer(outcome.headers)
+        def on_answer(answer: ClientAnswer | Break) -> None:
+            if isinstance(answer, ClientAnswer) and answer.status == 200:
+                head = self.dialect.read_answer(answer.headers)
                 if self.server.incarnation is None:
                     self.server.note_named(head.instance)
-                    known = str(self.server.incarnation)
-                    logger.info("server identified", incarnation=known)
+                    incarnation = str(self.server.incarnation)
+                    logger.info("server identified", incarnation=incarnation)
                     self.on_change()
 
         data = self.dialect.write_probe(health_path)
-        self.pool.send(self.server.address, data, True, lambda answer: True, note)
+        self.pool.send(self.server.address, data, True, lambda answer: True, on_answer)
 
     def cancel(self, job: Job) -> None:
-        """Give up a job nobody waits for; what must not run twice runs on."""
+        """Cancel a job; calls that have started run on if not idempotent."""
         if job.ended:
             return
         if job.sending is None:
@@ -211,7 +207,7 @@
             job.sending.cancel()
 
     def sweep(self) -> None:
-        """Give up jobs past their deadline, and count silent ones as failures."""
+        """Cancel overdue jobs, and count silent ones as failures."""
         now_s = self.clock()
         self._broken_connections = [
             one for one in self._broken_connections if now_s - one[0] < CRASH_WINDOW_S
@@ -227,12 +223,12 @@
         self._start_queued()
 
     def restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
-        """Settle what ran on a server that has started again, and begin anew.
+        """Finish the calls that were lost in a restart of the server.
 
-        What was sent before ``restarted_s`` may have run at the start that ``ended``, or at
-        the new one where that still reads it, since both have the identity that the
-        call names: so it is neither *not run* nor sent again here. Later calls reached
-        the new start and run on; those in the queue go to it.
+        Calls sent before ``restarted_s`` may have run at the incarnation ``ended`` or
+        at the new one, so that they are neither reported as *not run* nor sent again.
+        Later calls have reached the new incarnation and continue; queued calls are sent
+        to it.
         """
         running = [job for job in self.running if job.was_sent_before(restarted_s)]
         broken = self._pop_broken()
@@ -246,31 +242,31 @@
         )
         if suspects:
             self.on_crash(ended, suspects)
-        # before anything is sent to the new start, as the ends below do
+        # must precede the cancellations, which start queued calls
         self.pool.forget()
         self.measures.begin_anew()
         for job in running:
             job.server_restarted = True
-            # the end of one may have ended another
+            # cancelling one call may have ended another
             if job.sending is not None:
                 job.sending.cancel()
         self._start_queued()
 
     def update_load(self) -> None:
-        """Take what arrived and waited since the last time into the mean load."""
+        """Update the mean load with the arrivals and waits since the last update."""
         now_s = self.clock()
         self._update_queue_time(now_s)
         self.measures.update_load(self.server.compute_limit(), now_s)
 
     def forget_routes(self, known: Collection[str]) -> None:
-        """Forget the routes that have left the configuration, once none runs."""
+        """Remove measures of routes that are neither configured nor running."""
         running = {job.call.route.name for job in self.running}
         self.measures.keep_routes({*known, *running})
 
     def _count_if_silent(self, job: Job, now_s: float) -> None:
         """Count a run as a failure once it takes far longer than usual."""
-        patience_s = self.measures.find_patience(job.call.route)
-        if job.silent or now_s - job.started_s <= patience_s:
+        silence_timeout_s = self.measures.find_patience(job.call.route)
+        if job.silent or now_s - job.started_s <= silence_timeout_s:
             return
         if not self.has_lost_call(job):
             job.silent = True
@@ -297,9 +293,9 @@
         self.queued += change
 
     def _estimate_wait(self, call: Call) -> float:
-        """Return the seconds until a call would start, behind those of its priority."""
-        own = call.origin.priority
-        ahead = sum(count for one, count in self._waiting.items() if one <= own)
+        """Return the expected wait in seconds behind calls as urgent or more so."""
+        priority = call.origin.priority
+        ahead = sum(count for one, count in self._waiting.items() if one <= priority)
         return self.measures.mean_run_s * (ahead + 1) / self.server.compute_limit()
 
     def _find_max_wait(self, call: Call) -> float:
@@ -343,41 +339,40 @@
             data,
             not call.route.idempotent,
             accepts,
-            lambda outcome: self._finish(job, outcome),
+            lambda result: self._finish(job, result),
             call.method == "HEAD",
         )
 
-    def _finish(self, job: Job, outcome: ClientAnswer | Break) -> None:
+    def _finish(self, job: Job, result: ClientAnswer | Break) -> None:
         now_s = self.clock()
         self._update_queue_time(now_s)
         self.running.discard(job)
-        reply = self._create_reply(job, outcome, now_s)
+        reply = self._create_reply(job, result, now_s)
         failed = reply.outcome is not Outcome.ANSWERED or reply.status >= 500
         lost = failed and self.claim_loss(job)
         self.on_run_end(job, not failed)
         job.ended = True
-        # the sending leads back to the job: without this, ended jobs and their bodies
-        # stay until the collector runs
+        # breaks a reference cycle that would keep jobs and their bodies in memory
         job.sending = None
         self._update_measures(job, reply, now_s, failed, lost)
         self._start_queued()
         job.done(reply)
 
     def _create_reply(
-        self, job: Job, outcome: ClientAnswer | Break, now_s: float
+        self, job: Job, result: ClientAnswer | Break, now_s: float
     ) -> Reply:
-        if isinstance(outcome, ClientAnswer):
-            return self._create_answer_reply(outcome)
-        fate, reason = _OUTCOMES[outcome]
+        if isinstance(result, ClientAnswer):
+            return self._create_answer_reply(result)
+        outcome, reason = _OUTCOMES[result]
         if job.overdue:
             reason = Reason.DEADLINE
         elif job.server_restarted:
             reason = Reason.SERVER_CRASHED
-        if outcome is Break.REFUSED:
+        if result is Break.REFUSED:
             self._handle_unreachable(now_s)
-        elif outcome is Break.CLOSED:
+        elif result is Break.CLOSED:
             self._broken_connections.append((now_s, job))
-        return Reply(fate, reason)
+        return Reply(outcome, reason)
 
     def _create_answer_reply(self, answer: ClientAnswer) -> Reply:
         head = self.dialect.read_answer(answer.headers)
@@ -402,7 +397,7 @@
             self._rejection_logged_s = now_s
 
     def _handle_unreachable(self, now_s: float) -> None:
-        """Suspect what ran when connections broke, now that the server is gone."""
+        """Report the calls on recently broken connections as suspects of a crash."""
         self.server.note_unreachable(now_s)
         self.on_change()
         suspects = self._pop_broken()
@@ -410,7 +405,7 @@
             self.on_crash(self.server.incarnation, suspects)
 
     def _pop_broken(self) -> list[Job]:
-        """Return what ran on connections that have just broken, once."""
+        """Return the calls on recently broken connections, and forget them."""
         now_s = self.clock()
         found = [
             job
@@ -426,7 +421,7 @@
         if job.server_restarted:
             return
         if reply.reason is Reason.SERVER_SHED:
-            # it has slots left as far as is known, and yet runs nothing
+            # the server rejects calls although it has free slots
             self.measures.count_outcome(True)
         if reply.outcome is Outcome.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
@@ -443,7 +438,7 @@
         self.measures.add_run(route_name, now_s - job.started_s, allowed_s)
 
     def _start_queued(self) -> None:
-        """Start or refuse queued jobs now that there may be room."""
+        """Start or refuse queued jobs while slots are free."""
         now_s = self.clock()
         limit = self.server.compute_limit()
         while self._queue and self.in_flight < limit:
@@ -459,6 +454,6 @@
                 self._refuse(job, reason)
 
     def _find_queued_refusal(self, call: Call, now_s: float) -> Reason | None:
-        """Return why a queued call can't run; a draining server still takes it."""
+        """Return why a queued call cannot run; draining servers still run it."""
         reason = self._find_refusal(call, now_s)
         return None if reason is Reason.DRAINING else reason
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -1,4 +1,4 @@
-"""Requests of the clients and of the server on this VM, as they arrive."""
+"""Entry point for the requests of clients and of the local backend server."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaTaker, QuotaVerdict
 
-# without a deadline of the client, a request is kept this long at most
+# used for requests without a deadline
 DEFAULT_REMAINING_MS = 60_000
 
 
 @define(eq=False)
 class Ingress:
-    """Takes requests and decides whether each of them may begin.
+    """Receives requests and decides whether to admit them.
 
-    ``record_request`` hears of each route that is asked for on this VM, and
-    ``record_client_request`` instead where a client must have done so; ``is_called_by_servers``
-    tells whether running servers call a route, whose calls are not refused here.
-    ``is_client_route`` tells whether clients are seen to use a route.
-    ``is_current`` tells whether this node knows what stands on the log now.
+    ``record_client_request`` is called for requests that certainly come from a client,
+    ``record_request`` for all others. ``is_called_by_servers`` returns whether running
+    servers call a route; such calls are not subject to admission control.
+    ``is_client_route`` returns whether clients are known to use a route. ``is_current``
+    returns whether this node has read the log up to its end.
     """
 
     get_local_service: Callable[[], str]
@@ -59,7 +59,7 @@
     chooser: TargetChooser = field(factory=TargetChooser)
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a request."""
+        """Handle a new request."""
         head = self.dialect.read_request(exchange.headers)
         table = self.table
         if table.version == 0:
@@ -86,10 +86,10 @@
     def _request_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
     ) -> None:
-        """Begin a request if its team's quota allows it.
+        """Admit a request if the quota of its team allows it.
 
-        It is asked before all else: what a team may not use must not count as offered,
-        nor keep anything of others waiting.
+        The quota is checked first: requests beyond it must not count as offered load or
+        delay the requests of other teams.
         """
 
         def decide(verdict: QuotaVerdict) -> None:
@@ -106,20 +106,20 @@
     def _admit(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team | None
     ) -> None:
-        """Begin a request unless what it leads to is short of room."""
+        """Forward a request unless it is limited by overload or quarantined."""
         if team is None:
             self.record_request(route.name)
         else:
             self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
         made_call = None
-        # calls of servers have no key
+        # downstream calls carry no API key
         if team is None and self._may_be_downstream_call(route):
             made_call = self._find_caller(exchange, head, route)
         origin = self._find_origin(route, team, made_call)
         call = self._create_call(exchange, head, route, team, deadline_s, origin)
-        counted = team if team is not None and team.has_quota() else None
-        pending = PendingRequest(exchange, call, made_call, counted)
+        quota_team = team if team is not None and team.has_quota() else None
+        pending = PendingRequest(exchange, call, made_call, quota_team)
         if not origin.downstream and not self.admission.allows(call.demand):
             self.answers.refuse(pending, Reason.OVERLOAD)
             return
@@ -131,17 +131,17 @@
     def _find_origin(
         self, route: Route, team: Team | None, made_call: MadeCall | None
     ) -> Origin:
-        """Return the request that a call belongs to; without a known run, a new one."""
+        """Return the client request that a call belongs to, or a new origin."""
         if made_call is not None:
             return made_call.make_origin()
         remaining_runs = self.lineage.count_runs(route.name)
         if team is None and self.is_called_by_servers(route.name):
-            # a call without a known run is refused last
+            # unattributed downstream calls get the highest priority
             return Origin(0, downstream=True, remaining_runs=remaining_runs)
         return Origin(self.table.find_rank(route, team), remaining_runs=remaining_runs)
 
     def _may_be_downstream_call(self, route: Route) -> bool:
-        """Tell whether a request without a key may be a call of a server."""
+        """Return whether a request without a key may be a downstream call."""
         if self.is_called_by_servers(route.name):
             return True
         keyed = self.table.teams.is_required and not route.needs_key
@@ -150,7 +150,7 @@
     def _find_caller(
         self, exchange: Exchange, head: RequestHead, route: Route
     ) -> MadeCall | None:
-        """Return the run that a call belongs to, as far as it can be told."""
+        """Return the run that made a call, ``None`` if unknown."""
         remaining_ms = head.remaining_ms
         if remaining_ms is None:
             remaining_ms = DEFAULT_REMAINING_MS
@@ -176,9 +176,9 @@
         deadline_s: float,
         origin: Origin,
     ) -> Call:
-        lines = head.passed_on
+        head_lines = head.passed_on
         if team is not None:
-            lines += self.dialect.write_team(team.name)
+            head_lines += self.dialect.write_team(team.name)
         return Call(
             head.request_id,
             route,
@@ -186,7 +186,7 @@
             self.get_local_service(),
             exchange.method,
             exchange.target,
-            lines,
+            head_lines,
             exchange.body,
             exchange.arrived_s,
             deadline_s,
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -1,4 +1,4 @@
-"""Calls and what became of them."""
+"""Calls, their origin and their replies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Outcome(IntEnum):
-    """Whether a call has its answer, or else whether it may have run."""
+    """Whether a call was answered, did not run, or may have run."""
 
     ANSWERED = 0
     NOT_RUN = 1
@@ -26,12 +26,12 @@
 
 @frozen
 class Origin:
-    """The request of a client that a call belongs to, as far as it is known.
+    """The client request that a call belongs to, as far as it is known.
 
-    ``priority`` is the request's rank, of which 0 is refused last. A call is
-    ``downstream`` if a running server made it, and ``within_retry`` if a run that leads to it
-    was a repeat. ``remaining_runs`` counts the runs that the request still needs, as far as is
-    known, this one included.
+    ``priority`` is the rank of the request; requests of rank 0 are refused last. A call
+    is ``downstream`` if a running server made it, and ``within_retry`` if a run above
+    it was a retry. ``remaining_runs`` estimates the runs that the request still needs,
+    this one included.
     """
 
     priority: int
@@ -42,10 +42,10 @@
 
 @define(eq=False)
 class Reply:
-    """What became of one sending of a call.
+    """The result of one attempt of a call.
 
-    ``head`` holds whole header lines of the server's answer. ``reason`` says why
-    there is no answer.
+    ``head`` holds whole header lines of the server's answer. ``reason`` says why there
+    is no answer.
     """
 
     outcome: Outcome
@@ -57,12 +57,12 @@
 
 @define(eq=False)
 class Call:
-    """A request on its way to a backend server.
+    """A request that is forwarded to a backend server.
 
-    ``head`` is the block of header lines that goes on to the server unchanged.
-    ``deadline_s`` is on the node's steady clock. It was ``counted_as_demand`` when another
-    gate has counted it, and goes out ``is_retry`` when an earlier sending may have reached
-    a server, so that the retry budget has to hold it.
+    ``head`` is the block of header lines that the server gets unchanged. ``deadline_s``
+    is on the node's monotonic clock. A call that another dispatcher has counted is
+    ``counted_as_demand``. A call ``is_retry`` if an earlier attempt may have reached a
+    server; retries are charged to the retry budget.
     """
 
     request_id: str
@@ -82,18 +82,18 @@
 
     @property
     def demand(self) -> Demand:
-        """Return the demand that a request of a client belongs to."""
+        """Return the demand of a client request."""
         return Demand(self.route.name, self.origin.priority)
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
-        """Tell whether servers may not be given this content, which crashed others."""
-        # without suspects, the digest is not worked out
+        """Return whether this content is quarantined for crashing servers."""
+        # the digest is only needed if there are suspects
         if not quarantine.suspects:
             return False
         return quarantine.check(self.find_digest(), now_s) is not None
 
     def find_digest(self) -> str:
-        """Return a digest of the content, worked out when it is first needed."""
+        """Return a digest of the content, computed on first use."""
         if not self._digest:
             path = f"{self.caller_service} {self.target}"
             self._digest = compute_digest(self.method, path, self.body)
--- a/eelgrassmount/relay/persistent_connections.py
+++ b/eelgrassmount/relay/persistent_connections.py
@@ -1,4 +1,4 @@
-"""Calls over connections that are kept from one to the next."""
+"""HTTP calls over persistent connections."""
 
 from __future__ import annotations
 
@@ -19,10 +19,9 @@
 
 @define(eq=False)
 class PersistentConnections:
-    """Connections to one address, one for each kind of call.
+    """Persistent connections to one address, one for each kind of call.
 
-    Nothing is sent a second time from here, because a call without an answer may
-    have been done.
+    Calls are never retried here: a call without an answer may have run.
     """
 
     address: Address
@@ -42,17 +41,19 @@
             asyncio.get_running_loop().create_future()
         )
 
-        def note(answer: ClientAnswer | Break) -> None:
+        def on_answer(answer: ClientAnswer | Break) -> None:
             if not outcome.done():
                 outcome.set_result(answer)
 
-        connection.send(data, note)
+        connection.send(data, on_answer)
         try:
             answer = await asyncio.wait_for(outcome, timeout_s)
         except TimeoutError:
-            return StoreFailure(FailureKind.UNANSWERED, f"silent for {timeout_s} s")
+            return StoreFailure(
+                FailureKind.UNANSWERED, f"no answer within {timeout_s} s"
+            )
         finally:
-            # a connection on which an answer is missing gives nothing further
+            # a connection with an unanswered request cannot be reused
             if not outcome.done() or outcome.cancelled():
                 connection.cancel()
         if isinstance(answer, Break):
@@ -62,7 +63,7 @@
         return answer
 
     def end(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         for connection in self._connections.values():
             connection.close()
         self._connections.clear()
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -1,4 +1,4 @@
-"""What others sent and was not taken up: counted, and told within bounds."""
+"""Counts and logs rejected messages of peers and of the log."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# a source that goes on is told of again after so long
+# minimum time between lines on the same source and cause
 LOG_INTERVAL_S = 60.0
-# sources and causes that are told apart; those beyond are counted only
+# causes beyond this are counted but not logged
 MAX_TRACKED_CAUSES = 256
-# characters of a source or an error in a line
+# longest source or detail in a line
 MAX_SHOWN_CHARS = 200
 
 
 class MessageKind(StrEnum):
-    """What kind of message was refused; the label of its counter."""
+    """Kind of a rejected message; also the label of its metric."""
 
     ANNOUNCEMENT = "announcement"
     CONFIGURATION = "configuration"
@@ -31,11 +31,10 @@
 
 @define(eq=False)
 class RejectedMessages:
-    """Counts messages that were not taken up, by kind.
+    """Counts rejected messages by kind and logs them at a limited rate.
 
-    A line is written once in `LOG_INTERVAL_S` for each source and cause, so that a
-    writer which never stops does not fill the logs. ``count`` raises the counter of
-    a kind.
+    Each source and cause is logged once per `LOG_INTERVAL_S`, so that a faulty writer
+    cannot flood the logs. ``count`` increments the metric of a kind.
 
         >>> refused = RejectedMessages(clock=lambda: 0.0)
         >>> refused.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
@@ -56,11 +55,15 @@
         detail: str,
         messages: int = 1,
     ) -> None:
-        """Count messages; ``cause`` is one of a few, ``detail`` is for people."""
+        """Count messages and log them unless the same cause was logged recently.
+
+        ``cause`` identifies the cause and must come from a small set; ``detail`` is
+        free text.
+        """
         self.totals[kind] = self.totals.get(kind, 0) + messages
         self.count(kind, messages)
         if self._may_log((kind, source[:MAX_SHOWN_CHARS], cause)):
-            # a configuration is the operator's, and meant for all nodes
+            # configurations come from the operator and concern all nodes
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the configuration in force."""
+"""Routes, services and limits of the active configuration."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
     from eelgrassmount.teams.directory import Team
 
-# ranks of requests, the least urgent one
+# rank of the least urgent requests
 MAX_RANK = 1_000_000
 
 
 @frozen
 class Target:
-    """A service that a route leads to, with its share of the requests."""
+    """A service that a route leads to, with its weight."""
 
     service: str
     weight: float
@@ -30,11 +30,11 @@
 class Route:
     """How requests of one host and path prefix are handled.
 
-    ``name`` stays the same for a host and prefix in all versions.
-    ``objective_s`` is the latency objective, ``timeout_s`` the longest time that
-    a request is kept waiting, and ``priority`` its rank, of which 0 is refused
-    last. ``max_attempts`` counts the backend servers that may get one request. Where
-    there are teams, a request of the route ``needs_key`` of one of them, or not.
+    ``name`` is the same in all versions for a host and prefix. ``objective_s`` is the
+    latency objective, ``timeout_s`` the longest time that a request may take. Routes of
+    ``priority`` 0 are refused last. ``max_attempts`` limits the backend servers that
+    may get one request. If teams are configured, ``needs_key`` tells whether requests
+    need an API key of a team.
     """
 
     name: str
@@ -49,18 +49,18 @@
     needs_key: bool = False
 
     def divide(self) -> dict[str, float]:
-        """Return the part of its requests that goes to each service."""
+        """Return the share of the requests that goes to each service."""
         total = sum(target.weight for target in self.targets)
-        parts: dict[str, float] = {}
+        shares: dict[str, float] = {}
         for target in self.targets:
-            part = target.weight / total if total else 0.0
-            parts[target.service] = parts.get(target.service, 0.0) + part
-        return parts
+            share = target.weight / total if total else 0.0
+            shares[target.service] = shares.get(target.service, 0.0) + share
+        return shares
 
 
 @frozen
 class Service:
-    """A service as the configuration describes it."""
+    """A service of the configuration."""
 
     name: str
     health_path: str
@@ -69,10 +69,9 @@
 
 @define(eq=False)
 class RouteTable:
-    """A whole configuration; version 0 stands for none.
+    """A complete configuration; version 0 means none.
 
-    Of the routes of a host, the one with the longest prefix that begins the path
-    is taken::
+    The route with the longest matching path prefix of a host applies::
 
         table = RouteTable.build(7, routes, services, ServerLimits())
         route = table.find("shop.example", "/orders/17")
@@ -96,7 +95,7 @@
         limits: ServerLimits,
         teams: TeamDirectory | None = None,
     ) -> RouteTable:
-        """Return a table with its routes ready for look-ups."""
+        """Return a table with indexes for look-ups."""
         table = cls(version, limits=limits, teams=teams or TeamDirectory())
         for route in routes:
             table.routes[route.name] = route
@@ -109,11 +108,11 @@
         return table
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, ``None`` when there is none."""
+        """Return the route of a request, ``None`` if there is none."""
         found = self._by_host.get(host)
         if found is None:
             return None
-        # of many routes of a host, the prefixes have a few lengths only
+        # a host has few distinct prefix lengths
         for length in self._lengths[host]:
             route = found.get(path[:length])
             if route is not None:
@@ -121,10 +120,9 @@
         return None
 
     def find_rank(self, route: Route, team: Team | None) -> int:
-        """Return the rank of a request, of which 0 is refused last.
+        """Return the rank of a request; requests of rank 0 are refused last.
 
-        The team's priority goes before the route's, which orders the requests of teams
-        with the same one::
+        Requests are ordered by the priority of the team, then by that of the route::
 
             # routes of the priorities 0 to 2
             table.find_rank(booking, Team("press", priority=1))  # 3
@@ -135,7 +133,7 @@
         return min(MAX_RANK, team.priority * ranks + route.priority)
 
     def count_routes(self) -> int:
-        """Return how many routes there are."""
+        """Return the number of routes."""
         return len(self.routes)
 
 
@@ -143,8 +141,8 @@
 class TargetChooser:
     """Divides the requests of routes among their targets by weight.
 
-    Each choice goes to the target that lags furthest behind its share, so that
-    the shares hold over any few requests and not only on average.
+    Each choice goes to the target that is furthest below its share, so that the shares
+    also hold over a few requests.
     """
 
     _credits: dict[str, list[float]] = field(factory=dict)
@@ -152,8 +150,8 @@
     def choose(self, route: Route, start: float = 0.0) -> str:
         """Return the service for the next request of a route.
 
-        ``start``, from 0 to 1, is where a new round begins, so that nodes don't
-        all begin with the same target.
+        ``start``, from 0 to 1, offsets the first choice so that not all nodes begin
+        with the same target.
         """
         targets = route.targets
         if len(targets) == 1:
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -1,4 +1,4 @@
-"""Choosing the node that a call goes to."""
+"""Selection of the node that a call is sent to."""
 
 from __future__ import annotations
 
@@ -22,18 +22,17 @@
     from eelgrassmount.relay.members import Member, MemberTable
     from eelgrassmount.relay.routes import Route
 
-# noise on the scores, so that nodes that know the same don't all choose the same
+# relative noise on scores, so that nodes with equal information choose differently
 SCORE_NOISE_SHARE = 0.05
-# every so many choices go to the node that has been unused for longest, so that
-# what is believed of it is found out to be still true
+# one choice in so many goes to the least recently used node, to refresh its load
 EXPLORATION_INTERVAL = 100
-# of a larger service, so many nodes are looked at for one choice
+# nodes compared per choice
 MAX_CANDIDATES = 12
 
 
 @define(eq=False)
 class Router:
-    """Chooses by the time that a call is expected to take at each node."""
+    """Selects nodes by the expected duration of a call."""
 
     members: MemberTable
     failure_domain: str
@@ -44,12 +43,12 @@
     _mean_sizes: dict[str, float] = field(factory=dict)
 
     def record_size(self, route_name: str, size_bytes: int) -> None:
-        """Take up the size of a call's body with that of its answer."""
+        """Update a route's mean size of request and response bodies."""
         known = self._mean_sizes.get(route_name, float(size_bytes))
         self._mean_sizes[route_name] = known + SIZE_WEIGHT * (size_bytes - known)
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
-        """Forget the sizes of all other routes."""
+        """Remove the mean sizes of all other routes."""
         self._mean_sizes = {
             name: size for name, size in self._mean_sizes.items() if knows_route(name)
         }
@@ -57,7 +56,7 @@
     def choose(
         self, service: str, route: Route, excluded: Container[str]
     ) -> Member | None:
-        """Return the best node for a call, ``None`` when there is none."""
+        """Return the best node for a call, ``None`` if there is none."""
         candidates = self._list_candidates(service, excluded)
         if not candidates:
             return None
@@ -69,10 +68,10 @@
         return self._find_lowest_cost(candidates, route)
 
     def _find_lowest_cost(self, candidates: list[Member], route: Route) -> Member:
-        # it is the most frequent work of a node: one pass, without calls that each
-        # candidate would need anew
+        # This is the hot path of a node: a single loop without calls per candidate that
+        # can be avoided.
         name = route.name
-        own_domain = self.failure_domain
+        local_domain = self.failure_domain
         allowed_s = self.find_time_allowance(route)
         cross_domain_s = (
             measure_far(self._mean_sizes.get(name, USUAL_BYTES)) * allowed_s
@@ -94,7 +93,7 @@
             score = measure_cost(
                 expected_s, allowed_s, load.failure_share, route.objective_s
             )
-            if member.failure_domain != own_domain:
+            if member.failure_domain != local_domain:
                 score += cross_domain_s
             score *= 1.0 - SCORE_NOISE_SHARE + 2.0 * SCORE_NOISE_SHARE * draw()
             if score < lowest:
@@ -103,10 +102,10 @@
         return best
 
     def _list_candidates(self, service: str, excluded: Container[str]) -> list[Member]:
-        """Return the nodes of a service that may be sent a call, or a sample.
+        """Return the nodes of a service that may get a call.
 
-        Of a large service only a sample is looked at, unless none of it can be sent
-        a call.
+        Of a large service, only a random sample is considered unless none of it is
+        eligible.
         """
         now_s = self.clock()
         known = self.members.list_service(service)
@@ -124,23 +123,23 @@
         return []
 
     def list_other_nodes(self, service: str, names: Collection[str]) -> set[str]:
-        """Return the names of a service's nodes but for those given."""
+        """Return the names of the nodes of a service, except for ``names``."""
         known = self.members.list_service(service)
         return {member.name for member in known if member.name not in names}
 
     def list_failure_shares(self, service: str) -> list[float]:
-        """Return the share of runs of each server of a service that ended badly."""
+        """Return the share of failed and lost runs of each server of a service."""
         return [
             one.load.failure_share + one.load.lost_share
             for one in self.members.list_service(service)
         ]
 
     def find_mean_run_s(self, service: str, route: Route) -> float:
-        """Return the mean duration in seconds of a route's runs, 0 if none is known."""
+        """Return the mean duration in seconds of a route's runs, 0 if unknown."""
         return self._compute_mean_run_s(self.members.list_service(service), route)
 
     def has_candidate(self, service: str, excluded: Container[str]) -> bool:
-        """Tell whether a node outside of those excluded may be sent a call."""
+        """Return whether any node not in ``excluded`` may get a call."""
         return bool(self._list_candidates(service, excluded))
 
     def _sample(self, candidates: Collection[Member]) -> list[Member]:
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -1,4 +1,4 @@
-"""The attempt of requests to servers, and again where that is allowed."""
+"""Sends calls to servers and retries them where that is allowed."""
 
 from __future__ import annotations
 
@@ -27,27 +27,24 @@
     from eelgrassmount.relay.routing import Router
     from eelgrassmount.teams.directory import Team
 
-# nodes that may refuse a call before it is given up
+# refusals by nodes before a call is given up
 MAX_REFUSALS = 4
-# gates that may refuse a call as the retry budget holds no repeat: each holds a part,
-# and where the one that was chosen first has none left, the next mostly has
+# refusals for lack of retry budget before a call is given up
 MAX_BUDGET_REFUSALS = 2
-# times that servers may reject a call, which then has not run: where half of all calls
-# are rejected, hardly one is so often
+# rejections by servers and attempts before a call is given up
 MAX_REJECTIONS = 8
-# status of a server's answer at the end of the time that it was given
 GATEWAY_TIMEOUT = 504
-# time that a call must have left to be sent again
+# shortest time before the deadline in which a retry may succeed
 MIN_RETRY_TIME_S = 0.02
 
 
-# reasons for which no other node would take a call either
+# other nodes would refuse the call for the same reason
 _FINAL_REASONS = (Reason.QUARANTINED, Reason.DEADLINE)
 
 
 @define(eq=False)
 class Attempt:
-    """One attempt of a request, to a server beside this node or elsewhere."""
+    """One attempt of a call, at the local server or at another node."""
 
     member: Member
     job: Job | None = None
@@ -56,18 +53,20 @@
 
 @define(eq=False)
 class PendingRequest:
-    """One request while it has no answer.
-
-    ``made_call`` names the run that has made it, if it is a call of the server here, and
-    ``team`` is that of its client, if it counts for a quota.
-    ``last_reply`` is the latest reply and ``server`` the node that gave it; ``attempts``
-    counts the attempts that may have rejecting_nodes a server, ``refusals`` those that have
-    not, of which servers gave ``rejections``, and ``budget_refusals`` the gates that
-    held no repeat for it; ``rejecting_nodes`` names the nodes whose servers
-    have read the call. ``tried`` names the nodes that were asked, in their order, and
-    ``excluded`` those that are not to be asked again. ``current_attempt`` is the latest
-    attempt. ``silent_attempt`` is one whose server was silent when another was asked: its answer
-    counts if it comes first.
+    """A request that has not been answered yet.
+
+    ``made_call`` identifies the run that made the request if it is a downstream call.
+    ``team`` is set if the request counts against a quota. ``last_reply`` is the latest
+    reply, from the node ``server``.
+
+    ``attempts`` counts attempts that may have run at a server, ``refusals`` those that
+    have not, ``rejections`` the refusals by backend servers, and ``budget_refusals``
+    those for lack of retry budget. ``rejecting_nodes`` are the nodes whose servers have
+    read and rejected the call. ``tried`` lists all nodes in the order of the attempts;
+    nodes in ``excluded`` get no further attempt.
+
+    ``silent_attempt`` is an earlier attempt without a reply while ``current_attempt``
+    is sent elsewhere; the first answer of the two counts.
     """
 
     exchange: Exchange
@@ -91,13 +90,13 @@
 
 
 class Responder(Protocol):
-    """Gives a request its one answer."""
+    """Answers each request once."""
 
     def deliver(self, pending: PendingRequest, reply: Reply) -> None:
-        """Hand the answer of a server on."""
+        """Return the answer of a server to the client."""
 
     def give_up(self, pending: PendingRequest) -> None:
-        """Answer a request that no server answers."""
+        """Answer a request that no server has answered."""
 
     def time_out(self, pending: PendingRequest) -> None:
         """Answer a request at its deadline."""
@@ -105,10 +104,10 @@
 
 @define(eq=False)
 class Sender:
-    """Sends each request to a server until it has its answer.
+    """Sends each request to a server until it is answered.
 
-    A call is sent again when it has certainly not run, or when it may run twice. The
-    gate that it comes to refuses it unless the retry budget holds it.
+    A call is retried if it has certainly not run, or if it is idempotent. The receiving
+    dispatcher refuses retries beyond the retry budget.
     """
 
     local_name: str
@@ -122,7 +121,7 @@
     answers: Responder = field(init=False)
 
     def start(self, pending: PendingRequest) -> None:
-        """Send a request to a server, and again where that is allowed."""
+        """Send a request to a server."""
         call = pending.call
         if call.route.idempotent:
             self._schedule_check(pending, SILENT_SHARE * call.route.objective_s)
@@ -131,7 +130,7 @@
         self._send(pending)
 
     def _schedule_check(self, pending: PendingRequest, delay_s: float) -> None:
-        """Look at a flow again after its patience, or at its deadline if sooner."""
+        """Check for a silent server after a delay, or time out at the deadline."""
         remaining_s = max(0.0, pending.call.deadline_s - self.clock())
         loop = asyncio.get_running_loop()
         if delay_s < remaining_s:
@@ -140,9 +139,9 @@
             pending.timer = loop.call_later(remaining_s, self.answers.time_out, pending)
 
     def _retry_if_silent(self, pending: PendingRequest) -> None:
-        """Ask another server when the one that was asked stays silent.
+        """Send a call to another server if the current one has not replied in time.
 
-        Not under overload, when all are slow and each attempt more makes it worse.
+        Not done during overload, when all servers are slow and retries add to the load.
         """
         call = pending.call
         mean_run_s = self.router.find_mean_run_s(call.service, call.route)
@@ -160,7 +159,7 @@
             call.service, {*pending.excluded, member.name}
         ):
             return
-        # the attempt that is left counts, as it may have rejecting_nodes its server
+        # the silent attempt counts, as it may have reached its server
         attempts = pending.attempts + 1
         if attempts >= call.route.max_attempts or not self._has_time_to_retry(call):
             return
@@ -180,7 +179,7 @@
         member.sent_since += 1
         attempt = pending.current_attempt = Attempt(member)
 
-        def note(reply: Reply) -> None:
+        def on_reply(reply: Reply) -> None:
             attempt.job = None
             if attempt is pending.current_attempt:
                 self._handle_reply(pending, member, reply)
@@ -188,22 +187,22 @@
                 self._handle_silent_reply(pending, member, reply)
 
         if member.name == self.local_name:
-            job = attempt.job = Job(call, note)
+            job = attempt.job = Job(call, on_reply)
             self.dispatcher.submit(job)
         else:
             if member.link is None:
                 self.open_link(member)
-            attempt.sequence = member.link.call(call, note)
+            attempt.sequence = member.link.call(call, on_reply)
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """End a request that no further server takes, unless one is at work on it."""
+        """Finish a request, unless an earlier attempt may still be answered."""
         if pending.silent_attempt is None:
             self.answers.give_up(pending)
 
     def _handle_silent_reply(
         self, pending: PendingRequest, member: Member, reply: Reply
     ) -> None:
-        """Take the answer of a server that was silent; the attempt is counted."""
+        """Handle the reply of a silent server; its attempt is already counted."""
         pending.silent_attempt = None
         if reply.outcome is not Outcome.NOT_RUN:
             pending.may_have_run = True
@@ -241,7 +240,7 @@
         pending.attempts += 1
         if reply.status >= 500:
             pending.may_have_run = True
-            # a server that has used up the time it was given would do so again
+            # a server that ran out of time would do so again
             futile = reply.status == GATEWAY_TIMEOUT or self._is_retry_futile(
                 pending.call
             )
@@ -260,7 +259,7 @@
         pending.refusals += 1
         pending.excluded.add(member.name)
         if reply.reason in (Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING):
-            # until its next report says otherwise
+            # until the next load report of the node
             member.load.accepting = False
             member.load.reported_s = self.clock()
         if reply.reason is Reason.SERVER_SHED:
@@ -275,7 +274,7 @@
         self._send(pending)
 
     def _handle_budget_refusal(self, pending: PendingRequest, member: Member) -> None:
-        """Ask one more gate for a repeat, and then end with what came before it."""
+        """Try another dispatcher, or finish with the previous reply."""
         pending.budget_refusals += 1
         pending.excluded.add(member.name)
         self.metrics.count_retry(Reason.RETRY_BUDGET)
@@ -285,16 +284,16 @@
             self._give_up(pending)
 
     def _handle_rejection(self, pending: PendingRequest, member: Member) -> None:
-        """Send a call again that its server has read and not run, if it may be.
+        """Retry a call that a server has read but not run.
 
-        The most servers that one request may be sent to holds, but those that have
-        rejected it may be asked again: while all reject many of their calls, a request
-        with several would else hardly ever be finished.
+        The limit of servers per request applies, but servers that rejected the call may
+        be tried again: while all servers reject many calls, a request with several
+        calls would otherwise rarely succeed.
         """
         pending.rejections += 1
         pending.rejecting_nodes.add(member.name)
-        spent = pending.rejections + pending.attempts >= MAX_REJECTIONS
-        if spent or not self._has_time_to_retry(pending.call):
+        limit_reached = pending.rejections + pending.attempts >= MAX_REJECTIONS
+        if limit_reached or not self._has_time_to_retry(pending.call):
             self._give_up(pending)
             return
         if (
@@ -311,7 +310,7 @@
         self._send(pending)
 
     def _mark_retry(self, pending: PendingRequest) -> None:
-        """Let the next attempt count as a repeat, and the calls of its run too."""
+        """Charge the next attempt, and the calls of its run, to the retry budget."""
         call = pending.call
         call.is_retry = True
         call.origin = evolve(call.origin, within_retry=True)
@@ -328,13 +327,13 @@
 
     def _may_retry(self, pending: PendingRequest) -> bool:
         route = pending.call.route
-        rejecting_nodes = len(pending.rejecting_nodes) + pending.attempts
-        if not route.idempotent or rejecting_nodes >= route.max_attempts:
+        servers_tried = len(pending.rejecting_nodes) + pending.attempts
+        if not route.idempotent or servers_tried >= route.max_attempts:
             return False
         return self._has_time_to_retry(pending.call)
 
     def _is_retry_futile(self, call: Call) -> bool:
-        """Tell whether a run that makes calls would only fail by them again."""
+        """Return whether a retry would fail because of its downstream calls."""
         calls = self.admission.graph.calls_per_run.get(call.route.name)
         return bool(calls) and is_in_vain(self.router.list_failure_shares(call.service))
 
@@ -356,7 +355,7 @@
         self._send(pending)
 
     def cancel(self, pending: PendingRequest) -> None:
-        """Give up what was sent and has no reply, which is not heard any more."""
+        """Cancel the open attempts of a request and ignore their replies."""
         attempts = (pending.current_attempt, pending.silent_attempt)
         pending.current_attempt = None
         pending.silent_attempt = None
--- a/tests/relay/samples.py
+++ b/tests/relay/samples.py
@@ -1,4 +1,4 @@
-"""Routes, calls and configurations for the tests of the relay."""
+"""Sample routes, calls and route tables for tests of the relay."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by what a request leads to."""
+"""Admission control and the graph of calls that it uses."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
     return Demand(route.name, route.priority)
 
 
-def make_admission(level: float, book: int = 10, status: int = 10, price: int = 20):
+def make_admission(fraction: float, book: int = 10, status: int = 10, price: int = 20):
     graph = CallGraph()
     graph.set_calls(BOOK.name, {PART.name: 2.0})
     graph.set_calls(PRICE.name, {PART.name: 1.0})
-    levels = {"proof": level}
-    admission = Admission(graph, lambda service: levels.get(service, 1.0))
+    fractions = {"proof": fraction}
+    admission = Admission(graph, lambda service: fractions.get(service, 1.0))
     for route, count in ((BOOK, book), (STATUS, status), (PRICE, price)):
         for _ in range(count):
             admission.allows(demand(route))
-    # 20 calls of bookings, then 10 of status checks, then 20 of price lists
+    # the shared service gets 20 calls of bookings, 10 of status checks, 20 of prices
     admission.update(TABLE)
     return admission
 
 
-def test_everything_is_admitted_while_nothing_is_short():
+def test_everything_is_admitted_while_no_service_is_overloaded():
     admission = make_admission(1.0)
     assert all(admission.allows(demand(route)) for route in (BOOK, STATUS, PRICE))
 
 
 @pytest.mark.parametrize(
-    ("level", "book", "status", "price"),
+    ("fraction", "book", "status", "price"),
     [
         (0.8, 1.0, 1.0, 0.5),
         (0.6, 1.0, 1.0, 0.0),
@@ -57,19 +57,21 @@
         (0.2, 0.5, 0, 0),
     ],
 )
-def test_least_urgent_calls_of_the_short_service_go_first(level, book, status, price):
-    shares = make_admission(level).admitted_fractions
+def test_least_urgent_calls_of_an_overloaded_service_are_refused_first(
+    fraction, book, status, price
+):
+    shares = make_admission(fraction).admitted_fractions
     assert shares[demand(BOOK)] == pytest.approx(book)
     assert shares[demand(STATUS)] == pytest.approx(status)
     assert shares[demand(PRICE)] == pytest.approx(price)
 
 
-def test_share_is_divided_evenly():
+def test_admissions_are_spread_evenly():
     admission = make_admission(0.8)
     assert sum(admission.allows(demand(PRICE)) for _ in range(100)) == 50
 
 
-def test_scarcest_service_decides():
+def test_most_overloaded_service_limits_the_requests():
     admission = make_admission(0.8)
     admission.find_admitted_fraction = {
         "proof": 0.8,
@@ -80,7 +82,7 @@
     assert admission.admitted_fractions[demand(PRICE)] == pytest.approx(0.25)
 
 
-def test_nothing_is_refused_before_calls_of_servers_are_known():
+def test_nothing_is_refused_before_downstream_calls_are_known():
     admission = Admission(CallGraph(), lambda service: 0.1)
     admission.allows(demand(PRICE))
     admission.update(TABLE)
@@ -125,7 +127,7 @@
     assert allowed["shop/status/"] == pytest.approx(0.15)
 
 
-def test_division_follows_what_is_learned_and_ends_in_a_circle():
+def test_time_allowance_follows_learned_calls_and_ends_in_cycles():
     graph, table = make_chain()
     part = table.routes["shop/part/"]
     before = graph.find_time_allowance(part, table)
@@ -135,8 +137,8 @@
     assert 0.0 < graph.find_time_allowance(part, table) <= 0.3
 
 
-class CountedVectors(dict):
-    """Vectors that count how often one is looked up."""
+class CountedLookups(dict):
+    """A dict that counts its look-ups."""
 
     def __init__(self):
         super().__init__()
@@ -148,34 +150,28 @@
 
 
 def test_chains_of_routes_that_call_each_other_are_followed_once_at_each_depth():
-    """Each way through the calls was followed on its own.
-
-    Eight routes that are all taken for callers of the seven others took 176,472
-    look-ups, anew after each second in which vectors were learned.
-    """
+    """Guards against look-ups that grow exponentially if all routes call each other."""
     routes = [make_route(f"shop/{number}/", (f"s{number}",)) for number in range(8)]
     table = make_table(*routes)
-    graph = CallGraph(CountedVectors())
+    graph = CallGraph(CountedLookups())
     for route in routes:
         called = {one.name: 0.5 for one in routes if one is not route}
         graph.set_calls(route.name, called)
     graph.calls_per_run.lookups = 0
     counts = graph.count_calls_by_service(routes[0], table)
-    # to the seven others, and back and on from each
-    assert counts["s1"] == pytest.approx(sum(find_share(depth) for depth in range(7)))
+    # directly, and over longer paths that return to the route
+    assert counts["s1"] == pytest.approx(
+        sum(compute_expected_calls(depth) for depth in range(7))
+    )
     assert graph.find_time_allowance(routes[0], table) > 0.0
     assert graph.calls_per_run.lookups < 1000
 
 
 def test_chains_of_many_routes_are_followed_once_for_all():
-    """The chain of each route was followed on its own, anew each second.
-
-    With 350 routes of which half call four of one another this took 155 ms of the
-    event loop, and with 1,000 routes 1.1 s, in which a node answers nothing.
-    """
+    """Guards against blocking the event loop for routes with long shared chains."""
     routes = [make_route(f"shop/{number}/", (f"s{number}",)) for number in range(60)]
     table = make_table(*routes)
-    graph = CallGraph(CountedVectors())
+    graph = CallGraph(CountedLookups())
     for number, route in enumerate(routes):
         called = {routes[(number + step) % 60].name: 1.0 for step in (1, 2, 3, 4)}
         graph.set_calls(route.name, called)
@@ -187,17 +183,17 @@
     assert graph.calls_per_run.lookups <= 60 * (MAX_CHAIN_DEPTH + 1)
 
 
-def find_share(depth: int, times: float = 1.0, here: bool = False) -> float:
-    """Return the calls of one of eight routes after so many steps from another."""
+def compute_expected_calls(depth: int, calls: float = 1.0, here: bool = False) -> float:
+    """Return the calls of one of eight routes after ``depth`` steps from another."""
     if depth == 0:
-        return times if here else 0.0
+        return calls if here else 0.0
     if here:
-        return 7 * find_share(depth - 1, times / 2, False)
-    back = find_share(depth - 1, times / 2, True)
-    return back + 6 * find_share(depth - 1, times / 2, False)
+        return 7 * compute_expected_calls(depth - 1, calls / 2, False)
+    back = compute_expected_calls(depth - 1, calls / 2, True)
+    return back + 6 * compute_expected_calls(depth - 1, calls / 2, False)
 
 
-def test_requests_of_routes_that_left_are_forgotten():
+def test_requests_of_removed_routes_are_forgotten():
     admission = make_admission(0.5)
     for route in (STATUS, PRICE):
         admission.allows(demand(route))
@@ -207,9 +203,7 @@
     assert admission._credits.keys() == {demand(STATUS)}
 
 
-# A record of learned calls by another writer may name routes that all call each other.
-# To follow each chain took 7 s of processor time with 11 routes, in which the node did
-# nothing else; with 40 it would not have ended.
+# Guards against learned calls whose chains take exponential time to count.
 def test_routes_that_all_call_each_other_are_counted():
     routes = [make_route(f"shop/r{number}/", ("desk",)) for number in range(40)]
     table = make_table(*routes)
@@ -219,7 +213,7 @@
         graph.calls_per_run[route.name] = dict.fromkeys(others, 1.0)
     chains = sum(39.0**depth for depth in range(MAX_CHAIN_DEPTH + 1))
     assert graph.count_calls_by_service(routes[0], table) == {"desk": chains}
-    # the chains of all are as long, so that none is a part of another's
+    # all chains are equally long, so that none is part of another
     assert graph.find_time_allowance(routes[0], table) == routes[0].objective_s
 
 
@@ -230,21 +224,21 @@
     graph.set_calls(PRICE.name, {BOOK.name: 0.0})
     found = graph.count_calls_by_service(BOOK, TABLE)
     assert found == {"desk": 1.0, "proof": 2.0, "rate": 6.0}
-    # 0.4 s are for a booking, 5 others of no known size, and 2 parts of 4 runs
+    # 0.4 s are divided among 1 booking, 5 unknown calls, and 2 parts of 4 runs each
     share = 4.0 / (1.0 + 5.0 + 2.0 * (1.0 + 3.0))
     assert graph.find_time_allowance(PART, TABLE) == pytest.approx(0.4 * share)
 
 
-def test_route_is_not_cut_before_it_is_known_to_be_used_by_clients():
-    """Calls of servers were cut as if they were requests, in the first seconds."""
+def test_route_is_not_limited_before_it_is_known_to_be_used_by_clients():
+    """Guards against refusing downstream calls as if they were client requests."""
     admission = make_admission(0.6)
     admission.is_client_route = lambda name: name == STATUS.name
     assert not all(make_admission(0.6).allows(demand(PRICE)) for _ in range(10))
     assert all(admission.allows(demand(PRICE)) for _ in range(10))
 
 
-def test_shares_follow_what_is_offered_to_all_nodes():
-    """One node of 195 sees a few requests a second, and not the mix of all."""
+def test_admitted_fractions_follow_the_load_offered_to_all_nodes():
+    """A single node sees too few requests to estimate the mix of all nodes."""
     admission = make_admission(0.6, book=1, status=0, price=3)
     admission.find_offered_rates = lambda: {
         demand(BOOK): 10.0,
@@ -257,8 +251,8 @@
     assert admission.admitted_fractions[demand(PRICE)] == 0.0
 
 
-def test_requests_of_a_more_urgent_team_are_cut_after_all_others():
-    """Its price lists stay while the bookings of others are cut."""
+def test_requests_of_a_more_urgent_team_are_refused_after_all_others():
+    """All requests of an urgent team have precedence over those of other teams."""
     admission = make_admission(1.0)
     first = Team("first", priority=0)
     second = Team("second", priority=1)
@@ -276,12 +270,12 @@
         admission.admitted_fractions[one]
         for one in sorted(offered, key=lambda d: d.rank)
     ]
-    # of 60 calls, 30 are of the first team, 20 of the second's bookings
+    # 30 of the 60 calls are of the first team, 20 of the bookings of the second
     assert shares == pytest.approx([1.0, 1.0, 0.75, 0.0])
 
 
-def test_first_requests_of_many_nodes_are_cut_in_proportion():
-    """Nodes that began alike refused all first requests, or none."""
+def test_first_requests_of_many_nodes_are_refused_in_proportion():
+    """Guards against nodes that all refuse, or all admit, their first request."""
     admitted = 0
     for seed in range(1000):
         admission = make_admission(0.8, price=0)
@@ -292,11 +286,11 @@
         )
         admission.update(TABLE)
         admitted += admission.allows(demand(PRICE))
-    # bookings take half of the pile and price lists the other half
+    # bookings and price lists each make half of the calls
     assert 0.9 * 400 < admitted < 1.1 * 400
 
 
-def test_limit_of_calls_is_the_least_of_their_routes():
+def test_call_timeout_is_the_shortest_of_the_called_routes():
     graph = CallGraph()
     table = make_table(BOOK, make_route("shop/part/", timeout_s=0.7), PRICE)
     assert graph.find_call_timeout(BOOK.name, table) == math.inf
@@ -312,7 +306,7 @@
     return table
 
 
-def offer_unknown(table: RouteTable) -> Admission:
+def offer_unlearned_routes(table: RouteTable) -> Admission:
     admission = Admission(CallGraph(), lambda name: 0.5 if name == "proof" else 1.0)
     for route, count in ((BOOK, 20), (STATUS, 10), (PRICE, 20)):
         for _ in range(count):
@@ -321,23 +315,23 @@
     return admission
 
 
-# In the first seconds of a surge no calls were known: a thousand bookings were begun
-# and lost at the scarce service while price lists were admitted that lead there too.
-def test_least_urgent_requests_are_cut_before_calls_are_known():
-    shares = offer_unknown(make_keyed_table()).admitted_fractions
+# Guards against admitting the wrong requests in the first seconds of a surge,
+# before any calls are learned.
+def test_least_urgent_requests_are_refused_before_calls_are_known():
+    shares = offer_unlearned_routes(make_keyed_table()).admitted_fractions
     assert shares[demand(BOOK)] == 1.0
     assert shares[demand(STATUS)] == pytest.approx(0.5)
     assert shares[demand(PRICE)] == 0.0
 
 
-def test_route_that_is_known_to_make_no_calls_is_left_alone():
+def test_route_known_to_make_no_calls_is_not_limited():
     table = make_keyed_table()
-    admission = offer_unknown(table)
+    admission = offer_unlearned_routes(table)
     admission.graph.learned_routes.add(PRICE.name)
     admission.update(table)
     assert demand(PRICE) not in admission.admitted_fractions
 
 
-def test_without_keys_calls_can_not_be_told_from_requests():
+def test_without_keys_calls_cannot_be_told_from_requests():
     table = make_table(BOOK, STATUS, PRICE, PART)
-    assert offer_unknown(table).admitted_fractions == {}
+    assert offer_unlearned_routes(table).admitted_fractions == {}
--- a/tests/relay/test_budget.py
+++ b/tests/relay/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one node, and of all together."""
+"""Retry budget of one node and of all nodes together."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     return taken
 
 
-def take_long(budget: RetryBudget, clock: list[float], seconds: float) -> int:
-    """Take all that there is, each tenth of a second for so long."""
+def take_for(budget: RetryBudget, clock: list[float], seconds: float) -> int:
+    """Take all retries available every tenth of a second for some seconds."""
     taken = 0
     for _ in range(round(seconds * 10)):
         taken += take_all(budget)
@@ -55,8 +55,8 @@
     assert 0 < retries <= RATIO * 1000 * RATIO_SHARE + SLACK * SLACK_SHARE
 
 
-def test_repeats_along_a_chain_of_four_services_stay_in_the_budget():
-    """A repeat of each service before repeats the calls of all that follow."""
+def test_retries_along_a_chain_of_four_services_stay_in_the_budget():
+    """A retry at one service multiplies the calls of all services below it."""
     retries = 0
     for budget in make_budgets(lambda: 100.0):
         inherited = 0
@@ -82,23 +82,23 @@
             budget.count_request("list")
         for _ in range(inherited):
             budget.count_inherited_retry("list")
-        taken.append(take_long(budget, clock, 9.0))
+        taken.append(take_for(budget, clock, 9.0))
     assert taken[0] - taken[1] == pytest.approx(40, abs=3)
 
 
-def test_repeats_of_a_window_are_not_used_up_at_once():
-    """Where servers reject for long, the last seconds are served as the first ones."""
+def test_retries_of_a_window_are_spread_over_it():
+    """Guards against using up the retries of a window in its first seconds."""
     clock = [100.0]
     budget = RetryBudget(lambda: clock[0], RATIO, WINDOW_S, 0.0, lambda: 1)
     for _ in range(1000):
         budget.count_request("list")
-    seconds = [take_long(budget, clock, 1.0) for _ in range(8)]
+    seconds = [take_for(budget, clock, 1.0) for _ in range(8)]
     assert seconds[0] < 0.5 * sum(seconds)
     assert min(seconds) > 0.05 * sum(seconds)
 
 
-def test_gates_with_a_part_of_a_repeat_each_take_them_together():
-    """A share below one was none: a thousand gates with 0.2 each took no repeat."""
+def test_dispatchers_with_fractional_allowances_use_them_together():
+    """Guards against allowances below one retry that are never used on any node."""
     budgets = make_budgets(lambda: 100.0, nodes=1000)
     for budget, seed in zip(budgets, range(1000), strict=True):
         budget.slack = 500.0
@@ -107,19 +107,19 @@
     assert 0.8 * SLACK_SHARE * 500 < taken < 1.2 * SLACK_SHARE * 500
 
 
-def test_gates_with_a_part_of_a_repeat_stay_in_the_budget_in_any_window():
+def test_dispatchers_with_fractional_allowances_stay_in_the_budget():
     clock = [100.0]
     budgets = make_budgets(lambda: clock[0], nodes=300)
-    repeats = []
+    retries = []
     for number, budget in enumerate(budgets):
         budget.rng = random.Random(number)
     while clock[0] < 160.0:
         clock[0] += 0.5
         for budget in budgets:
             while budget.take("list", FIRST, True):
-                repeats.append(clock[0])
+                retries.append(clock[0])
     for end_s in range(110, 160):
-        assert count_between(repeats, end_s - WINDOW_S, end_s) <= SLACK
+        assert count_between(retries, end_s - WINDOW_S, end_s) <= SLACK
 
 
 def test_budget_is_per_service_and_slides():
@@ -139,22 +139,24 @@
         budget.count_request("list")
     clock[0] += 11.0
     allowed = RATIO * RATIO_SHARE * EARLIER_WEIGHT * 100
-    assert allowed - 2 < take_long(budget, clock, 8.0) <= allowed
+    assert allowed - 2 < take_for(budget, clock, 8.0) <= allowed
     clock[0] += 15.0
     assert take_all(budget) == 0
 
 
-def test_last_repeats_are_for_requests_that_are_nearly_done():
+def test_last_retries_are_for_requests_that_are_nearly_complete():
     (budget,) = make_budgets(lambda: 100.0, nodes=1)
     for _ in range(1000):
         budget.count_request("list")
-    far = take_all(budget, Origin(0, True, remaining_runs=11))
-    near = take_all(budget, Origin(0, True, remaining_runs=1))
-    assert far > 0
-    assert near == pytest.approx(find_kept(11, 0) * (far + near), abs=2)
+    many_remaining = take_all(budget, Origin(0, True, remaining_runs=11))
+    one_remaining = take_all(budget, Origin(0, True, remaining_runs=1))
+    assert many_remaining > 0
+    assert one_remaining == pytest.approx(
+        find_kept(11, 0) * (many_remaining + one_remaining), abs=2
+    )
 
 
-def test_last_repeats_are_for_the_first_priority():
+def test_last_retries_are_for_the_first_priority():
     (budget,) = make_budgets(lambda: 100.0, nodes=1)
     for _ in range(1000):
         budget.count_request("list")
@@ -169,16 +171,16 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_window_has_more_repeats_than_are_allowed(seed):
-    """Load that surges, ends, and moves between nodes that all repeat what they can.
+def test_no_window_has_more_retries_than_allowed(seed):
+    """Guards against retry bursts while load surges, ends and moves between nodes.
 
-    The repeats of any window are allowed against its requests, or those of the window
-    before or half before, whichever are most.
+    The retries of any window are limited by its requests, or those of the window ending
+    half a window or a whole window before, whichever are most.
     """
     rng = random.Random(seed)
     clock = [1000.0]
     budgets = make_budgets(lambda: clock[0])
-    requests, repeats = [], []
+    requests, retries = [], []
     rates = [20.0] * NODES
     while clock[0] < 1060.0:
         if rng.random() < 0.004:
@@ -189,10 +191,10 @@
                 budget.count_request("list")
                 requests.append(clock[0])
             while budget.take("list", FIRST, True):
-                repeats.append(clock[0])
+                retries.append(clock[0])
     for tenth in range(200, 600):
         end_s = 1000.0 + tenth / 10
         spans = [(end_s - back - WINDOW_S, end_s - back) for back in (0.0, 5.0, 10.0)]
         most = max(count_between(requests, *span) for span in spans)
-        used = count_between(repeats, end_s - WINDOW_S, end_s)
+        used = count_between(retries, end_s - WINDOW_S, end_s)
         assert used <= RATIO * most + SLACK
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The gate with a pool that answers when told to."""
+"""The dispatcher with a fake connection pool."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tests.relay.samples import make_call, make_route
 
 STARTED_MS = 1_700_000_000_000
-I1_AGAIN = ServerIncarnation("i1", STARTED_MS + 1)
+I1_RESTARTED = ServerIncarnation("i1", STARTED_MS + 1)
 I1 = ServerIncarnation("i1", STARTED_MS)
 SIGNED = [(b"eelgrassmount-response-signature", b"s")]
 
@@ -92,9 +92,9 @@
         return job
 
     def restart(self, age_s: float = 0.0):
-        """Let the server have started again so long ago."""
+        """Simulate a restart of the server ``age_s`` seconds ago."""
         self.server.note_heartbeat(
-            Heartbeat(I1_AGAIN, service="list", slots=self.server.slots, sequence=1)
+            Heartbeat(I1_RESTARTED, service="list", slots=self.server.slots, sequence=1)
         )
         self.dispatcher.restart(I1, self.now_s - age_s)
 
@@ -107,7 +107,7 @@
     return Setup()
 
 
-def test_answer_goes_back_whole(setup):
+def test_answer_is_returned_unchanged(setup):
     setup.offer()
     setup.answer()
     (reply,) = setup.replies
@@ -115,7 +115,7 @@
     assert reply.head == b"eelgrassmount-response-signature: s\r\n"
 
 
-def test_request_names_incarnation_caller_and_time_left(setup):
+def test_request_names_incarnation_caller_and_remaining_time(setup):
     setup.offer()
     sent = setup.pool.sent[0]
     assert b"eelgrassmount-expect-instance: i1\r\n" in sent
@@ -123,7 +123,7 @@
     assert b"eelgrassmount-deadline-ms: 2000\r\n" in sent
 
 
-def test_time_in_the_queue_is_taken_off_the_time_left():
+def test_queueing_time_is_subtracted_from_the_deadline():
     setup = Setup(slots=1)
     setup.offer()
     setup.offer(origin=Origin(1, downstream=True))
@@ -148,8 +148,8 @@
     assert setup.dispatcher.in_flight == 0
 
 
-def test_call_whose_request_is_nearly_done_goes_before_others():
-    """Calls of one route for requests that begin, and one that needs no further run."""
+def test_call_of_a_nearly_complete_request_runs_first():
+    """Calls of one route whose requests have different numbers of remaining runs."""
     setup = Setup(slots=1)
     setup.dispatcher.measures.mean_run_s = 0.001
     setup.offer()
@@ -166,7 +166,7 @@
     assert order == [b"/ends", b"/urgent", b"/direct", b"/begins"]
 
 
-def test_call_is_counted_as_demand_by_the_first_gate_only():
+def test_call_is_counted_as_demand_by_the_first_dispatcher_only():
     setup = Setup(slots=2)
     setup.offer(counted_as_demand=True)
     assert setup.dispatcher.measures.arrivals == 0
@@ -174,7 +174,7 @@
     assert setup.dispatcher.measures.arrivals == 1
 
 
-def test_call_of_a_long_chain_goes_before_one_with_a_tighter_objective():
+def test_call_of_a_long_chain_runs_before_one_with_a_tighter_objective():
     setup = Setup(slots=1)
     setup.dispatcher.measures.mean_run_s = 0.001
     allowances = {"shop/part/": 0.05}
@@ -198,7 +198,7 @@
     assert setup.replies[0].reason is Reason.OVERLOAD
 
 
-def test_draining_server_gets_nothing_new_but_what_waits_still_runs():
+def test_draining_server_gets_no_new_calls_but_runs_queued_ones():
     setup = Setup(slots=1)
     setup.offer()
     setup.offer()
@@ -234,7 +234,7 @@
         (ClientAnswer(500, SIGNED, b""), Outcome.ANSWERED),
     ],
 )
-def test_not_run_is_said_only_when_it_is_certain(setup, outcome, fate):
+def test_not_run_is_reported_only_if_certain(setup, outcome, fate):
     setup.offer()
     setup.pool.open[0].end(outcome)
     assert setup.replies[0].outcome is fate
@@ -247,12 +247,12 @@
     assert b"eelgrassmount-expect-instance: i2\r\n" in setup.pool.sent[1]
 
 
-def test_work_that_must_not_run_twice_asks_for_a_fresh_connection(setup):
+def test_non_idempotent_call_uses_a_fresh_connection(setup):
     setup.offer(make_call(make_route(idempotent=False)))
     assert setup.pool.fresh == [True]
 
 
-def test_cancelled_idempotent_call_is_cut_and_the_other_runs_on(setup):
+def test_cancelled_call_is_stopped_only_if_idempotent(setup):
     job = setup.offer()
     other = setup.offer(make_call(make_route(idempotent=False)))
     setup.dispatcher.cancel(job)
@@ -319,7 +319,7 @@
     assert setup.dispatcher.measures.failure_share == counted
 
 
-def test_crash_is_told_once_the_server_refuses_connections(setup):
+def test_crash_is_reported_once_the_server_refuses_connections(setup):
     first = setup.offer(request_id="a")
     setup.pool.open[0].end(Break.CLOSED)
     assert setup.crashes == []
@@ -328,7 +328,7 @@
     assert setup.crashes == [(I1, [first])]
 
 
-def test_demand_and_wait_are_parts_of_what_is_possible():
+def test_demand_and_wait_are_relative_to_their_limits():
     setup = Setup(slots=1)
     setup.dispatcher.update_load()
     setup.now_s += 1.0
@@ -340,14 +340,14 @@
     assert setup.dispatcher.measures.load.demand == pytest.approx(
         LOAD_WEIGHT * 3 * run_s / 2
     )
-    # two wait for one of two seconds; three tenths of the least time are allowed
+    # two calls wait one of two seconds; the mean wait is limited to 0.3 allowances
     setup.dispatcher.measures.routes["r"] = RouteStats(allowed_s=0.2)
     setup.dispatcher.measures.routes["s"] = RouteStats(allowed_s=0.4)
     assert setup.dispatcher.measures.allow_mean_wait() == pytest.approx(0.06)
     assert setup.dispatcher.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
 
 
-def test_server_that_runs_already_is_identified_by_its_health():
+def test_running_server_is_identified_by_its_health():
     setup = Setup()
     setup.server.incarnation = None
     setup.dispatcher.identify("/health")
@@ -357,7 +357,7 @@
     assert setup.dispatcher.in_flight == 0
 
 
-def test_server_that_is_not_well_is_not_taken_up_by_its_health():
+def test_unhealthy_server_is_not_identified_by_its_health():
     setup = Setup()
     setup.server.incarnation = None
     setup.dispatcher.identify("/health")
@@ -365,7 +365,7 @@
     assert setup.server.incarnation is None
 
 
-def test_job_is_gone_once_it_has_ended(setup):
+def test_finished_job_is_freed_without_garbage_collection(setup):
     gc.disable()
     try:
         job = weakref.ref(setup.offer())
@@ -383,12 +383,11 @@
     assert setup.dispatcher.measures.failure_share > 0.0
 
 
-# A server that starts again under its identity kept the calls of its earlier start:
-# they held slots of the new one until their deadlines, and durations and failures of
-# the earlier start steered calls away from it.
+# The following tests guard against the state of a previous incarnation that affects
+# the new one: occupied slots, run durations and failures.
 
 
-def test_what_ran_when_the_server_started_again_may_have_run():
+def test_calls_in_flight_at_a_restart_may_have_run():
     setup = Setup(slots=4)
     read = setup.offer(request_id="a")
     work = setup.offer(make_call(make_route(idempotent=False), request_id="b"))
@@ -403,7 +402,7 @@
     assert set(jobs) == {read, work}
 
 
-def test_call_that_began_after_the_new_start_runs_on():
+def test_call_sent_after_a_restart_continues():
     setup = Setup(slots=4)
     before = setup.offer(request_id="a")
     setup.now_s += 0.5
@@ -417,7 +416,7 @@
     assert [reply.outcome for reply in setup.replies][1:] == [Outcome.ANSWERED]
 
 
-def test_call_whose_connection_is_being_opened_goes_to_the_new_start(setup):
+def test_call_whose_connection_is_being_opened_goes_to_the_new_incarnation(setup):
     setup.offer()
     setup.pool.connecting.add(setup.pool.open[0])
     setup.now_s += 0.1
@@ -428,14 +427,14 @@
     assert setup.replies[0].outcome is Outcome.ANSWERED
 
 
-def test_queued_calls_wait_for_the_new_start():
+def test_queued_calls_go_to_the_new_incarnation():
     setup = Setup(slots=1)
     setup.offer(request_id="a")
     setup.offer(request_id="b")
     assert setup.dispatcher.queued == 1
     setup.now_s += 0.1
     setup.restart()
-    # before the next call, which would go out on an idle connection
+    # before the next call, which would use an idle connection
     assert setup.pool.forgotten == [1]
     assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
     assert (setup.dispatcher.queued, setup.dispatcher.in_flight) == (0, 1)
@@ -443,7 +442,7 @@
     assert setup.replies[1].outcome is Outcome.ANSWERED
 
 
-def test_nothing_is_learned_of_the_earlier_start_for_the_new_one(setup):
+def test_measures_of_the_previous_incarnation_are_discarded(setup):
     for status in (200, 500, 500):
         setup.offer()
         setup.now_s += 0.5
@@ -458,7 +457,7 @@
     assert setup.dispatcher.measures.failure_share == 0.0
 
 
-def test_what_broke_shortly_before_the_new_start_is_suspected(setup):
+def test_call_that_broke_shortly_before_a_restart_is_suspected(setup):
     setup.offer(request_id="long ago")
     setup.pool.open[0].end(Break.CLOSED)
     setup.now_s += 2 * CRASH_WINDOW_S
@@ -474,43 +473,39 @@
     assert setup.crashes == []
 
 
-def test_call_that_broke_at_the_new_start_is_not_suspected_for_the_earlier(setup):
+def test_call_that_broke_after_a_restart_is_not_suspected(setup):
     setup.offer()
     setup.pool.open[0].end(Break.CLOSED)
     setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == []
 
 
-def repeat(setup: Setup, sender: int) -> None:
-    """Offer a call that has been sent before."""
+def submit_retry(setup: Setup, sender: int) -> None:
+    """Submit a retry."""
     setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}", is_retry=True))
 
 
-def test_repeats_of_many_nodes_are_taken_as_the_service_may_have_them():
-    """A node of 195 has seven requests of a route in a window.
-
-    Its part of the budget was 0.6 of a repeat, which was none: no call of such a route
-    was ever sent again, however little of the budget was used.
-    """
+def test_retries_of_many_nodes_share_the_budget_of_the_service():
+    """Guards against budgets per sender that are too small for any retry."""
     setup = Setup(slots=1000, slack=0.0)
     setup.dispatcher.budget.ratio = 0.2
     for sender in range(200):
         setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}"))
     for sender in range(5):
-        repeat(setup, sender)
+        submit_retry(setup, sender)
     assert setup.replies == []
     assert setup.dispatcher.in_flight == 205
 
 
-def test_repeat_beyond_the_budget_is_refused_and_has_not_run():
+def test_retry_beyond_the_budget_is_refused_and_has_not_run():
     setup = Setup(slots=1000, slack=0.0)
-    repeat(setup, 1)
+    submit_retry(setup, 1)
     (reply,) = setup.replies
     assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.RETRY_BUDGET)
     assert setup.pool.sent == []
 
 
-def test_call_that_another_gate_refused_is_counted_once_and_is_no_repeat():
+def test_call_refused_by_another_dispatcher_is_no_retry():
     setup = Setup(slots=1000, slack=0.0)
     setup.offer(counted_as_demand=True)
     setup.offer()
@@ -518,19 +513,15 @@
     assert setup.dispatcher.budget.list_services() == [("list", 1, 0)]
 
 
-def test_calls_of_a_repeated_run_count_and_are_not_refused():
+def test_calls_of_a_retried_run_count_and_are_not_refused():
     setup = Setup(slots=1000, slack=0.0)
     setup.offer(origin=Origin(0, downstream=True, within_retry=True))
     assert setup.dispatcher.in_flight == 1
     assert setup.dispatcher.budget.list_services() == [("list", 1, 1)]
 
 
-def test_run_that_failed_with_a_call_of_its_own_is_not_the_fault_of_its_server():
-    """Servers above one that rejected calls were taken for failing, and short.
-
-    Their services were cut to a sixth for 16 s after the rejections had ended: at such
-    a level each server had few runs by which to be found well again.
-    """
+def test_run_that_failed_by_a_downstream_call_is_not_a_server_failure():
+    """Guards against reducing the load of healthy servers above a failing one."""
     setup = Setup()
     setup.dispatcher.claim_loss = lambda job: True
     for _ in range(40):
@@ -543,12 +534,8 @@
     assert setup.dispatcher.measures.lost_share < 0.9
 
 
-def test_few_failures_among_runs_that_are_lost_do_not_make_a_server_seem_short():
-    """A server whose calls were mostly refused was taken for failing itself.
-
-    Some lost runs are always blamed on the server, as their calls were taken for those
-    of others. They were most of what was seen to end, and its service was cut.
-    """
+def test_few_failures_among_lost_runs_do_not_make_a_server_seem_failing():
+    """Guards against taking a server whose downstream calls fail for a failing one."""
     setup = Setup()
     rng = random.Random(7)
     lost = True
@@ -562,7 +549,7 @@
     assert sum(seen[100:]) / len(seen[100:]) < 0.15
 
 
-def test_server_that_fails_by_itself_is_seen_to_while_others_lose_runs():
+def test_failing_server_is_recognized_among_lost_runs():
     setup = Setup()
     rng = random.Random(7)
     lost = True
@@ -585,34 +572,33 @@
     assert setup.dispatcher.measures.failure_share > 0.0
 
 
-def read_given_ms(setup: Setup) -> int:
+def read_timeout_ms(setup: Setup) -> int:
     lines = setup.pool.sent[-1].split(b"\r\n")
     name = b"eelgrassmount-deadline-ms: "
     return next(int(line[len(name) :]) for line in lines if line.startswith(name))
 
 
-# Of 60 runs in flight that had up to 1 s, calls with 0.7 s of their own told nothing.
-def test_run_has_a_little_less_time_than_its_calls_may_take(setup):
+# A run must outlast its downstream calls, or their failures are not reported.
+def test_run_has_slightly_less_time_than_its_calls(setup):
     setup.dispatcher.find_call_timeout = lambda route_name: 0.7
     setup.offer()
-    assert 590 <= read_given_ms(setup) <= 595
+    assert 590 <= read_timeout_ms(setup) <= 595
     setup.answer()
     setup.offer(deadline_s=setup.now_s + 0.5)
-    assert 495 <= read_given_ms(setup) <= 500
+    assert 495 <= read_timeout_ms(setup) <= 500
 
 
-def test_run_that_usually_takes_long_keeps_its_time(setup):
+def test_run_that_usually_takes_long_keeps_its_deadline(setup):
     setup.dispatcher.find_call_timeout = lambda route_name: 0.7
     for _ in range(30):
         setup.offer()
         setup.now_s += 0.4
         setup.answer()
     setup.offer()
-    assert read_given_ms(setup) > 1900
+    assert read_timeout_ms(setup) > 1900
 
 
-# A request that waited at another node to its end was answered 504, which promises
-# nothing: clients could not send again what must not run twice.
+# Guards against an ambiguous 504 for a call that has certainly not run.
 def test_call_that_waits_to_its_deadline_is_refused_as_not_run():
     setup = Setup(slots=1)
     timers = []
@@ -629,12 +615,12 @@
     assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.DEADLINE)
     assert waiting.ended
     assert setup.dispatcher.queued == 0
-    # it is passed over, and does not run, once there is room
+    # the refused call is skipped once a slot is free
     setup.answer()
     assert len(setup.pool.sent) == 1
 
 
-def test_call_that_has_started_goes_on_to_its_deadline():
+def test_call_that_has_started_continues_to_its_deadline():
     setup = Setup(slots=1)
     timers = []
     setup.dispatcher.call_later = lambda delay_s, action: timers.append(action)
--- a/tests/relay/test_rejected_messages.py
+++ b/tests/relay/test_rejected_messages.py
@@ -1,4 +1,4 @@
-"""Messages that were not taken up: counted, and told within bounds."""
+"""Counts and rate-limited log lines of rejected messages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @contextmanager
-def list_lines():
+def capture_lines():
     lines: list[str] = []
     sink = logger.add(lines.append, format="{message} {extra}")
     try:
@@ -31,10 +31,10 @@
     return RejectedMessages(lambda: now_s[0])
 
 
-def test_same_cause_is_told_once_in_a_period():
+def test_same_cause_is_logged_once_per_interval():
     now_s = [0.0]
     refused = make_refused(now_s)
-    with list_lines() as lines:
+    with capture_lines() as lines:
         for _ in range(10):
             refused.record(KIND, "10.0.0.1", "info.slots", "give a whole number")
         assert len(lines) == 1
@@ -52,7 +52,7 @@
 def test_many_sources_keep_lines_and_memory_bounded():
     now_s = [0.0]
     refused = make_refused(now_s)
-    with list_lines() as lines:
+    with capture_lines() as lines:
         for number in range(3 * MAX_TRACKED_CAUSES):
             refused.record(KIND, f"writer-{number}", "body", "not JSON")
         assert len(lines) == MAX_TRACKED_CAUSES
@@ -63,15 +63,15 @@
     assert refused.totals[KIND] == 3 * MAX_TRACKED_CAUSES + 1
 
 
-def test_long_source_is_cut():
+def test_long_source_is_truncated():
     refused = make_refused([0.0])
-    with list_lines() as lines:
+    with capture_lines() as lines:
         refused.record(KIND, "s" * 10_000, "body", "d" * 10_000)
     assert len(lines[0]) < 4 * MAX_SHOWN_CHARS
     assert max(len(source) for _, source, _ in refused._logged_s) == MAX_SHOWN_CHARS
 
 
-def test_counter_is_raised():
+def test_counter_is_incremented():
     counted = []
     refused = RejectedMessages(
         lambda: 0.0, lambda kind, messages: counted.append((kind, messages))
@@ -81,7 +81,7 @@
     assert counted == [("node-record", 1), ("record", 3)]
 
 
-def test_refused_configuration_is_an_error():
+def test_rejected_configuration_is_an_error():
     refused = make_refused([0.0])
     lines: list[str] = []
     sink = logger.add(lines.append, format="{level}")
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -1,4 +1,4 @@
-"""Calls that servers reject, on a network and a time of their own."""
+"""Calls rejected by servers, on a virtual network and clock."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 def reject_first(rejections: int) -> Callable[[Exchange], None]:
-    """Return an answer of servers that together reject so many calls, and then run."""
-    left = [rejections]
+    """Return a handler that rejects the first ``rejections`` calls of all servers."""
+    remaining = [rejections]
 
     def answer(exchange: Exchange) -> None:
-        if left[0]:
-            left[0] -= 1
+        if remaining[0]:
+            remaining[0] -= 1
             exchange.respond(503, NOT_RUN)
         else:
             exchange.respond(200, SIGNED, b"done")
@@ -38,14 +38,14 @@
     return answer
 
 
-def play(
+def run_scenario(
     scenario: Callable[[Vm, list[Vm]], Awaitable[None]],
     servers: int,
     rejections: int,
     slack: float,
     seed: int = 0,
 ) -> None:
-    """Run a scenario with a front node and servers that reject calls at first."""
+    """Run a scenario with a front node and servers that reject the first calls."""
 
     async def main(network: Network) -> None:
         async with anyio.create_task_group() as group:
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_rejected_call_reaches_no_more_servers_than_its_route_allows(seed):
-    """Four servers, of which a request may be sent to two, reject it three times."""
+    """Three rejections by four servers, of which a request may reach two."""
 
     async def scenario(front: Vm, backs: list[Vm]) -> None:
         outcome = await ask(front, "/book/1", "POST")
@@ -83,24 +83,24 @@
         assert sum(arrivals) == 4
         assert sum(1 for count in arrivals if count) == 2
 
-    play(scenario, 4, 3, 100.0, seed)
+    run_scenario(scenario, 4, 3, 100.0, seed)
 
 
-def test_call_that_is_always_rejected_is_told_as_not_run_after_some_times():
+def test_call_that_is_always_rejected_fails_as_not_run():
     async def scenario(front: Vm, backs: list[Vm]) -> None:
         outcome = await ask(front, "/book/1", "POST")
         assert outcome.status == 503
         assert sum(count_arrivals(backs)) == MAX_REJECTIONS
 
-    play(scenario, 2, ALWAYS, 100.0)
+    run_scenario(scenario, 2, ALWAYS, 100.0)
 
 
 def test_rejected_call_is_given_up_when_the_budget_is_spent():
     async def scenario(front: Vm, backs: list[Vm]) -> None:
         for _ in range(10):
             assert (await ask(front, "/book/1", "POST")).status == 503
-        # the two gates take no more together than the service may have
+        # both dispatchers share the budget of the service
         allowed = 0.2 * 10 + SLACK_SHARE * 10.0
         assert 10 < sum(count_arrivals(backs)) <= 10 + allowed
 
-    play(scenario, 2, ALWAYS, 10.0)
+    run_scenario(scenario, 2, ALWAYS, 10.0)
--- a/tests/relay/test_routes.py
+++ b/tests/relay/test_routes.py
@@ -1,4 +1,4 @@
-"""Finding routes and dividing requests among targets."""
+"""Look-up of routes and division of requests among targets."""
 
 from __future__ import annotations
 
--- a/tests/relay/test_routing.py
+++ b/tests/relay/test_routing.py
@@ -1,4 +1,4 @@
-"""Choosing the node for a call."""
+"""Selection of the node that a call is sent to."""
 
 from __future__ import annotations
 
@@ -18,9 +18,11 @@
     def __init__(self):
         self.now_s = 100.0
         self.members = MemberTable()
-        self.router = Router(self.members, "near", lambda: self.now_s, random.Random(3))
+        self.router = Router(
+            self.members, "local", lambda: self.now_s, random.Random(3)
+        )
 
-    def add(self, name: str, domain: str = "near", run_s: float = 0.05, **load):
+    def add(self, name: str, domain: str = "local", run_s: float = 0.05, **load):
         member = self.members.put(name, f"{name}:1", domain, "list")
         member.load.limit = 10
         member.load.reported_s = self.now_s
@@ -44,40 +46,40 @@
     return Setup()
 
 
-def test_own_failure_domain_goes_first(setup):
+def test_local_failure_domain_is_preferred(setup):
     setup.add("a")
-    setup.add("b", "far")
+    setup.add("b", "remote")
     assert setup.count()["a"] == 99
 
 
-def test_full_server_gives_way_to_another_failure_domain(setup):
+def test_full_server_is_avoided_for_another_failure_domain(setup):
     setup.add("a", in_flight=10, queued=10)
-    setup.add("b", "far")
+    setup.add("b", "remote")
     assert setup.count()["b"] == 99
 
 
-def test_slow_server_gives_way(setup):
+def test_slow_server_is_avoided(setup):
     setup.add("a", run_s=0.2)
-    setup.add("b", "far", run_s=0.05)
+    setup.add("b", "remote", run_s=0.05)
     assert setup.count()["b"] == 99
 
 
-def test_slow_server_stays_where_its_time_is_far_below_the_objective(setup):
+def test_slow_server_is_used_if_its_time_is_far_below_the_objective(setup):
     setup.add("a", run_s=0.045)
-    setup.add("b", "far", run_s=0.015)
+    setup.add("b", "remote", run_s=0.015)
     assert setup.count()["a"] == 99
 
 
-def test_slow_server_gives_way_sooner_where_a_call_may_take_less_time(setup):
+def test_slow_server_is_avoided_if_a_call_has_little_time(setup):
     setup.add("a", run_s=0.045)
-    setup.add("b", "far", run_s=0.015)
+    setup.add("b", "remote", run_s=0.015)
     setup.router.find_time_allowance = lambda route: 0.06
     assert setup.count()["b"] == 99
 
 
-def test_failing_server_gives_way(setup):
+def test_failing_server_is_avoided(setup):
     setup.add("a", failure_share=0.5)
-    setup.add("b", "far")
+    setup.add("b", "remote")
     assert setup.count()["b"] == 99
 
 
@@ -88,15 +90,15 @@
     assert setup.count()["b"] == 99
 
 
-def test_server_that_takes_nothing_is_left_out(setup):
+def test_server_that_accepts_no_calls_is_excluded(setup):
     setup.add("a", accepting=False)
     assert setup.router.choose("list", ROUTE, ()) is None
-    # what was reported long ago is no longer believed
+    # old reports are ignored
     setup.now_s += 10
     assert setup.router.choose("list", ROUTE, ()).name == "a"
 
 
-def test_excluded_and_unreachable_nodes_are_left_out(setup):
+def test_excluded_and_unreachable_nodes_get_no_calls(setup):
     setup.add("a")
     lost = setup.add("b")
     lost.note_unreachable(setup.now_s)
@@ -105,7 +107,7 @@
     assert setup.router.choose("list", ROUTE, {"a"}) is lost
 
 
-def test_unused_node_is_tried_now_and_then(setup):
+def test_unused_node_is_tried_occasionally(setup):
     setup.add("a")
-    setup.add("b", "far")
+    setup.add("b", "remote")
     assert setup.count(1000)["b"] > 0
