--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -60,7 +60,7 @@
     server = LocalServer(
         settings.service,
         settings.server_address,
-        on_restart=lambda ended, begun: dispatcher.restart(
+        on_restart=lambda ended, begun: dispatcher.handle_restart(
             ended, begun.find_begin(clock(), time.time())
         ),
     )
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -233,7 +233,7 @@
     _credits: dict[Demand, float] = field(factory=dict)
     _new_requests: dict[Demand, int] = field(factory=dict)
 
-    def allows(self, demand: Demand) -> bool:
+    def try_admit(self, demand: Demand) -> bool:
         """Return whether to admit one request; admissions are spread evenly."""
         self.request_counts[demand] = self.request_counts.get(demand, 0.0) + 1.0
         self._new_requests[demand] = self._new_requests.get(demand, 0) + 1
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -67,7 +67,7 @@
         log_overload_change(service, previous, control.level, load)
         self._update_reachability(service, members)
         if state.find_level(service) < 1.0:
-            self._ask_for_reports(members, oldest_s)
+            self._request_reports(members, oldest_s)
 
     def _list_recent_loads(
         self, members: Iterable[Member], oldest_s: float
@@ -134,7 +134,7 @@
     def _count_usable(self, members: Iterable[Member]) -> int:
         return sum(1 for one in members if one.load.accepting and not one.failures)
 
-    def _ask_for_reports(self, members: Iterable[Member], oldest_s: float) -> None:
+    def _request_reports(self, members: Iterable[Member], oldest_s: float) -> None:
         """Request load reports from nodes of an overloaded service.
 
         Nodes report to their callers. A node that refuses all requests for a service
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -222,7 +222,7 @@
                 job.sending.cancel()
         self._start_queued()
 
-    def restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
+    def handle_restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
         """Finish the calls that were lost in a restart of the server.
 
         Calls sent before ``restarted_s`` may have run at the incarnation ``ended`` or
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -120,7 +120,7 @@
         call = self._create_call(exchange, head, route, team, deadline_s, origin)
         quota_team = team if team is not None and team.has_quota() else None
         pending = PendingRequest(exchange, call, made_call, quota_team)
-        if not origin.downstream and not self.admission.allows(call.demand):
+        if not origin.downstream and not self.admission.try_admit(call.demand):
             self.answers.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -82,7 +82,7 @@
     services: dict[str, Service] = field(factory=dict)
     limits: ServerLimits = field(factory=ServerLimits)
     teams: TeamDirectory = field(factory=TeamDirectory)
-    _least_urgent: int = 0
+    _max_priority: int = 0
     _by_host: dict[str, dict[str, Route]] = field(factory=dict)
     _lengths: dict[str, list[int]] = field(factory=dict)
 
@@ -99,7 +99,7 @@
         table = cls(version, limits=limits, teams=teams or TeamDirectory())
         for route in routes:
             table.routes[route.name] = route
-            table._least_urgent = max(table._least_urgent, route.priority)
+            table._max_priority = max(table._max_priority, route.priority)
             table._by_host.setdefault(route.host, {}).setdefault(route.prefix, route)
         for service in services:
             table.services[service.name] = service
@@ -129,7 +129,7 @@
         """
         if team is None:
             return route.priority
-        ranks = self._least_urgent + 1
+        ranks = self._max_priority + 1
         return min(MAX_RANK, team.priority * ranks + route.priority)
 
     def count_routes(self) -> int:
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -37,7 +37,7 @@
     admission = Admission(graph, lambda service: fractions.get(service, 1.0))
     for route, count in ((BOOK, book), (STATUS, status), (PRICE, price)):
         for _ in range(count):
-            admission.allows(demand(route))
+            admission.try_admit(demand(route))
     # the shared service gets 20 calls of bookings, 10 of status checks, 20 of prices
     admission.update(TABLE)
     return admission
@@ -45,7 +45,7 @@
 
 def test_everything_is_admitted_while_no_service_is_overloaded():
     admission = make_admission(1.0)
-    assert all(admission.allows(demand(route)) for route in (BOOK, STATUS, PRICE))
+    assert all(admission.try_admit(demand(route)) for route in (BOOK, STATUS, PRICE))
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
 
 def test_admissions_are_spread_evenly():
     admission = make_admission(0.8)
-    assert sum(admission.allows(demand(PRICE)) for _ in range(100)) == 50
+    assert sum(admission.try_admit(demand(PRICE)) for _ in range(100)) == 50
 
 
 def test_most_overloaded_service_limits_the_requests():
@@ -84,9 +84,9 @@
 
 def test_nothing_is_refused_before_downstream_calls_are_known():
     admission = Admission(CallGraph(), lambda service: 0.1)
-    admission.allows(demand(PRICE))
+    admission.try_admit(demand(PRICE))
     admission.update(TABLE)
-    assert admission.allows(demand(PRICE))
+    assert admission.try_admit(demand(PRICE))
 
 
 def test_calls_are_counted_along_the_whole_chain():
@@ -196,7 +196,7 @@
 def test_requests_of_removed_routes_are_forgotten():
     admission = make_admission(0.5)
     for route in (STATUS, PRICE):
-        admission.allows(demand(route))
+        admission.try_admit(demand(route))
     assert admission._credits.keys() == {demand(STATUS), demand(PRICE)}
     admission.update(make_table(BOOK, STATUS))
     assert admission.request_counts.keys() == {demand(BOOK), demand(STATUS)}
@@ -233,8 +233,8 @@
     """Guards against refusing downstream calls as if they were client requests."""
     admission = make_admission(0.6)
     admission.is_client_route = lambda name: name == STATUS.name
-    assert not all(make_admission(0.6).allows(demand(PRICE)) for _ in range(10))
-    assert all(admission.allows(demand(PRICE)) for _ in range(10))
+    assert not all(make_admission(0.6).try_admit(demand(PRICE)) for _ in range(10))
+    assert all(admission.try_admit(demand(PRICE)) for _ in range(10))
 
 
 def test_admitted_fractions_follow_the_load_offered_to_all_nodes():
@@ -285,7 +285,7 @@
             0.7 if service == "proof" else 1.0
         )
         admission.update(TABLE)
-        admitted += admission.allows(demand(PRICE))
+        admitted += admission.try_admit(demand(PRICE))
     # bookings and price lists each make half of the calls
     assert 0.9 * 400 < admitted < 1.1 * 400
 
@@ -310,7 +310,7 @@
     admission = Admission(CallGraph(), lambda name: 0.5 if name == "proof" else 1.0)
     for route, count in ((BOOK, 20), (STATUS, 10), (PRICE, 20)):
         for _ in range(count):
-            admission.allows(demand(route))
+            admission.try_admit(demand(route))
     admission.update(table)
     return admission
 
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -85,7 +85,7 @@
         )
         self.replies: list[Reply] = []
 
-    def offer(self, call=None, **changes) -> Job:
+    def submit(self, call=None, **changes) -> Job:
         call = call or make_call(now_s=self.now_s, **changes)
         job = Job(call, self.replies.append)
         self.dispatcher.submit(job)
@@ -96,7 +96,7 @@
         self.server.note_heartbeat(
             Heartbeat(I1_RESTARTED, service="list", slots=self.server.slots, sequence=1)
         )
-        self.dispatcher.restart(I1, self.now_s - age_s)
+        self.dispatcher.handle_restart(I1, self.now_s - age_s)
 
     def answer(self, status=200, headers=SIGNED, index=0):
         self.pool.open[index].end(ClientAnswer(status, headers, b"body"))
@@ -108,7 +108,7 @@
 
 
 def test_answer_is_returned_unchanged(setup):
-    setup.offer()
+    setup.submit()
     setup.answer()
     (reply,) = setup.replies
     assert (reply.outcome, reply.status, reply.body) == (Outcome.ANSWERED, 200, b"body")
@@ -116,7 +116,7 @@
 
 
 def test_request_names_incarnation_caller_and_remaining_time(setup):
-    setup.offer()
+    setup.submit()
     sent = setup.pool.sent[0]
     assert b"eelgrassmount-expect-instance: i1\r\n" in sent
     assert b"eelgrassmount-caller-service: front\r\n" in sent
@@ -125,8 +125,8 @@
 
 def test_queueing_time_is_subtracted_from_the_deadline():
     setup = Setup(slots=1)
-    setup.offer()
-    setup.offer(origin=Origin(1, downstream=True))
+    setup.submit()
+    setup.submit(origin=Origin(1, downstream=True))
     setup.now_s += 0.5
     setup.answer()
     assert b"eelgrassmount-deadline-ms: 1500\r\n" in setup.pool.sent[1]
@@ -135,10 +135,10 @@
 def test_no_more_runs_than_slots_and_the_soonest_due_go_first():
     setup = Setup(slots=1)
     setup.dispatcher.measures.mean_run_s = 0.001
-    setup.offer(request_id="first")
+    setup.submit(request_id="first")
     for name, objective_s in (("late", 1.0), ("soon", 0.1), ("next", 0.3)):
         route = make_route(objective_s=objective_s)
-        setup.offer(make_call(route, setup.now_s, target=f"/{name}"))
+        setup.submit(make_call(route, setup.now_s, target=f"/{name}"))
     for _ in range(4):
         assert len(setup.pool.open) == 1
         setup.answer()
@@ -152,14 +152,14 @@
     """Calls of one route whose requests have different numbers of remaining runs."""
     setup = Setup(slots=1)
     setup.dispatcher.measures.mean_run_s = 0.001
-    setup.offer()
+    setup.submit()
     for name, origin in (
         ("direct", Origin(2)),
         ("begins", Origin(2, downstream=True, remaining_runs=11)),
         ("urgent", Origin(0, downstream=True, remaining_runs=11)),
         ("ends", Origin(2, downstream=True, remaining_runs=1)),
     ):
-        setup.offer(make_call(now_s=setup.now_s, target=f"/{name}", origin=origin))
+        setup.submit(make_call(now_s=setup.now_s, target=f"/{name}", origin=origin))
     for _ in range(5):
         setup.answer()
     order = [data.split()[1] for data in setup.pool.sent[1:]]
@@ -168,9 +168,9 @@
 
 def test_call_is_counted_as_demand_by_the_first_dispatcher_only():
     setup = Setup(slots=2)
-    setup.offer(counted_as_demand=True)
+    setup.submit(counted_as_demand=True)
     assert setup.dispatcher.measures.arrivals == 0
-    setup.offer()
+    setup.submit()
     assert setup.dispatcher.measures.arrivals == 1
 
 
@@ -181,10 +181,10 @@
     setup.dispatcher.find_time_allowance = lambda route: allowances.get(
         route.name, route.objective_s
     )
-    setup.offer()
+    setup.submit()
     for name, objective_s in (("status", 0.15), ("part", 0.3)):
         route = make_route(f"shop/{name}/", objective_s=objective_s)
-        setup.offer(make_call(route, setup.now_s, target=f"/{name}/1"))
+        setup.submit(make_call(route, setup.now_s, target=f"/{name}/1"))
     setup.answer()
     assert setup.pool.sent[1].split()[1] == b"/part/1"
 
@@ -192,33 +192,33 @@
 def test_call_that_would_wait_too_long_is_refused_at_once():
     setup = Setup(slots=1)
     setup.dispatcher.measures.mean_run_s = 1.0
-    setup.offer()
-    setup.offer()
+    setup.submit()
+    setup.submit()
     assert setup.replies[0].outcome is Outcome.NOT_RUN
     assert setup.replies[0].reason is Reason.OVERLOAD
 
 
 def test_draining_server_gets_no_new_calls_but_runs_queued_ones():
     setup = Setup(slots=1)
-    setup.offer()
-    setup.offer()
+    setup.submit()
+    setup.submit()
     setup.server.note_heartbeat(
         Heartbeat(I1, service="list", slots=1, sequence=2, draining=True)
     )
-    setup.offer()
+    setup.submit()
     assert setup.replies[0].reason is Reason.DRAINING
     setup.answer()
     assert len(setup.pool.open) == 1
 
 
 def test_other_service_is_refused(setup):
-    setup.offer(service="elsewhere")
+    setup.submit(service="elsewhere")
     assert setup.replies[0].outcome is Outcome.NOT_RUN
     assert setup.pool.sent == []
 
 
 @pytest.mark.parametrize(
-    ("outcome", "fate"),
+    ("outcome", "expected"),
     [
         (Break.REFUSED, Outcome.NOT_RUN),
         (Break.CLOSED, Outcome.MAY_HAVE_RUN),
@@ -234,27 +234,27 @@
         (ClientAnswer(500, SIGNED, b""), Outcome.ANSWERED),
     ],
 )
-def test_not_run_is_reported_only_if_certain(setup, outcome, fate):
-    setup.offer()
+def test_not_run_is_reported_only_if_certain(setup, outcome, expected):
+    setup.submit()
     setup.pool.open[0].end(outcome)
-    assert setup.replies[0].outcome is fate
+    assert setup.replies[0].outcome is expected
 
 
 def test_wrong_incarnation_is_replaced_by_the_one_that_answered(setup):
-    setup.offer()
+    setup.submit()
     setup.answer(421, [(b"eelgrassmount-instance-id", b"i2")])
-    setup.offer()
+    setup.submit()
     assert b"eelgrassmount-expect-instance: i2\r\n" in setup.pool.sent[1]
 
 
 def test_non_idempotent_call_uses_a_fresh_connection(setup):
-    setup.offer(make_call(make_route(idempotent=False)))
+    setup.submit(make_call(make_route(idempotent=False)))
     assert setup.pool.fresh == [True]
 
 
 def test_cancelled_call_is_stopped_only_if_idempotent(setup):
-    job = setup.offer()
-    other = setup.offer(make_call(make_route(idempotent=False)))
+    job = setup.submit()
+    other = setup.submit(make_call(make_route(idempotent=False)))
     setup.dispatcher.cancel(job)
     setup.dispatcher.cancel(other)
     assert len(setup.pool.open) == 1
@@ -263,8 +263,8 @@
 
 def test_cancelled_call_in_the_queue_never_runs():
     setup = Setup(slots=1)
-    setup.offer()
-    job = setup.offer()
+    setup.submit()
+    job = setup.submit()
     setup.dispatcher.cancel(job)
     setup.answer()
     assert len(setup.pool.sent) == 1
@@ -272,7 +272,7 @@
 
 
 def test_server_that_never_answers_is_given_up_after_the_deadline(setup):
-    setup.offer()
+    setup.submit()
     setup.now_s += 2.2
     setup.dispatcher.sweep()
     assert setup.replies == []
@@ -283,9 +283,9 @@
 
 
 def test_run_that_stays_silent_counts_as_a_failure_before_it_ends(setup):
-    setup.offer()
+    setup.submit()
     setup.answer()
-    setup.offer()
+    setup.submit()
     setup.dispatcher.sweep()
     assert setup.dispatcher.measures.failure_share == 0.0
     setup.now_s += 1.5
@@ -299,31 +299,31 @@
 def test_run_of_a_slow_server_is_not_silent_before_several_times_its_usual(setup):
     usual_s = 0.8
     for _ in range(3):
-        setup.offer()
+        setup.submit()
         setup.now_s += usual_s
         setup.answer()
-    setup.offer()
+    setup.submit()
     setup.now_s += 2 * usual_s
     setup.dispatcher.sweep()
     assert setup.dispatcher.measures.failure_share == 0.0
 
 
 def test_silent_run_that_is_cancelled_stays_counted(setup):
-    job = setup.offer()
+    job = setup.submit()
     setup.now_s += 1.5
     setup.dispatcher.cancel(job)
     assert setup.dispatcher.measures.failure_share > 0.0
-    quick = setup.offer()
+    quick = setup.submit()
     counted = setup.dispatcher.measures.failure_share
     setup.dispatcher.cancel(quick)
     assert setup.dispatcher.measures.failure_share == counted
 
 
 def test_crash_is_reported_once_the_server_refuses_connections(setup):
-    first = setup.offer(request_id="a")
+    first = setup.submit(request_id="a")
     setup.pool.open[0].end(Break.CLOSED)
     assert setup.crashes == []
-    setup.offer(request_id="b")
+    setup.submit(request_id="b")
     setup.pool.open[0].end(Break.REFUSED)
     assert setup.crashes == [(I1, [first])]
 
@@ -333,14 +333,14 @@
     setup.dispatcher.update_load()
     setup.now_s += 1.0
     for _ in range(3):
-        setup.offer()
+        setup.submit()
     setup.now_s += 1.0
     setup.dispatcher.update_load()
     run_s = setup.dispatcher.measures.mean_run_s
     assert setup.dispatcher.measures.load.demand == pytest.approx(
         LOAD_WEIGHT * 3 * run_s / 2
     )
-    # two calls wait one of two seconds; the mean wait is limited to 0.3 allowances
+    # two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed
     setup.dispatcher.measures.routes["r"] = RouteStats(allowed_s=0.2)
     setup.dispatcher.measures.routes["s"] = RouteStats(allowed_s=0.4)
     assert setup.dispatcher.measures.allow_mean_wait() == pytest.approx(0.06)
@@ -368,7 +368,7 @@
 def test_finished_job_is_freed_without_garbage_collection(setup):
     gc.disable()
     try:
-        job = weakref.ref(setup.offer())
+        job = weakref.ref(setup.submit())
         setup.answer()
         assert job() is None
     finally:
@@ -377,7 +377,7 @@
 
 def test_server_that_rejects_calls_counts_as_failing(setup):
     headers = [*SIGNED, (b"eelgrassmount-not-executed", b"1")]
-    setup.offer()
+    setup.submit()
     setup.answer(503, headers)
     assert setup.replies[0].reason is Reason.SERVER_SHED
     assert setup.dispatcher.measures.failure_share > 0.0
@@ -389,8 +389,8 @@
 
 def test_calls_in_flight_at_a_restart_may_have_run():
     setup = Setup(slots=4)
-    read = setup.offer(request_id="a")
-    work = setup.offer(make_call(make_route(idempotent=False), request_id="b"))
+    read = setup.submit(request_id="a")
+    work = setup.submit(make_call(make_route(idempotent=False), request_id="b"))
     setup.now_s += 0.5
     setup.restart()
     assert setup.dispatcher.in_flight == 0
@@ -404,9 +404,9 @@
 
 def test_call_sent_after_a_restart_continues():
     setup = Setup(slots=4)
-    before = setup.offer(request_id="a")
+    before = setup.submit(request_id="a")
     setup.now_s += 0.5
-    setup.offer(request_id="b")
+    setup.submit(request_id="b")
     assert setup.dispatcher.in_flight == 2
     setup.now_s += 0.1
     setup.restart(age_s=0.2)
@@ -417,7 +417,7 @@
 
 
 def test_call_whose_connection_is_being_opened_goes_to_the_new_incarnation(setup):
-    setup.offer()
+    setup.submit()
     setup.pool.connecting.add(setup.pool.open[0])
     setup.now_s += 0.1
     setup.restart()
@@ -429,8 +429,8 @@
 
 def test_queued_calls_go_to_the_new_incarnation():
     setup = Setup(slots=1)
-    setup.offer(request_id="a")
-    setup.offer(request_id="b")
+    setup.submit(request_id="a")
+    setup.submit(request_id="b")
     assert setup.dispatcher.queued == 1
     setup.now_s += 0.1
     setup.restart()
@@ -444,10 +444,10 @@
 
 def test_measures_of_the_previous_incarnation_are_discarded(setup):
     for status in (200, 500, 500):
-        setup.offer()
+        setup.submit()
         setup.now_s += 0.5
         setup.answer(status)
-    setup.offer()
+    setup.submit()
     setup.now_s += 0.5
     assert setup.dispatcher.measures.failure_share > 0.0
     assert setup.dispatcher.measures.routes
@@ -458,10 +458,10 @@
 
 
 def test_call_that_broke_shortly_before_a_restart_is_suspected(setup):
-    setup.offer(request_id="long ago")
+    setup.submit(request_id="long ago")
     setup.pool.open[0].end(Break.CLOSED)
     setup.now_s += 2 * CRASH_WINDOW_S
-    broken = setup.offer(request_id="a")
+    broken = setup.submit(request_id="a")
     setup.pool.open[0].end(Break.CLOSED)
     setup.now_s += CRASH_WINDOW_S / 2
     setup.restart(age_s=CRASH_WINDOW_S / 4)
@@ -474,7 +474,7 @@
 
 
 def test_call_that_broke_after_a_restart_is_not_suspected(setup):
-    setup.offer()
+    setup.submit()
     setup.pool.open[0].end(Break.CLOSED)
     setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == []
@@ -482,7 +482,7 @@
 
 def submit_retry(setup: Setup, sender: int) -> None:
     """Submit a retry."""
-    setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}", is_retry=True))
+    setup.submit(make_call(now_s=setup.now_s, request_id=f"r{sender}", is_retry=True))
 
 
 def test_retries_of_many_nodes_share_the_budget_of_the_service():
@@ -490,7 +490,7 @@
     setup = Setup(slots=1000, slack=0.0)
     setup.dispatcher.budget.ratio = 0.2
     for sender in range(200):
-        setup.offer(make_call(now_s=setup.now_s, request_id=f"r{sender}"))
+        setup.submit(make_call(now_s=setup.now_s, request_id=f"r{sender}"))
     for sender in range(5):
         submit_retry(setup, sender)
     assert setup.replies == []
@@ -505,17 +505,17 @@
     assert setup.pool.sent == []
 
 
-def test_call_refused_by_another_dispatcher_is_no_retry():
+def test_call_refused_elsewhere_is_counted_once_and_is_no_retry():
     setup = Setup(slots=1000, slack=0.0)
-    setup.offer(counted_as_demand=True)
-    setup.offer()
+    setup.submit(counted_as_demand=True)
+    setup.submit()
     assert setup.dispatcher.in_flight == 2
     assert setup.dispatcher.budget.list_services() == [("list", 1, 0)]
 
 
 def test_calls_of_a_retried_run_count_and_are_not_refused():
     setup = Setup(slots=1000, slack=0.0)
-    setup.offer(origin=Origin(0, downstream=True, within_retry=True))
+    setup.submit(origin=Origin(0, downstream=True, within_retry=True))
     assert setup.dispatcher.in_flight == 1
     assert setup.dispatcher.budget.list_services() == [("list", 1, 1)]
 
@@ -525,11 +525,11 @@
     setup = Setup()
     setup.dispatcher.claim_loss = lambda job: True
     for _ in range(40):
-        setup.offer()
+        setup.submit()
         setup.answer(500)
     assert setup.dispatcher.measures.failure_share == 0.0
     assert setup.dispatcher.measures.lost_share > 0.8
-    setup.offer()
+    setup.submit()
     setup.answer()
     assert setup.dispatcher.measures.lost_share < 0.9
 
@@ -543,7 +543,7 @@
     seen = []
     for _ in range(400):
         lost = rng.random() < 0.9
-        setup.offer()
+        setup.submit()
         setup.answer(500 if lost or rng.random() < 0.5 else 200)
         seen.append(setup.dispatcher.measures.failure_share)
     assert sum(seen[100:]) / len(seen[100:]) < 0.15
@@ -556,14 +556,14 @@
     setup.dispatcher.claim_loss = lambda job: lost
     for _ in range(400):
         lost = rng.random() < 0.3
-        setup.offer()
+        setup.submit()
         setup.answer(500)
     assert setup.dispatcher.measures.failure_share > 0.7
 
 
 def test_run_that_waits_for_a_call_is_not_silent(setup):
     setup.dispatcher.has_lost_call = lambda job: True
-    setup.offer()
+    setup.submit()
     setup.now_s += 1.5
     setup.dispatcher.sweep()
     assert setup.dispatcher.measures.failure_share == 0.0
@@ -581,20 +581,20 @@
 # A run must outlast its downstream calls, or their failures are not reported.
 def test_run_has_slightly_less_time_than_its_calls(setup):
     setup.dispatcher.find_call_timeout = lambda route_name: 0.7
-    setup.offer()
+    setup.submit()
     assert 590 <= read_timeout_ms(setup) <= 595
     setup.answer()
-    setup.offer(deadline_s=setup.now_s + 0.5)
+    setup.submit(deadline_s=setup.now_s + 0.5)
     assert 495 <= read_timeout_ms(setup) <= 500
 
 
 def test_run_that_usually_takes_long_keeps_its_deadline(setup):
     setup.dispatcher.find_call_timeout = lambda route_name: 0.7
     for _ in range(30):
-        setup.offer()
+        setup.submit()
         setup.now_s += 0.4
         setup.answer()
-    setup.offer()
+    setup.submit()
     assert read_timeout_ms(setup) > 1900
 
 
@@ -605,8 +605,8 @@
     setup.dispatcher.call_later = lambda delay_s, action: timers.append(
         (delay_s, action)
     )
-    setup.offer()
-    waiting = setup.offer(deadline_s=setup.now_s + 0.1)
+    setup.submit()
+    waiting = setup.submit(deadline_s=setup.now_s + 0.1)
     (delay_s, expire) = timers[0]
     assert 0.08 < delay_s < 0.1
     setup.now_s += delay_s
@@ -624,8 +624,8 @@
     setup = Setup(slots=1)
     timers = []
     setup.dispatcher.call_later = lambda delay_s, action: timers.append(action)
-    setup.offer()
-    setup.offer(deadline_s=setup.now_s + 0.1)
+    setup.submit()
+    setup.submit(deadline_s=setup.now_s + 0.1)
     setup.answer()
     timers[0]()
     assert len(setup.replies) == 1
--- a/tests/relay/test_rejected_messages.py
+++ b/tests/relay/test_rejected_messages.py
@@ -27,13 +27,13 @@
         logger.remove(sink)
 
 
-def make_refused(now_s: list[float]) -> RejectedMessages:
+def make_rejected_messages(now_s: list[float]) -> RejectedMessages:
     return RejectedMessages(lambda: now_s[0])
 
 
 def test_same_cause_is_logged_once_per_interval():
     now_s = [0.0]
-    refused = make_refused(now_s)
+    refused = make_rejected_messages(now_s)
     with capture_lines() as lines:
         for _ in range(10):
             refused.record(KIND, "10.0.0.1", "info.slots", "give a whole number")
@@ -51,7 +51,7 @@
 
 def test_many_sources_keep_lines_and_memory_bounded():
     now_s = [0.0]
-    refused = make_refused(now_s)
+    refused = make_rejected_messages(now_s)
     with capture_lines() as lines:
         for number in range(3 * MAX_TRACKED_CAUSES):
             refused.record(KIND, f"writer-{number}", "body", "not JSON")
@@ -64,7 +64,7 @@
 
 
 def test_long_source_is_truncated():
-    refused = make_refused([0.0])
+    refused = make_rejected_messages([0.0])
     with capture_lines() as lines:
         refused.record(KIND, "s" * 10_000, "body", "d" * 10_000)
     assert len(lines[0]) < 4 * MAX_SHOWN_CHARS
@@ -82,7 +82,7 @@
 
 
 def test_rejected_configuration_is_an_error():
-    refused = make_refused([0.0])
+    refused = make_rejected_messages([0.0])
     lines: list[str] = []
     sink = logger.add(lines.append, format="{level}")
     try:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -31,7 +31,7 @@
 
 def admit_all() -> None:
     """Let every request begin."""
-    Admission.allows = lambda self, demand: True
+    Admission.try_admit = lambda self, demand: True
 
 
 def ignore_calls() -> None:
@@ -114,7 +114,7 @@
 
 def ask_for_no_reports() -> None:
     """Wait for the reports of a short service."""
-    AdmittedFractions._ask_for_reports = lambda self, members, oldest_s: None
+    AdmittedFractions._request_reports = lambda self, members, oldest_s: None
 
 
 def tell_callers_only() -> None:
