--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -51,7 +51,7 @@
     "links": ("link.py", "links.py", "inbound.py"),
     "entry and answers": ("entry.py", "answers.py", "sender.py", "messages.py"),
     "teams and quotas": ("teams", "quotas.py"),
-    "lineage": ("lineage.py",),
+    "lineage": ("call_attribution.py",),
     "choice of a server": ("routing.py", "placement.py", "members.py"),
     "gate": ("gate.py", "measures.py", "budget.py", "queues.py", "backend.py"),
     "learning": ("vectors.py", "states.py", "estimates.py"),
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -68,9 +68,9 @@
     def run_once(self) -> None:
         """Let each route run that runs once, beside the others."""
         for number in range(self.scenario.once):
-            self.learner.begin(f"once-{number}")
+            self.learner.start_run(f"once-{number}")
             self.move(MOVES_BESIDE)
-            self.learner.end(f"once-{number}")
+            self.learner.finish_run(f"once-{number}")
 
     def move(self, moves: int) -> None:
         """Start and end runs of the busy routes, some of which make a call."""
@@ -80,16 +80,16 @@
                 self.wanted = self.rng.randrange(MAX_IN_FLIGHT)
             self._move_once()
             if self.rng.random() < CALL_CHANCE:
-                self.learner.note_call(f"called-{move % self.scenario.called}")
+                self.learner.record_call(f"called-{move % self.scenario.called}")
 
     def _move_once(self) -> None:
         running = self.running
         up = self.rng.random() * 2 * self.wanted > len(running)
         if up or not running:
             running.append(f"busy-{self.rng.randrange(self.scenario.busy)}")
-            self.learner.begin(running[-1])
+            self.learner.start_run(running[-1])
         else:
-            self.learner.end(running.pop(self.rng.randrange(len(running))))
+            self.learner.finish_run(running.pop(self.rng.randrange(len(running))))
 
 
 def measure(scenario: Scenario, seed: int) -> tuple[float, float]:
@@ -107,7 +107,7 @@
     for part in range(scenario.called):
         begun_s = time.process_time()
         if part:
-            walk.learner.solve_next()
+            walk.learner.continue_solving()
         else:
             walk.learner.solve(inner)
         parts_ms.append((time.process_time() - begun_s) * 1000)
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -15,7 +15,7 @@
 from eelgrassmount.relay.admission import Admission, CallGraph
 from eelgrassmount.relay.answers import Answering
 from eelgrassmount.relay.backend import BackendPool
-from eelgrassmount.relay.beliefs import Beliefs
+from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
@@ -24,7 +24,7 @@
 from eelgrassmount.relay.inbound import Inbound
 from eelgrassmount.relay.learning import make_tally
 from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.lineage import Lineage
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.link import LinkEvents
 from eelgrassmount.relay.links import LinkKeeper
 from eelgrassmount.relay.members import MemberTable
@@ -66,7 +66,7 @@
     )
     members = MemberTable()
     graph = CallGraph()
-    beliefs = Beliefs(
+    beliefs = SharedState(
         settings.name,
         incarnation,
         str(settings.peer_address),
@@ -77,22 +77,24 @@
         clock,
         rng,
     )
-    lineage = Lineage(clock, graph.may_call, graph.count_runs, rng, beliefs.completed)
+    lineage = CallAttributor(
+        clock, graph.may_call, graph.count_runs, rng, beliefs.completed
+    )
 
     learned_jobs: set[Job] = set()
 
     def note_begin(job: Job) -> None:
         # with keys, calls are counted by their runs
-        if not beliefs.knows_clients():
+        if not beliefs.identifies_clients():
             learned_jobs.add(job)
-            beliefs.learner.begin(job.call.route.name)
-        lineage.begin(job, job.call, job.given_s)
+            beliefs.learner.start_run(job.call.route.name)
+        lineage.start_run(job, job.call, job.given_s)
 
     def note_end(job: Job, well: bool) -> None:
         if job in learned_jobs:
             learned_jobs.remove(job)
-            beliefs.learner.end(job.call.route.name)
-        lineage.end(job, well)
+            beliefs.learner.finish_run(job.call.route.name)
+        lineage.finish_run(job, well)
 
     pool = BackendPool(
         clock,
@@ -118,7 +120,7 @@
         find_call_limit=beliefs.find_call_limit,
         on_begin=note_begin,
         on_end=note_end,
-        is_lost_below=lineage.is_lost,
+        is_lost_below=lineage.has_lost_call,
         claim_loss=lineage.claim_loss,
         on_crash=lambda ended, jobs: news.note_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
@@ -158,8 +160,8 @@
     )
     admission = Admission(
         graph,
-        beliefs.find_level,
-        lambda: beliefs.outlook.offered,
+        beliefs.get_admitted_fraction,
+        lambda: beliefs.cluster_counts.offered,
         lambda name: name in beliefs.client_routes,
         rng,
     )
@@ -206,8 +208,8 @@
         rng,
         graph.is_called,
         lambda name: name in beliefs.client_routes,
-        beliefs.note_call,
-        beliefs.note_client,
+        beliefs.record_call,
+        beliefs.record_client_request,
         lineage,
         readers.is_current,
         quotas.taker,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -24,7 +24,7 @@
     from eelgrassmount.http1.server import HttpListener
     from eelgrassmount.platform.store import StoreClient
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.controllers import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.entry import Entry
@@ -54,7 +54,7 @@
     """All parts of a node beside its backend server."""
 
     settings: RelaySettings
-    beliefs: Beliefs
+    beliefs: SharedState
     gate: Gate
     inbound: Inbound
     entry: Entry
@@ -237,14 +237,14 @@
         state.labels("queued").set(self.gate.queued)
         state.labels("limit").set(self.beliefs.server.compute_limit())
         state.labels("demand").set(self.gate.measures.load.demand)
-        for service, control in self.beliefs.levels.items():
+        for service, control in self.beliefs.admission_controllers.items():
             self.metrics.levels.labels(service).set(control.level)
         state.labels("members").set(len(self.beliefs.members.by_name))
         state.labels("reads_log").set(self.readers.reading)
         state.labels("log_subscribers").set(len(self.readers.subscribers))
         state.labels("log_era").set(self.readers.eras.current)
         state.labels("log_next_offset").set(self.readers.book.next_offset)
-        state.labels("counted_nodes").set(self.beliefs.outlook.nodes)
+        state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
         state.labels("open_requests").set(self.entry.answers.open_flows)
         state.labels("lines_left_out").set(self.decisions.failures.left_out)
 
@@ -254,7 +254,7 @@
         It is done from time to time: runs that had begun before end after it.
         """
         beliefs = self.beliefs
-        beliefs.note_routes()
+        beliefs.record_configured_routes()
         beliefs.graph.keep_routes(beliefs.knows_route)
         self.metrics.keep_routes(beliefs.knows_route)
         self.entry.answers.sender.router.keep_routes(beliefs.knows_route)
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -24,11 +24,11 @@
 from eelgrassmount.policy.levels import STEP_S
 from eelgrassmount.relay.announcements import AnnouncementListener
 from eelgrassmount.relay.frames import encode_struct
-from eelgrassmount.relay.learning import apply_vectors, count_calls
+from eelgrassmount.relay.learning import update_call_graph, update_request_counts
 from eelgrassmount.relay.reload import WATCH_PERIOD_S, SettingsWatch
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
 from eelgrassmount.relay.stopping import Stopping
-from eelgrassmount.relay.vectors import INTERVAL_S
+from eelgrassmount.relay.vectors import REQUEST_COUNT_INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.learned import PERIOD_S
 from eelgrassmount.topics.own import OwnRecord
@@ -176,15 +176,17 @@
     timers.subscribe(STEP_S, node.quotas.step)
     timers.subscribe(STEP_S, node.controllers.step)
     timers.subscribe(STEP_S, node.gate.sweep)
-    timers.subscribe(INTERVAL_S, lambda: count_calls(node.beliefs))
-    timers.subscribe(INTERVAL_S, make_learning_step(node))
+    timers.subscribe(
+        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
+    )
+    timers.subscribe(REQUEST_COUNT_INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
     timers.subscribe(SWEEP_PERIOD_S, node.gate.pool.sweep)
     timers.subscribe(SWEEP_PERIOD_S, node.inbound.expire)
     timers.subscribe(SWEEP_PERIOD_S, node.decisions.tell_left_out)
     timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
     timers.subscribe(SWEEP_PERIOD_S, node.entry.lineage.forget_answers)
-    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.fade)
+    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.decay)
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
@@ -194,7 +196,7 @@
     def step() -> None:
         graph = node.beliefs.graph
         if not graph.is_mature() or next(steps) % VECTOR_STEPS == 0:
-            apply_vectors(node.beliefs)
+            update_call_graph(node.beliefs)
 
     return step
 
--- a/eelgrassmount/policy/loads.py
+++ b/eelgrassmount/policy/loads.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from eelgrassmount.relay.measures import GateLoad
+from eelgrassmount.relay.measures import DispatcherLoad
 
 if TYPE_CHECKING:
     from eelgrassmount.relay.members import MemberLoad
@@ -19,7 +19,7 @@
 LEAST_HEALTH = 0.1
 
 
-def measure_load(loads: list[MemberLoad]) -> GateLoad:
+def measure_load(loads: list[MemberLoad]) -> DispatcherLoad:
     """Return the load of a service from that of its servers, by their slots.
 
     The slots of a server that fails more than the best one count for less: routing
@@ -34,7 +34,7 @@
     ]
     total = sum(weights)
     pairs = list(zip(loads, weights, strict=True))
-    return GateLoad(
+    return DispatcherLoad(
         sum(load.demand * load.limit for load in loads) / total,
         sum(load.wait * weight for load, weight in pairs) / total,
     )
--- a/eelgrassmount/relay/answers.py
+++ b/eelgrassmount/relay/answers.py
@@ -17,7 +17,7 @@
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.dialect import Dialect, RequestHead
-    from eelgrassmount.relay.lineage import Lineage
+    from eelgrassmount.relay.call_attribution import CallAttributor
     from eelgrassmount.relay.messages import Reply
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.sender import Flow, Sender
@@ -56,7 +56,7 @@
     metrics: RelayMetrics
     clock: Callable[[], float]
     rng: random.Random
-    lineage: Lineage
+    lineage: CallAttributor
     give_back: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
@@ -216,5 +216,5 @@
     def _respond(self, flow: Flow, status: int, head: bytes, body: bytes = b"") -> None:
         if flow.made is not None:
             # before the answer goes out, as the next call follows it at once
-            self.lineage.note_answer(flow.made, status < 300)
+            self.lineage.record_answer(flow.made, status < 300)
         flow.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/lineage.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -117,7 +117,7 @@
 
 
 @define(eq=False)
-class Lineage:
+class CallAttributor:
     """Tells which run a call belongs to, since calls of servers name none.
 
     A run makes a call when it has the answer to the one before, mostly over the same
@@ -146,20 +146,20 @@
     _lead_s: dict[str, float] = field(factory=dict)
     _longest_s: dict[str, float] = field(factory=dict)
 
-    def begin(self, job: object, call: Call, given_s: float) -> None:
+    def start_run(self, job: object, call: Call, given_s: float) -> None:
         """Note that a run starts, which is given so many seconds."""
         now_s = self.clock()
         run = self.runs[job] = Run(call, now_s, now_s + given_s)
         self._by_deadline.setdefault(_round(run.deadline_s), {})[job] = run
         self._repeated += call.origin.repeated
 
-    def end(self, job: object, well: bool = False) -> None:
+    def finish_run(self, job: object, well: bool = False) -> None:
         """Note that a run has ended, well or not."""
         run = self.runs.pop(job, None)
         if run is None:
             return
         if well:
-            self.completed.note_run(run.call.route.name, run.calls)
+            self.completed.record_run(run.call.route.name, run.calls)
         self._repeated -= run.call.origin.repeated
         deadline = _round(run.deadline_s)
         found = self._by_deadline[deadline]
@@ -167,7 +167,7 @@
         if not found:
             del self._by_deadline[deadline]
 
-    def is_lost(self, job: object) -> bool:
+    def has_lost_call(self, job: object) -> bool:
         """Tell whether a call of a run has failed, or has no answer yet."""
         run = self.runs.get(job)
         if run is None:
@@ -204,21 +204,21 @@
         if run is None and not is_own:
             run = self._find_by_deadline(route_name, deadline_s)
         if run is None and len(self.runs) > MAX_COMPARED:
-            self.completed.note_call(route_name, known=False)
+            self.completed.record_call(route_name, known=False)
             return self._note_unknown(connection, size)
         if run is None:
             run = self._find_likeliest(route_name, deadline_s)
         if run is None:
             return None
         self._note_first(run, route_name)
-        self.completed.note_call(route_name, known=True)
+        self.completed.record_call(route_name, known=True)
         run.calls[route_name] = run.calls.get(route_name, 0) + 1
         run.made += 1
         run.open_calls += 1
         run.answered_s = -math.inf
         return MadeCall(run, connection, size)
 
-    def note_answer(self, made: MadeCall, well: bool) -> None:
+    def record_answer(self, made: MadeCall, well: bool) -> None:
         """Note that a call has its answer, and whether its run ended well."""
         now_s = self.clock()
         if made.run is None:
--- a/eelgrassmount/relay/completed.py
+++ b/eelgrassmount/relay/completed.py
@@ -32,14 +32,14 @@
     _known: dict[str, float] = field(factory=dict)
     _unknown: dict[str, float] = field(factory=dict)
 
-    def note_run(self, route_name: str, calls: Mapping[str, int]) -> None:
+    def record_run(self, route_name: str, calls: Mapping[str, int]) -> None:
         """Count a run that ended well, with its calls by route."""
         self.runs[route_name] = self.runs.get(route_name, 0.0) + 1.0
         for called, count in calls.items():
             key = (route_name, called)
             self._calls[key] = self._calls.get(key, 0.0) + count
 
-    def note_call(self, called_name: str, known: bool) -> None:
+    def record_call(self, called_name: str, known: bool) -> None:
         """Count a call, whose run is known or not."""
         counts = self._known if known else self._unknown
         counts[called_name] = counts.get(called_name, 0.0) + 1.0
@@ -51,7 +51,7 @@
             for (name, called), count in self._calls.items()
         }
 
-    def fade(self) -> None:
+    def decay(self) -> None:
         """Let what was counted weigh less; it is done once a second."""
         for counts in (self.runs, self._calls, self._known, self._unknown):
             for key in list(counts):
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.inbound import Inbound
     from eelgrassmount.relay.routes import RouteTable
@@ -44,10 +44,10 @@
 class Controllers:
     """What runs at each step: levels, shares, and reports to other nodes."""
 
-    beliefs: Beliefs
+    beliefs: SharedState
     gate: Gate
     inbound: Inbound
-    update_levels: Callable[[], None]
+    update_admission: Callable[[], None]
     update_shares: Callable[[RouteTable], None]
     _steps: int = 0
     _told_step: int = 0
@@ -57,10 +57,10 @@
         """Work out the levels of all services and the shares of routes, and report."""
         self.gate.update_load()
         self._note_own_load()
-        self.update_levels()
+        self.update_admission()
         self.update_shares(self.beliefs.table)
         # a second's worth of it at once would keep the node from answering
-        self.beliefs.learner.solve_next()
+        self.beliefs.learner.continue_solving()
         self._steps += 1
         if self._steps - self._told_step >= self._find_period():
             self._told_step = self._steps
@@ -96,10 +96,10 @@
         counts = []
         if with_rows:
             busiest = nlargest(
-                MAX_ROWS, beliefs.called_before.items(), key=itemgetter(1)
+                MAX_ROWS, beliefs.request_counts.items(), key=itemgetter(1)
             )
             counts = [ttypes.RouteCount(name, count) for name, count in busiest]
-            rows = write_rows(beliefs.own_vectors)
+            rows = write_rows(beliefs.local_vectors)
         return ttypes.RelayReport(
             self._accepts(),
             self.gate.in_flight,
@@ -139,4 +139,4 @@
         routes = self.gate.measures.routes
         load.run_s = {name: one.run_s for name, one in routes.items()}
         load.reported_s = self.beliefs.clock()
-        own.sent_since = 0
+        own.sent_since_report = 0
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/entry.py
@@ -20,7 +20,7 @@
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.answers import Answering
     from eelgrassmount.relay.dialect import Dialect, RequestHead
-    from eelgrassmount.relay.lineage import Lineage, MadeCall
+    from eelgrassmount.relay.call_attribution import CallAttributor, MadeCall
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
@@ -52,7 +52,7 @@
     is_of_clients: Callable[[str], bool]
     note_called: Callable[[str], None]
     note_client: Callable[[str], None]
-    lineage: Lineage
+    lineage: CallAttributor
     is_current: Callable[[], bool]
     quotas: QuotaTaker
     table: RouteTable = field(factory=RouteTable)
--- a/eelgrassmount/relay/gate.py
+++ b/eelgrassmount/relay/gate.py
@@ -144,7 +144,7 @@
         slack_s = find_slack(
             route.objective_s,
             self.find_allowance(route),
-            self.measures.find_usual(route.name),
+            self.measures.get_usual_run_s(route.name),
         )
         due_s = now_s + slack_s * find_patience(job.call.origin)
         heapq.heappush(self._queue, (due_s, next(self._numbers), job))
@@ -241,7 +241,7 @@
             self.on_crash(ended, suspects)
         # before anything is sent to the new start, as the ends below do
         self.pool.forget()
-        self.measures.begin_anew()
+        self.measures.reset()
         for job in running:
             job.outlived = True
             # the end of one may have ended another
@@ -262,15 +262,15 @@
 
     def _note_silence(self, job: Job, now_s: float) -> None:
         """Count a run as a failure once it takes far longer than usual."""
-        patience_s = self.measures.find_patience(job.call.route)
+        patience_s = self.measures.compute_silence_timeout_s(job.call.route)
         if job.silent or now_s - job.started_s <= patience_s:
             return
         if not self.is_lost_below(job):
             job.silent = True
-            self.measures.count_outcome(True)
+            self.measures.record_outcome(True)
 
     def _integrate(self, now_s: float) -> None:
-        self.measures.note_queue(self.queued, now_s)
+        self.measures.record_queue_length(self.queued, now_s)
 
     def _find_refusal(self, call: Call, now_s: float) -> Reason | None:
         if call.service != self.server.service:
@@ -296,7 +296,7 @@
         return self.measures.mean_run_s * (ahead + 1) / self.server.compute_limit()
 
     def _allow_wait(self, call: Call) -> float:
-        run_s = self.measures.find_usual(call.route.name)
+        run_s = self.measures.get_usual_run_s(call.route.name)
         return allow_wait(call.route.objective_s, run_s, call.origin.inner)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
@@ -311,7 +311,7 @@
         left_s = limit_run(
             call.deadline_s - now_s,
             self.find_call_limit(call.route.name),
-            self.measures.find_usual(call.route.name),
+            self.measures.get_usual_run_s(call.route.name),
         )
         given_ms = max(1, int(left_s * 1000))
         job.given_s = given_ms / 1000
@@ -414,15 +414,15 @@
             return
         if reply.reason is Reason.SERVER_SHED:
             # it has slots left as far as is known, and yet runs nothing
-            self.measures.count_outcome(True)
+            self.measures.record_outcome(True)
         if reply.fate is Fate.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
         if self.quarantine.suspects and reply.fate is Fate.ANSWERED:
             self.quarantine.note_success(job.call.find_digest(), now_s)
         if lost:
-            self.measures.count_lost()
+            self.measures.record_lost_run()
         elif not (failed and job.silent):
-            self.measures.count_outcome(failed)
+            self.measures.record_outcome(failed)
         route_name = job.call.route.name
         if failed and not job.overdue:
             return
--- a/eelgrassmount/relay/asked.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -37,7 +37,7 @@
             counts.pop(name, None)
 
 
-def find_inner_routes(asked: dict[str, ServiceCounts]) -> set[str]:
+def find_internal_routes(asked: dict[str, ServiceCounts]) -> set[str]:
     """Return the routes that only running servers call.
 
     ``asked`` holds, by service, the counts on all VMs of it that are known. Clients
--- a/eelgrassmount/relay/levels.py
+++ b/eelgrassmount/relay/levels.py
@@ -12,18 +12,18 @@
 from eelgrassmount.policy.levels import STEP_S, LevelControl
 from eelgrassmount.policy.loads import measure_load
 from eelgrassmount.relay.frames import FrameKind
-from eelgrassmount.relay.measures import GateLoad
-from eelgrassmount.relay.members import REPORT_LIMIT_S
+from eelgrassmount.relay.measures import DispatcherLoad
+from eelgrassmount.relay.members import MAX_REPORT_AGE_S
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member, MemberLoad
 
 
 def tell_level_change(
-    service: str, before: float, level: float, load: GateLoad
+    service: str, before: float, level: float, load: DispatcherLoad
 ) -> None:
     """Write a line when a service becomes short, and when it no longer is."""
     if (level < 1.0) == (before < 1.0):
@@ -40,7 +40,7 @@
 class ServiceLevels:
     """Keeps the level of each service, and notes which ones can't be reached."""
 
-    beliefs: Beliefs
+    beliefs: SharedState
 
     def update(self) -> None:
         """Work out the levels of all services anew, once each `STEP_S`."""
@@ -52,10 +52,10 @@
         self, service: str, members: Collection[Member], asked: dict[str, float]
     ) -> None:
         beliefs = self.beliefs
-        oldest_s = beliefs.clock() - REPORT_LIMIT_S
-        control = beliefs.levels.setdefault(service, LevelControl())
+        oldest_s = beliefs.clock() - MAX_REPORT_AGE_S
+        control = beliefs.admission_controllers.setdefault(service, LevelControl())
         before = control.level
-        load = GateLoad()
+        load = DispatcherLoad()
         fresh = self._list_fresh(members, oldest_s)
         if fresh:
             load = measure_load(fresh)
@@ -66,7 +66,7 @@
             control.relax()
         tell_level_change(service, before, control.level, load)
         self._note_reach(service, members)
-        if beliefs.find_level(service) < 1.0:
+        if beliefs.get_admitted_fraction(service) < 1.0:
             self._ask_for_reports(members, oldest_s)
 
     def _list_fresh(
@@ -95,7 +95,8 @@
             return
         # one that is silent may only stand still
         reached = any(
-            not member.failures and member.is_accepting(now_s) for member in members
+            not member.connect_failures and member.is_accepting(now_s)
+            for member in members
         )
         if reached == (service not in beliefs.unreachable):
             return
@@ -116,10 +117,10 @@
         """
         beliefs = self.beliefs
         asked: dict[str, dict[str, float]] = {}
-        if beliefs.outlook.nodes < 2 or not beliefs.graph.is_mature():
+        if beliefs.cluster_counts.nodes < 2 or not beliefs.graph.is_mature():
             return asked
         routes = beliefs.table.routes
-        for demand, rate in beliefs.outlook.offered.items():
+        for demand, rate in beliefs.cluster_counts.offered.items():
             route = routes.get(demand.route_name)
             if route is None or beliefs.graph.is_called(demand.route_name):
                 continue
@@ -130,7 +131,9 @@
         return asked
 
     def _count_usable(self, members: Iterable[Member]) -> int:
-        return sum(1 for one in members if one.load.accepting and not one.failures)
+        return sum(
+            1 for one in members if one.load.accepting and not one.connect_failures
+        )
 
     def _ask_for_reports(self, members: Iterable[Member], oldest_s: float) -> None:
         """Ask the nodes of a short service that no longer report to this one.
--- a/eelgrassmount/relay/link.py
+++ b/eelgrassmount/relay/link.py
@@ -286,9 +286,9 @@
                 return
             self._tell_silence("lost", now_s)
             self._drop_connections()
-        if self.member.failures == 0:
+        if self.member.connect_failures == 0:
             logger.warning("node unreachable", peer=self.member.name, cause=repr(error))
-        self.member.note_unreachable(now_s)
+        self.member.mark_unreachable(now_s)
         self._fail_all()
 
     def _note_accepted(self, connection: LinkConnection) -> None:
@@ -402,7 +402,7 @@
         load = self.member.load
         load.in_flight = reply.in_flight
         load.queued = reply.queued
-        self.member.sent_since = 0
+        self.member.sent_since_report = 0
         opened = self.open_calls.pop(reply.sequence, None)
         if opened is not None:
             reason = Reason(reply.reason) if reply.reason else None
@@ -411,7 +411,7 @@
         self._close_retired()
 
     def _note_hello(self, hello: ttypes.RelayHello) -> None:
-        self.member.note_reachable()
+        self.member.mark_reachable()
         self.incarnation = hello.incarnation
         if not self.retired:
             self.events.note_hello(self.member, hello)
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -9,7 +9,7 @@
 from eelgrassmount.relay.link import PeerLink
 
 if TYPE_CHECKING:
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.link import LinkEvents
     from eelgrassmount.relay.members import Member
 
@@ -32,7 +32,7 @@
 class LinkKeeper:
     """Opens the links that are wanted, and finds those that are silent."""
 
-    beliefs: Beliefs
+    beliefs: SharedState
     events: LinkEvents
     _chosen: dict[str, ChosenLinks] = field(factory=dict)
 
@@ -47,7 +47,7 @@
             link.check_silence(now_s)
         for service in self._list_wanted():
             for member in self._choose_links(service):
-                if member.name != beliefs.name and now_s >= member.retry_s:
+                if member.name != beliefs.name and now_s >= member.retry_at_s:
                     self.open_link(member)
 
     def open_link(self, member: Member) -> None:
@@ -66,7 +66,7 @@
             }
         return {
             service
-            for name in beliefs.called_before
+            for name in beliefs.request_counts
             if name in routes
             for service in beliefs.graph.count_calls(routes[name], beliefs.table)
         }
--- a/eelgrassmount/relay/measures.py
+++ b/eelgrassmount/relay/measures.py
@@ -50,7 +50,7 @@
 
 
 @define
-class GateLoad:
+class DispatcherLoad:
     """Mean load of a gate.
 
     ``demand`` is the work that arrived as a part of what the server can do, and
@@ -74,7 +74,7 @@
     mean_run_s: float = DEFAULT_RUN_S
     failure_share: float = 0.0
     lost_share: float = 0.0
-    load: GateLoad = field(factory=GateLoad)
+    load: DispatcherLoad = field(factory=DispatcherLoad)
     routes: dict[str, RouteStats] = field(factory=dict)
     arrivals: int = 0
     _queued_area: float = 0.0
@@ -90,12 +90,12 @@
         stats.allowed_s = allowed_s
         stats.add(seconds)
 
-    def count_outcome(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """Take up whether a run failed."""
         self.failure_share += SAMPLE_WEIGHT * (failed - self.failure_share)
         self.lost_share -= SAMPLE_WEIGHT * self.lost_share
 
-    def count_lost(self) -> None:
+    def record_lost_run(self) -> None:
         """Take up a run that failed as a call of its did, which is not the server's.
 
         Taken for failures of the servers, those of the scarcest service would make the
@@ -105,17 +105,17 @@
         # until its call failed, the run was well
         self.failure_share -= LOST_WEIGHT * SAMPLE_WEIGHT * self.failure_share
 
-    def find_patience(self, route: Route) -> float:
+    def compute_silence_timeout_s(self, route: Route) -> float:
         """Return the seconds after which a run of a route is taken for silent."""
-        usual_s = self.find_usual(route.name)
+        usual_s = self.get_usual_run_s(route.name)
         return max(SILENT_SHARE * route.objective_s, SILENT_TIMES * usual_s)
 
-    def find_usual(self, route_name: str) -> float:
+    def get_usual_run_s(self, route_name: str) -> float:
         """Return the usual seconds of a run of a route."""
         stats = self.routes.get(route_name)
         return DEFAULT_RUN_S if stats is None else stats.run_s
 
-    def note_queue(self, queued: int, now_s: float) -> None:
+    def record_queue_length(self, queued: int, now_s: float) -> None:
         """Take up how many calls have waited since the last time."""
         self._queued_area += (now_s - self._area_s) * queued
         self._area_s = now_s
@@ -126,12 +126,12 @@
         demand = self.arrivals * self.mean_run_s / span_s / limit
         self.load.demand += LOAD_WEIGHT * (demand - self.load.demand)
         wait_s = self._queued_area / span_s * self.mean_run_s / limit
-        self.load.wait = wait_s / self.allow_mean_wait()
+        self.load.wait = wait_s / self.compute_max_mean_wait_s()
         self._since_s = now_s
         self.arrivals = 0
         self._queued_area = 0.0
 
-    def allow_mean_wait(self) -> float:
+    def compute_max_mean_wait_s(self) -> float:
         """Return the mean wait at which fewer requests should be admitted.
 
         It follows the least time that a call of the routes that run here may take.
@@ -146,7 +146,7 @@
         """Forget all routes but these."""
         self.routes = {name: one for name, one in self.routes.items() if name in names}
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Forget durations and failures, which describe one start of the server."""
         self.routes.clear()
         self.mean_run_s = DEFAULT_RUN_S
--- a/eelgrassmount/relay/members.py
+++ b/eelgrassmount/relay/members.py
@@ -17,7 +17,7 @@
 # nodes that are known at most
 MAX_MEMBERS = 10_000
 # a report that is older says nothing about the load of now
-REPORT_LIMIT_S = 1.5
+MAX_REPORT_AGE_S = 1.5
 
 
 @define(eq=False)
@@ -27,7 +27,7 @@
     ``run_s`` is the mean duration of the runs of each route; ``demand`` the work
     that arrives as a part of what it can do, ``wait`` the mean wait at its gate as
     a part of what is allowed. ``failure_share`` is the share of its runs that failed,
-    and ``lost_share`` that of those that failed with a call of theirs. ``called`` says
+    and ``lost_share`` that of those that failed with a call of theirs. ``request_counts`` says
     how often each route has lately been asked for on its VM, and ``vectors`` what the
     node has learned of the calls that runs of its server make.
     """
@@ -41,7 +41,7 @@
     failure_share: float = 0.0
     lost_share: float = 0.0
     run_s: dict[str, float] = field(factory=dict)
-    called: dict[str, float] = field(factory=dict)
+    request_counts: dict[str, float] = field(factory=dict)
     vectors: dict[str, dict[str, float]] = field(factory=dict)
     reported_s: float = 0.0
 
@@ -50,7 +50,7 @@
 class Member:
     """A node, the address of its link and its service.
 
-    ``sent_since`` counts the calls sent since the load was last heard.
+    ``sent_since_report`` counts the calls sent since the load was last heard.
     """
 
     name: str
@@ -59,32 +59,32 @@
     service: str
     load: MemberLoad = field(factory=MemberLoad)
     link: PeerLink | None = None
-    sent_since: int = 0
-    used_s: float = 0.0
-    failures: int = 0
-    retry_s: float = 0.0
+    sent_since_report: int = 0
+    last_used_s: float = 0.0
+    connect_failures: int = 0
+    retry_at_s: float = 0.0
 
     def is_connected(self) -> bool:
         """Tell whether calls to the node go out at once."""
         return self.link is not None and self.link.is_up()
 
-    def note_unreachable(self, now_s: float) -> None:
+    def mark_unreachable(self, now_s: float) -> None:
         """Leave the node alone for a while, longer each time."""
-        delay_s = min(RETRY_LIMIT_S, RETRY_BASE_S * 2**self.failures)
-        self.failures = min(self.failures + 1, 8)
-        self.retry_s = now_s + delay_s
+        delay_s = min(RETRY_LIMIT_S, RETRY_BASE_S * 2**self.connect_failures)
+        self.connect_failures = min(self.connect_failures + 1, 8)
+        self.retry_at_s = now_s + delay_s
 
-    def note_reachable(self) -> None:
+    def mark_reachable(self) -> None:
         """Forget that the node could not be reached."""
-        self.failures = 0
-        self.retry_s = 0.0
+        self.connect_failures = 0
+        self.retry_at_s = 0.0
 
-    def can_take(self, now_s: float) -> bool:
+    def can_receive_calls(self, now_s: float) -> bool:
         """Tell whether the node may be sent a call.
 
         One that could not be reached has to be reached by a connection first.
         """
-        if self.failures:
+        if self.connect_failures:
             return False
         if self.link is not None and self.link.is_suspect(now_s):
             return False
@@ -93,7 +93,7 @@
     def is_accepting(self, now_s: float) -> bool:
         """Tell whether the server takes work, unless the word of it is old."""
         load = self.load
-        return load.accepting or now_s - load.reported_s > REPORT_LIMIT_S
+        return load.accepting or now_s - load.reported_s > MAX_REPORT_AGE_S
 
 
 @define(eq=False)
--- a/eelgrassmount/relay/news.py
+++ b/eelgrassmount/relay/news.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.frames import FrameTaker
     from eelgrassmount.relay.gate import Job
     from eelgrassmount.relay.heartbeats import ServerIncarnation
@@ -34,7 +34,7 @@
 class News:
     """What a node takes up from other nodes."""
 
-    beliefs: Beliefs
+    beliefs: SharedState
     quarantine: Quarantine
     apply_document: Callable[[bytes], None]
     tell_all: Callable[[FrameKind, object], None]
@@ -98,8 +98,8 @@
         load.run_s = {time.route_name: time.run_ms / MS for time in report.times}
         load.reported_s = self.beliefs.clock()
         if report.counts:
-            load.called = {one.route_name: one.count for one in report.counts}
-        member.sent_since = 0
+            load.request_counts = {one.route_name: one.count for one in report.counts}
+        member.sent_since_report = 0
         if report.calls:
             load.vectors = read_rows(report.calls)
         self._note_version(member, report.config_version)
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -65,7 +65,7 @@
         candidates = connected or candidates
         self._choices += 1
         if self._choices % EXPLORE_PERIOD == 0:
-            return min(candidates, key=lambda member: member.used_s)
+            return min(candidates, key=lambda member: member.last_used_s)
         return self._find_cheapest(candidates, route)
 
     def _find_cheapest(self, candidates: list[Member], route: Route) -> Member:
@@ -87,7 +87,9 @@
                     typical_s = self._find_typical(candidates, route)
                 run_s = typical_s
             expected_s = expect_time(
-                run_s, load.in_flight + load.queued + member.sent_since, load.limit
+                run_s,
+                load.in_flight + load.queued + member.sent_since_report,
+                load.limit,
             )
             score = measure_cost(
                 expected_s, allowed_s, load.failure_share, route.objective_s
@@ -115,7 +117,7 @@
             found = [
                 member
                 for member in members
-                if member.name not in excluded and member.can_take(now_s)
+                if member.name not in excluded and member.can_receive_calls(now_s)
             ]
             if found:
                 return found
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -21,7 +21,7 @@
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.gate import Gate
-    from eelgrassmount.relay.lineage import MadeCall
+    from eelgrassmount.relay.call_attribution import MadeCall
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.routing import Router
@@ -174,8 +174,8 @@
             self._give_up(flow)
             return
         flow.tried.append(member.name)
-        member.used_s = self.clock()
-        member.sent_since += 1
+        member.last_used_s = self.clock()
+        member.sent_since_report += 1
         sending = flow.current = Sending(member)
 
         def note(reply: Reply) -> None:
--- a/eelgrassmount/relay/beliefs.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -22,19 +22,19 @@
     from eelgrassmount.relay.server import LocalServer
 
 # objective and time-out of a route that another node knows and this one doesn't
-UNKNOWN_ROUTE_S = 5.0
+UNKNOWN_ROUTE_TIMEOUT_S = 5.0
 # a route that has left the configuration is still known for so long: the time of the
 # longest request, whose run may make calls to its end
 KEEP_LEFT_S = 30.0
 
 
 @define(eq=False)
-class Beliefs:
+class SharedState:
     """The state that the parts of a node share.
 
     ``document`` is the configuration in force as it was read, which other nodes
     may ask for; ``table_since_s`` is when it came. ``levels`` holds the mean level of
-    each service, ``outlook`` the counts of as many nodes as are heard of, and
+    each service, ``cluster_counts`` the counts of as many nodes as are heard of, and
     ``client_routes`` the routes that clients were seen to use. ``unreachable`` are the
     services none of whose servers can be sent a call from here. A node that is
     ``stopping`` gets no new clients, one that is ``closing`` no calls of other nodes.
@@ -55,11 +55,11 @@
     learner: VectorLearner = field(init=False)
     completed: CompletedRuns = field(factory=CompletedRuns)
     started_s: float = field(init=False)
-    called: dict[str, int] = field(factory=dict)
-    levels: dict[str, LevelControl] = field(factory=dict)
-    called_before: dict[str, float] = field(factory=dict)
-    own_vectors: dict[str, dict[str, float]] = field(factory=dict)
-    outlook: Tally = field(factory=Tally)
+    new_requests: dict[str, int] = field(factory=dict)
+    admission_controllers: dict[str, LevelControl] = field(factory=dict)
+    request_counts: dict[str, float] = field(factory=dict)
+    local_vectors: dict[str, dict[str, float]] = field(factory=dict)
+    cluster_counts: Tally = field(factory=Tally)
     client_routes: set[str] = field(factory=set)
     unreachable: set[str] = field(factory=set)
     stopping: bool = False
@@ -79,32 +79,32 @@
         """Return the longest that the calls of a run of a route may take."""
         return self.graph.find_call_limit(route_name, self.table)
 
-    def knows_clients(self) -> bool:
+    def identifies_clients(self) -> bool:
         """Tell whether keys tell requests of clients from calls of servers."""
         return self.table.teams.is_required
 
-    def note_call(self, route_name: str) -> None:
+    def record_call(self, route_name: str) -> None:
         """Note that a request was sent from this VM."""
-        self.called[route_name] = self.called.get(route_name, 0) + 1
-        if not self.knows_clients():
-            self.learner.note_call(route_name)
+        self.new_requests[route_name] = self.new_requests.get(route_name, 0) + 1
+        if not self.identifies_clients():
+            self.learner.record_call(route_name)
 
-    def note_client(self, route_name: str) -> None:
+    def record_client_request(self, route_name: str) -> None:
         """Note that a client has sent a request from this VM, by the key of its team.
 
         It is no call of a run, and its route is one of clients from the first on.
         """
-        self.called[route_name] = self.called.get(route_name, 0) + 1
+        self.new_requests[route_name] = self.new_requests.get(route_name, 0) + 1
         self.client_routes.add(route_name)
 
-    def find_level(self, service: str) -> float:
+    def get_admitted_fraction(self, service: str) -> float:
         """Return the part of the ranks that a service admits, from 0 to 1."""
         if service in self.unreachable:
             return 0.0
-        control = self.levels.get(service)
+        control = self.admission_controllers.get(service)
         return 1.0 if control is None else control.level
 
-    def note_routes(self) -> None:
+    def record_configured_routes(self) -> None:
         """Note which routes there are now; it is done about once a second."""
         now_s = self.clock()
         self._seen_s.update(dict.fromkeys(self.table.routes, now_s))
@@ -132,8 +132,8 @@
             "/",
             idempotent,
             (Target(self.server.service, 1.0),),
-            UNKNOWN_ROUTE_S,
-            UNKNOWN_ROUTE_S,
+            UNKNOWN_ROUTE_TIMEOUT_S,
+            UNKNOWN_ROUTE_TIMEOUT_S,
             1,
             0,
         )
--- a/eelgrassmount/relay/state.py
+++ b/eelgrassmount/relay/state.py
@@ -135,7 +135,7 @@
 class NodeState:
     """All that a node believes.
 
-    ``levels`` holds the part of what is offered that is admitted, by service;
+    ``admission_controllers`` holds the part of what is offered that is admitted, by service;
     ``shares`` the same by route and rank, where it is below 1; ``vectors`` the calls
     that one run makes and ``allowances`` the seconds that one may take, by route.
     ``lost_topics`` are the topics of the log that can't be read now, and ``refused``
@@ -156,7 +156,7 @@
     refused: dict[str, int]
     teams: TeamState
     server: ServerState
-    levels: dict[str, float]
+    admission_controllers: dict[str, float]
     shares: list[ShareState]
     vectors: dict[str, dict[str, float]]
     allowances: dict[str, float]
@@ -187,7 +187,10 @@
         dict(node.refused.totals),
         _read_teams(node, now_s),
         _read_server(node, now_s),
-        {name: round(one.level, 3) for name, one in beliefs.levels.items()},
+        {
+            name: round(one.level, 3)
+            for name, one in beliefs.admission_controllers.items()
+        },
         [
             ShareState(demand.route_name, demand.rank, round(share, 3))
             for demand, share in sorted(node.admission.shares.items())
@@ -216,7 +219,7 @@
         len(readers.subscribers),
         readers.eras.current,
         readers.book.next_offset,
-        readers.beliefs.outlook.nodes,
+        readers.beliefs.cluster_counts.nodes,
         [
             ReaderState(
                 name,
--- a/eelgrassmount/relay/stopping.py
+++ b/eelgrassmount/relay/stopping.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.http1.server import HttpListener
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.inbound import Inbound
 
 # clients are sent elsewhere once two questions a second apart had no "ready"
@@ -31,7 +31,7 @@
 class Stopping:
     """Stops a node in steps, all within ``grace_s``."""
 
-    beliefs: Beliefs
+    beliefs: SharedState
     callers: HttpListener
     inbound: Inbound
     grace_s: float
--- a/eelgrassmount/relay/vectors.py
+++ b/eelgrassmount/relay/vectors.py
@@ -21,7 +21,7 @@
 
 
 # counts of calls are taken over so long
-INTERVAL_S = 0.25
+REQUEST_COUNT_INTERVAL_S = 0.25
 # what was counted fades with this factor at each solution, once a second
 FADE = 0.97
 # fewer calls a run than this are taken for coincidence
@@ -96,7 +96,7 @@
     _state: tuple[int, ...] = ()
     _since_s: float = 0.0
 
-    def begin(self, route_name: str) -> None:
+    def start_run(self, route_name: str) -> None:
         """Note that a run starts."""
         recent = self._recent.get(route_name, 0.0) + 1.0
         self._recent[route_name] = recent
@@ -110,7 +110,7 @@
             self._in_flight[place] += 1
             self._move()
 
-    def end(self, route_name: str) -> None:
+    def finish_run(self, route_name: str) -> None:
         """Note that a run has ended."""
         running = self._running[route_name] - 1
         if running:
@@ -122,7 +122,7 @@
             self._in_flight[place] -= 1
             self._move()
 
-    def note_call(self, route_name: str) -> None:
+    def record_call(self, route_name: str) -> None:
         """Note that a request was sent from this VM."""
         if not any(self._state):
             return
@@ -137,7 +137,7 @@
         """Return the calls per run, by route that runs and route that is called.
 
         Only routes in ``inner``, which clients don't use, are looked at: as many as
-        take little time, the others when `solve_next` is called before the next time.
+        take little time, the others when `continue_solving` is called before the next time.
         """
         self._inner = inner
         self._move()
@@ -179,7 +179,7 @@
             if name in self._places and count >= LEAST_CALLS
         }
 
-    def solve_next(self) -> None:
+    def continue_solving(self) -> None:
         """Look at the next called routes unless all have had their turn."""
         if self._due:
             self._move()
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.policy.quotas import QuotaBounds
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.holder import QuotaEvent
@@ -46,7 +46,7 @@
     the others.
     """
 
-    beliefs: Beliefs
+    beliefs: SharedState
     readers: LogReaders
     bounds: QuotaBounds
     open_link: Callable[[Member], None]
@@ -160,7 +160,7 @@
             return None
         if member.is_connected():
             return member
-        if self.beliefs.clock() >= member.retry_s:
+        if self.beliefs.clock() >= member.retry_at_s:
             self.open_link(member)
         return None
 
--- a/eelgrassmount/topics/learned.py
+++ b/eelgrassmount/topics/learned.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
 
 # what is kept is looked at so often
 PERIOD_S = 1.0
@@ -36,7 +36,7 @@
     among all.
     """
 
-    beliefs: Beliefs
+    beliefs: SharedState
     count_writers: Callable[[], int]
     _kept: dict[str, dict[str, float]] = field(factory=dict)
     _seen: dict[str, dict[str, float]] = field(factory=dict)
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.beliefs import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member
     from eelgrassmount.topics.follower import TopicFollower
 
@@ -67,10 +67,10 @@
 
     A node reads while it is among the readers of its failure domain as it knows them,
     while another listens to it, or when it hears from no reader. ``make_tally`` counts
-    for this node alone; the sum over all nodes is in ``beliefs.outlook``.
+    for this node alone; the sum over all nodes is in ``beliefs.cluster_counts``.
     """
 
-    beliefs: Beliefs
+    beliefs: SharedState
     nodes_topic: str
     followers: list[TopicFollower]
     open_link: Callable[[Member], None]
@@ -196,7 +196,7 @@
         member = self.beliefs.members.by_name.get(name)
         return (
             member is not None
-            and not member.failures
+            and not member.connect_failures
             and name not in self._silent_until_s
         )
 
@@ -226,7 +226,7 @@
         member = self.beliefs.members.by_name.get(name)
         if member is None or name == self.beliefs.name or member.is_connected():
             return
-        if now_s >= member.retry_s:
+        if now_s >= member.retry_at_s:
             self.open_link(member)
 
     def _ask(self, name: str, subscription: Subscription, now_s: float) -> None:
@@ -264,14 +264,16 @@
         a surge, all that is begun meanwhile may be lost.
         """
         beliefs = self.beliefs
-        learning = beliefs.called_before and not beliefs.graph.is_mature()
+        learning = beliefs.request_counts and not beliefs.graph.is_mature()
         return LEARNING_PERIOD_S if learning else PERIOD_S
 
     def _find_count_period(self) -> float:
         """Return the seconds between two exchanges of counts."""
         beliefs = self.beliefs
         known = beliefs.graph.is_mature()
-        short = any(control.level < 1.0 for control in beliefs.levels.values())
+        short = any(
+            control.level < 1.0 for control in beliefs.admission_controllers.values()
+        )
         return self._find_period() if short or not known else CALM_PERIOD_S
 
     def note_linked(self, member: Member) -> None:
@@ -432,4 +434,4 @@
                 (near if same else far).append(one.tally)
         self.sums.update(self._add_near(), far)
         found = [self.sums.total, *near]
-        self.beliefs.outlook = max(found, key=lambda tally: tally.nodes)
+        self.beliefs.cluster_counts = max(found, key=lambda tally: tally.nodes)
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -16,7 +16,7 @@
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.gate import Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
-from eelgrassmount.relay.learning import count_calls
+from eelgrassmount.relay.learning import update_request_counts
 from eelgrassmount.relay.measures import MAX_MEAN_WAIT_S
 from eelgrassmount.relay.messages import Reply
 from eelgrassmount.relay.routes import RouteTable
@@ -62,7 +62,7 @@
 
     def start(self, name: str) -> None:
         """Let a request be sent from the VM and a run of it start."""
-        self.node.beliefs.note_call(name)
+        self.node.beliefs.record_call(name)
         route = self.node.beliefs.find_route(name, True)
         call = make_call(route, now_s=self.node.gate.clock())
         self.node.gate.offer(Job(call, self.note_reply))
@@ -94,14 +94,14 @@
     both = {setup.list_name, setup.part_name}
     assert {time.route_name for time in report.times} == both
     assert {count.route_name for count in report.counts} == both
-    tight_s = setup.node.gate.measures.allow_mean_wait()
+    tight_s = setup.node.gate.measures.compute_max_mean_wait_s()
     assert tight_s < MAX_MEAN_WAIT_S
     setup.configure(2, LIST)
     setup.wait(60.0)
     report = setup.node.controllers.make_report(True)
     assert [time.route_name for time in report.times] == [setup.list_name]
     assert [count.route_name for count in report.counts] == [setup.list_name]
-    assert setup.node.gate.measures.allow_mean_wait() > tight_s
+    assert setup.node.gate.measures.compute_max_mean_wait_s() > tight_s
 
 
 def test_run_that_outlasts_its_route_is_judged_by_what_is_usual(setup):
@@ -124,10 +124,10 @@
 
 def test_counts_of_the_busiest_routes_are_told_first(setup):
     for number in range(MAX_ROWS):
-        setup.node.beliefs.note_call(f"shop/{number}/")
+        setup.node.beliefs.record_call(f"shop/{number}/")
     for _ in range(3):
-        setup.node.beliefs.note_call(setup.list_name)
-    count_calls(setup.node.beliefs)
+        setup.node.beliefs.record_call(setup.list_name)
+    update_request_counts(setup.node.beliefs)
     counts = setup.node.controllers.make_report(True).counts
     assert len(counts) == MAX_ROWS
     assert counts[0].route_name == setup.list_name
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -6,14 +6,14 @@
 
 from eelgrassmount.policy.loads import measure_load
 from eelgrassmount.relay.admission import CallGraph
-from eelgrassmount.relay.beliefs import Beliefs
+from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
     LEARNING_S,
     SETTLED_RUNS,
-    apply_vectors,
-    count_calls,
+    update_call_graph,
+    update_request_counts,
 )
 from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.links import MAX_LINKS, LinkKeeper
@@ -26,10 +26,10 @@
 from tests.relay.samples import make_route, make_table
 
 
-def make_beliefs(now: list[float]) -> Beliefs:
+def make_beliefs(now: list[float]) -> SharedState:
     server = LocalServer("desk", Address("127.0.0.1", 80))
     members = MemberTable()
-    beliefs = Beliefs(
+    beliefs = SharedState(
         "own", "i", "a:1", "near", server, members, CallGraph(), lambda: now[0], None
     )
     beliefs.table = make_table(make_route("shop/book/"), make_route("shop/part/"))
@@ -40,17 +40,17 @@
     now = [1.0]
     beliefs = make_beliefs(now)
     front = beliefs.members.put("front", "a:1", "near", "front")
-    front.load.called = {"shop/book/": 20.0}
+    front.load.request_counts = {"shop/book/": 20.0}
     for _ in range(40):
-        beliefs.note_call("shop/book/")
+        beliefs.record_call("shop/book/")
         now[0] += 0.05
-        beliefs.learner.begin("shop/book/")
-        beliefs.note_call("shop/part/")
-        beliefs.note_call("shop/part/")
+        beliefs.learner.start_run("shop/book/")
+        beliefs.record_call("shop/part/")
+        beliefs.record_call("shop/part/")
         now[0] += 0.05
-        beliefs.learner.end("shop/book/")
-        count_calls(beliefs)
-    apply_vectors(beliefs)
+        beliefs.learner.finish_run("shop/book/")
+        update_request_counts(beliefs)
+    update_call_graph(beliefs)
     calls = beliefs.graph.vectors["shop/book/"]
     assert calls["shop/part/"] == pytest.approx(2.0, abs=0.1)
     assert beliefs.graph.is_called("shop/part/")
@@ -66,9 +66,9 @@
         beliefs.members.put(f"node-{name}", "a:1", "near", name)
     links = LinkKeeper(beliefs, None)
     assert links._list_wanted() == set()
-    beliefs.note_call("shop/s3/")
+    beliefs.record_call("shop/s3/")
     beliefs.graph.put("shop/s3/", {"shop/s7/": 1.0})
-    count_calls(beliefs)
+    update_request_counts(beliefs)
     assert links._list_wanted() == {"s3", "s7"}
 
 
@@ -93,7 +93,7 @@
         self.reports.append(report)
 
 
-def make_controllers(beliefs: Beliefs, inbound: FakeInbound) -> Controllers:
+def make_controllers(beliefs: SharedState, inbound: FakeInbound) -> Controllers:
     return Controllers(
         beliefs,
         FakeGate(),
@@ -107,7 +107,7 @@
 def test_reports_to_many_callers_are_sent_less_often(callers, reports):
     inbound = FakeInbound(callers)
     beliefs = make_beliefs([1.0])
-    beliefs.own_vectors = {"shop/book/": {"shop/part/": 2.0}}
+    beliefs.local_vectors = {"shop/book/": {"shop/part/": 2.0}}
     controllers = make_controllers(beliefs, inbound)
     for _ in range(60):
         controllers.step()
@@ -127,7 +127,7 @@
         member = beliefs.members.put(name, f"{name}:1", "near", "desk")
         member.load.vectors = {"shop/book/": calls}
     beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
-    apply_vectors(beliefs)
+    update_call_graph(beliefs)
     assert beliefs.graph.vectors["shop/book/"] == {}
 
 
@@ -137,11 +137,11 @@
     inbound = FakeInbound(1)
     controllers = make_controllers(beliefs, inbound)
     member.load.vectors = {"shop/book/": {"shop/part/": 4.0}}
-    apply_vectors(beliefs)
+    update_call_graph(beliefs)
     assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 4.0}
     assert controllers.make_report(True).calls == []
     member.load.vectors = {"shop/book/": {}}
-    apply_vectors(beliefs)
+    update_call_graph(beliefs)
     assert beliefs.graph.vectors["shop/book/"] == {}
 
 
@@ -150,14 +150,14 @@
     beliefs = make_beliefs(now)
     beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
     for _ in range(40):
-        beliefs.learner.begin("shop/book/")
+        beliefs.learner.start_run("shop/book/")
         now[0] += 0.01
-        beliefs.learner.end("shop/book/")
-    apply_vectors(beliefs)
+        beliefs.learner.finish_run("shop/book/")
+    update_call_graph(beliefs)
     assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 2.0}
-    assert beliefs.own_vectors == {}
+    assert beliefs.local_vectors == {}
     now[0] += LEARNING_S
-    apply_vectors(beliefs)
+    update_call_graph(beliefs)
     assert beliefs.graph.vectors["shop/book/"] == {}
 
 
@@ -194,7 +194,7 @@
     levels = ServiceLevels(beliefs)
     for _ in range(20):
         levels.update()
-    assert beliefs.find_level("list") < 0.5
+    assert beliefs.get_admitted_fraction("list") < 0.5
     assert member.link.sent == []
     return beliefs, member, levels
 
@@ -217,7 +217,7 @@
     now[0] += 2.0
     for _ in range(40):
         levels.update()
-    assert beliefs.find_level("list") == 1.0
+    assert beliefs.get_admitted_fraction("list") == 1.0
 
 
 def test_server_that_leaves_counts_neither_for_demand_nor_for_room():
@@ -231,7 +231,7 @@
         member.load.demand = demand
     levels = ServiceLevels(beliefs)
     levels.update()
-    assert beliefs.find_level("list") < 1.0
+    assert beliefs.get_admitted_fraction("list") < 1.0
 
 
 def test_slots_of_a_failing_server_are_not_counted_on():
@@ -262,16 +262,16 @@
     beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
     members = [beliefs.members.put(name, f"{name}:1", "far", "part") for name in "ab"]
     levels = ServiceLevels(beliefs)
-    members[0].note_unreachable(now[0])
+    members[0].mark_unreachable(now[0])
     levels.update()
-    assert beliefs.find_level("part") == 1.0
+    assert beliefs.get_admitted_fraction("part") == 1.0
     members[1].load.accepting = False
     members[1].load.reported_s = now[0]
     levels.update()
-    assert beliefs.find_level("part") == 0.0
-    members[0].note_reachable()
+    assert beliefs.get_admitted_fraction("part") == 0.0
+    members[0].mark_reachable()
     levels.update()
-    assert beliefs.find_level("part") == 1.0
+    assert beliefs.get_admitted_fraction("part") == 1.0
 
 
 def test_node_without_a_configuration_calls_no_service_unreachable():
@@ -287,16 +287,19 @@
 
 def test_requests_with_keys_are_those_of_clients_from_the_first_on():
     beliefs = make_beliefs([1.0])
-    beliefs.learner.begin("shop/part/")
-    beliefs.note_client("shop/book/")
+    beliefs.learner.start_run("shop/part/")
+    beliefs.record_client_request("shop/book/")
     assert "shop/book/" in beliefs.client_routes
-    assert beliefs.called == {"shop/book/": 1}
+    assert beliefs.new_requests == {"shop/book/": 1}
     # they are taken for no calls of what runs here
     assert not beliefs.learner._calls
 
 
 def test_route_that_ran_often_and_called_nothing_is_settled():
     beliefs = make_beliefs([1.0])
-    beliefs.outlook.runs = {"shop/book/": SETTLED_RUNS, "shop/part/": SETTLED_RUNS - 1}
-    apply_vectors(beliefs)
+    beliefs.cluster_counts.runs = {
+        "shop/book/": SETTLED_RUNS,
+        "shop/part/": SETTLED_RUNS - 1,
+    }
+    update_call_graph(beliefs)
     assert beliefs.graph.settled == {"shop/book/"}
--- a/tests/relay/test_link.py
+++ b/tests/relay/test_link.py
@@ -107,9 +107,9 @@
     sent = len(setup.transport.written)
     setup.wait(PING_AFTER_S + 0.01)
     assert len(setup.transport.written) > sent
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
     setup.wait(SUSPECT_AFTER_S - PING_AFTER_S)
-    assert not setup.member.can_take(setup.now_s)
+    assert not setup.member.can_receive_calls(setup.now_s)
     assert setup.link.connects == 0
     setup.wait(SILENCE_LIMIT_S - SUSPECT_AFTER_S)
     assert setup.link.connects == 1
@@ -125,7 +125,7 @@
     assert setup.transport.closing
     assert [reply.fate for reply in setup.replies] == [Fate.MAY_HAVE_RUN] * 2
     assert not setup.link.is_up()
-    assert not setup.member.can_take(setup.now_s)
+    assert not setup.member.can_receive_calls(setup.now_s)
 
 
 def test_node_that_was_heard_meanwhile_is_not_given_up(setup):
@@ -135,7 +135,7 @@
     setup.link._note_refused(TimeoutError())
     assert not setup.transport.closing
     assert setup.replies == []
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
 
 
 def test_calls_move_to_a_second_connection_when_only_that_is_heard(setup):
@@ -151,7 +151,7 @@
     calls = read_calls(second.transport)
     assert [call.sequence for call in calls] == sequences
     assert all(call.resumed for call in calls)
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
     second.note_frame(
         FrameKind.REPLY,
         ttypes.RelayReply(sequences[0], Fate.ANSWERED, None, 200, b"", b"", 0, 0),
@@ -169,7 +169,7 @@
     setup.wait(MOVE_AFTER_S + 0.01)
     assert not setup.transport.closing
     assert read_calls(second.transport) == []
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
 
 
 def test_node_that_accepts_and_says_nothing_is_waited_for(setup):
@@ -184,9 +184,9 @@
     assert not second.transport.closing
     # it gets no new call, also once the old ones are given up
     setup.link.cancel(sequence)
-    assert not setup.member.can_take(setup.now_s)
+    assert not setup.member.can_receive_calls(setup.now_s)
     setup.call()
-    assert not setup.member.can_take(setup.now_s)
+    assert not setup.member.can_receive_calls(setup.now_s)
 
 
 def test_calls_move_at_once_when_the_first_connection_breaks(setup):
@@ -236,7 +236,7 @@
     setup.call()
     setup.wait(SUSPECT_AFTER_S + 0.01)
     setup.link.note_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
     setup.wait(SUSPECT_AFTER_S - 0.01)
     assert not setup.transport.closing
 
@@ -276,15 +276,15 @@
     setup.wait(LOOK_S)
     sent = len(setup.transport.written)
     setup.now_s += SILENCE_LIMIT_S * 2
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
     setup.wait(0.0)
-    assert setup.member.can_take(setup.now_s)
+    assert setup.member.can_receive_calls(setup.now_s)
     assert setup.link.connects == 0
     assert len(setup.transport.written) > sent
     # if nothing has come, it is silent from there on
     setup.wait(LOOK_S)
     setup.wait(LOOK_S)
-    assert not setup.member.can_take(setup.now_s)
+    assert not setup.member.can_receive_calls(setup.now_s)
     # nor does what has come over a second connection move the calls
     setup.fall_silent()
     setup.open_second().note_frame(FrameKind.HELLO, ttypes.RelayHello())
--- a/tests/relay/test_routing.py
+++ b/tests/relay/test_routing.py
@@ -34,7 +34,7 @@
         for _ in range(times):
             member = self.router.choose("list", ROUTE, ())
             self.now_s += 0.001
-            member.used_s = self.now_s
+            member.last_used_s = self.now_s
             names[member.name] += 1
         return names
 
@@ -84,7 +84,7 @@
 def test_calls_since_the_last_report_count_as_load(setup):
     first = setup.add("a", in_flight=9)
     setup.add("b", in_flight=9)
-    first.sent_since = 20
+    first.sent_since_report = 20
     assert setup.count()["b"] == 99
 
 
@@ -99,9 +99,9 @@
 def test_excluded_and_unreachable_nodes_are_left_out(setup):
     setup.add("a")
     lost = setup.add("b")
-    lost.note_unreachable(setup.now_s)
+    lost.mark_unreachable(setup.now_s)
     assert setup.router.choose("list", ROUTE, {"a"}) is None
-    lost.note_reachable()
+    lost.mark_reachable()
     assert setup.router.choose("list", ROUTE, {"a"}) is lost
 
 
--- a/tests/relay/test_vectors.py
+++ b/tests/relay/test_vectors.py
@@ -10,10 +10,10 @@
 import pytest
 
 from eelgrassmount.relay import vectors as vectors_module
-from eelgrassmount.relay.asked import (
+from eelgrassmount.relay.internal_routes import (
     COUNT_FADE,
     find_client_routes,
-    find_inner_routes,
+    find_internal_routes,
     update_counts,
 )
 from eelgrassmount.relay.tallies import ServiceCounts
@@ -41,15 +41,15 @@
 
     def add(self, route: str, per_s: float, run_s: float, calls: list[str]) -> None:
         def start() -> None:
-            self.learner.begin(route)
+            self.learner.start_run(route)
             begun_s = self.now_s
             for index, called in enumerate(calls):
                 part = (index + 0.5) / len(calls)
                 self.at(
                     begun_s + part * run_s,
-                    lambda called=called: self.learner.note_call(called),
+                    lambda called=called: self.learner.record_call(called),
                 )
-            self.at(begun_s + run_s, lambda: self.learner.end(route))
+            self.at(begun_s + run_s, lambda: self.learner.finish_run(route))
             self.at(begun_s + self.rng.expovariate(per_s), start)
 
         self.at(self.now_s + self.rng.expovariate(per_s), start)
@@ -132,7 +132,7 @@
         "rate": ServiceCounts(1, {"book": 18.0, "status": 19.0}),
         "proof": ServiceCounts(1, {"book": 22.0, "status": 18.0, "list": 0.0}),
     }
-    assert find_inner_routes(asked) == {"list"}
+    assert find_internal_routes(asked) == {"list"}
 
 
 def test_calls_of_servers_are_told_from_few_counts_on_many_vms():
@@ -146,7 +146,7 @@
         "desk": ServiceCounts(66, {"price": 220.0, "book": 95.0}),
         "proof": ServiceCounts(15, {"price": 50.0, "book": 22.0}),
     }
-    assert find_inner_routes(asked) == {"ledger"}
+    assert find_internal_routes(asked) == {"ledger"}
 
 
 def test_route_of_clients_that_is_seldom_asked_for_is_not_taken_for_inner():
@@ -154,7 +154,7 @@
         "rate": ServiceCounts(88, {"price": 300.0, "seldom": 40.0}),
         "proof": ServiceCounts(15, {"price": 50.0}),
     }
-    assert find_inner_routes(asked) == set()
+    assert find_internal_routes(asked) == set()
 
 
 def test_routes_of_clients_are_known_once_they_are_seen_everywhere():
@@ -188,7 +188,7 @@
 
 def test_nothing_is_told_from_one_service_alone():
     asked = {"desk": ServiceCounts(1, {"book": 10.0, "list": 80.0})}
-    assert find_inner_routes(asked) == set()
+    assert find_internal_routes(asked) == set()
 
 
 def test_counts_fade():
@@ -227,8 +227,8 @@
         self.learner = VectorLearner(lambda: Counted(self.now_s))
 
     def run_once(self, route: str) -> None:
-        self.learner.begin(route)
-        self.at(self.now_s + 0.05, lambda: self.learner.end(route))
+        self.learner.start_run(route)
+        self.at(self.now_s + 0.05, lambda: self.learner.finish_run(route))
 
     def count_work(self, seconds: int, inner: set[str]) -> int:
         """Return the operations of the last solution of so many, one a second."""
@@ -278,7 +278,7 @@
     for _ in range(15):
         load.run(1.0)
         vectors = load.learner.solve({"list", "part"})
-        load.learner.solve_next()
+        load.learner.continue_solving()
     assert vectors.keys() == {"book", "ledger", "status"}
     assert vectors["book"] == {"list": pytest.approx(2.0, abs=0.3)}
     assert vectors["ledger"] == {"part": pytest.approx(1.0, abs=0.2)}
@@ -292,13 +292,13 @@
     load.run(5.0)
     monkeypatch.setattr(vectors_module, "MAX_TERMS", 1)
     assert load.learner.solve(set(called))["book"].keys() == {"part-0"}
-    load.learner.solve_next()
+    load.learner.continue_solving()
     load.run(0.2)
     # the one that has waited longest is next
     assert load.learner.solve(set(called))["book"].keys() == set(called)
-    load.learner.solve_next()
-    load.learner.solve_next()
-    load.learner.solve_next()
+    load.learner.continue_solving()
+    load.learner.continue_solving()
+    load.learner.continue_solving()
 
 
 def test_few_states_are_gone_through_for_all_called_routes_at_once():
@@ -329,10 +329,10 @@
 
     def run(name: str, times: int) -> None:
         for _ in range(times):
-            learner.begin(name)
-            learner.note_call("list")
+            learner.start_run(name)
+            learner.record_call("list")
             now[0] += 0.01
-            learner.end(name)
+            learner.finish_run(name)
 
     for number in range(MAX_PLACES - 1):
         run(f"busy-{number}", 30)
@@ -361,14 +361,14 @@
 
 def test_runs_of_a_route_that_is_forgotten_end_well():
     load = Load()
-    load.learner.begin("long")
+    load.learner.start_run("long")
     load.add("book", 20.0, 0.1, [])
     for _ in range(60):
         load.run(1.0)
         load.learner.solve(set())
-    load.learner.end("long")
+    load.learner.finish_run("long")
     for _ in range(60):
         load.run(1.0)
         load.learner.solve(set())
     with pytest.raises(KeyError):
-        load.learner.end("long")
+        load.learner.finish_run("long")
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -295,7 +295,7 @@
             vm.node.readers.make_tally = make_tally
         await anyio.sleep(4.0)
         for vm in fleet.vms:
-            outlook = vm.node.beliefs.outlook
+            outlook = vm.node.beliefs.cluster_counts
             assert outlook.nodes == len(fleet.vms)
             assert outlook.offered[DEMAND] == pytest.approx(2.0 * len(fleet.vms))
 
@@ -308,7 +308,7 @@
             fleet.stop(vm)
         await anyio.sleep(2 * HEARD_S + 3.0)
         for vm in fleet.vms:
-            assert vm.node.beliefs.outlook.nodes == len(fleet.vms)
+            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -331,7 +331,7 @@
             await anyio.sleep(4 * CALM_PERIOD_S)
         assert 0.0 < sum(asked) / len(asked) < 1.5 * PERIOD_S / CALM_PERIOD_S
         for vm in fleet.vms:
-            assert vm.node.beliefs.outlook.nodes == len(fleet.vms)
+            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -354,7 +354,7 @@
     async def scenario(fleet: Fleet) -> None:
         readers = fleet.vms[0].node.readers
         assert readers._find_period() == PERIOD_S
-        readers.beliefs.called_before["shop.example/list/"] = 3.0
+        readers.beliefs.request_counts["shop.example/list/"] = 3.0
         assert readers._find_period() == LEARNING_PERIOD_S
         readers.beliefs.graph.put("shop.example/list/", {"shop.example/part/": 1.0})
         assert readers._find_period() == PERIOD_S
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -19,7 +19,7 @@
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.lineage import Lineage
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.topics.learned import LearnedCalls
@@ -57,7 +57,7 @@
 
 def ignore_lineage() -> None:
     """Know no caller of any call."""
-    Lineage.find_caller = lambda self, *asked: None
+    CallAttributor.find_caller = lambda self, *asked: None
 
 
 def share_repeats_alike() -> None:
@@ -148,7 +148,7 @@
 
 def blame_servers() -> None:
     """Take runs that failed with a call of theirs for failures of their servers."""
-    Lineage.is_lost = lambda self, job: False
+    CallAttributor.has_lost_call = lambda self, job: False
 
 
 ABLATIONS: dict[str, Callable[[], None]] = {
