--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -15,8 +15,8 @@
 from eelgrassmount.relay.admission import Admission, CallGraph
 from eelgrassmount.relay.answers import Answering
 from eelgrassmount.relay.backend import BackendPool
-from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.relay.budget import RetryBudget
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
 from eelgrassmount.relay.entry import Entry
@@ -24,7 +24,6 @@
 from eelgrassmount.relay.inbound import Inbound
 from eelgrassmount.relay.learning import make_tally
 from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.link import LinkEvents
 from eelgrassmount.relay.links import LinkKeeper
 from eelgrassmount.relay.members import MemberTable
@@ -34,6 +33,7 @@
 from eelgrassmount.relay.routing import Router
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.relay.server import LocalServer
+from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.teams.exchange import QuotaExchange, call_later
 from eelgrassmount.timers import MonotonicClock, TimerService
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -24,7 +24,6 @@
     from eelgrassmount.http1.server import HttpListener
     from eelgrassmount.platform.store import StoreClient
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.controllers import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.entry import Entry
@@ -37,6 +36,7 @@
     from eelgrassmount.relay.refused import RefusedMessages
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.settings import RelaySettings
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.teams.exchange import QuotaExchange
     from eelgrassmount.timers import TimerService
     from eelgrassmount.topics.follower import TopicFollower
--- a/eelgrassmount/relay/answers.py
+++ b/eelgrassmount/relay/answers.py
@@ -15,9 +15,9 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
+    from eelgrassmount.relay.call_attribution import CallAttributor
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.dialect import Dialect, RequestHead
-    from eelgrassmount.relay.call_attribution import CallAttributor
     from eelgrassmount.relay.messages import Reply
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.sender import Flow, Sender
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.inbound import Inbound
     from eelgrassmount.relay.routes import RouteTable
+    from eelgrassmount.relay.shared_state import SharedState
 
 # rows of the vectors that one report carries at most
 MAX_ROWS = 200
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/entry.py
@@ -19,8 +19,8 @@
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.answers import Answering
-    from eelgrassmount.relay.dialect import Dialect, RequestHead
     from eelgrassmount.relay.call_attribution import CallAttributor, MadeCall
+    from eelgrassmount.relay.dialect import Dialect, RequestHead
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
--- a/eelgrassmount/relay/levels.py
+++ b/eelgrassmount/relay/levels.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member, MemberLoad
+    from eelgrassmount.relay.shared_state import SharedState
 
 
 def tell_level_change(
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -9,9 +9,9 @@
 from eelgrassmount.relay.link import PeerLink
 
 if TYPE_CHECKING:
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.link import LinkEvents
     from eelgrassmount.relay.members import Member
+    from eelgrassmount.relay.shared_state import SharedState
 
 # links kept to the nodes of one service, those of the own failure domain first
 MAX_LINKS = 16
--- a/eelgrassmount/relay/news.py
+++ b/eelgrassmount/relay/news.py
@@ -17,11 +17,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.frames import FrameTaker
     from eelgrassmount.relay.gate import Job
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.members import Member
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.topics.readers import LogReaders
 
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -19,9 +19,9 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
+    from eelgrassmount.relay.call_attribution import MadeCall
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.gate import Gate
-    from eelgrassmount.relay.call_attribution import MadeCall
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.routing import Router
--- a/eelgrassmount/relay/state.py
+++ b/eelgrassmount/relay/state.py
@@ -135,7 +135,7 @@
 class NodeState:
     """All that a node believes.
 
-    ``admission_controllers`` holds the part of what is offered that is admitted, by service;
+    ``levels`` holds the part of what is offered that is admitted, by service;
     ``shares`` the same by route and rank, where it is below 1; ``vectors`` the calls
     that one run makes and ``allowances`` the seconds that one may take, by route.
     ``lost_topics`` are the topics of the log that can't be read now, and ``refused``
@@ -156,7 +156,7 @@
     refused: dict[str, int]
     teams: TeamState
     server: ServerState
-    admission_controllers: dict[str, float]
+    levels: dict[str, float]
     shares: list[ShareState]
     vectors: dict[str, dict[str, float]]
     allowances: dict[str, float]
--- a/eelgrassmount/relay/stopping.py
+++ b/eelgrassmount/relay/stopping.py
@@ -12,8 +12,8 @@
     from collections.abc import Callable
 
     from eelgrassmount.http1.server import HttpListener
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.shared_state import SharedState
 
 # clients are sent elsewhere once two questions a second apart had no "ready"
 CLIENTS_GONE_S = 2.6
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -19,8 +19,8 @@
     from collections.abc import Callable
 
     from eelgrassmount.policy.quotas import QuotaBounds
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.holder import QuotaEvent
     from eelgrassmount.topics.readers import LogReaders
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -27,8 +27,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.relay.members import Member
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.topics.follower import TopicFollower
 
 # a node asks its readers so often, and one that has not answered for as long is
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -6,7 +6,6 @@
 
 from eelgrassmount.policy.loads import measure_load
 from eelgrassmount.relay.admission import CallGraph
-from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
@@ -22,6 +21,7 @@
 from eelgrassmount.relay.routes import RouteTable
 from eelgrassmount.relay.rows import read_rows, write_rows
 from eelgrassmount.relay.server import LocalServer
+from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.util.addresses import Address
 from tests.relay.samples import make_route, make_table
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -17,9 +17,9 @@
 from eelgrassmount.relay import admission, budget, gate, routing, sender
 from eelgrassmount.relay.admission import Admission, CallGraph
 from eelgrassmount.relay.backend import BackendPool
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.topics.learned import LearnedCalls
