--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -1,4 +1,4 @@
-"""Which run of the server beside a node makes a call."""
+"""Attribution of the calls of the local backend server to its runs."""
 
 from __future__ import annotations
 
@@ -17,120 +17,125 @@
 
     from eelgrassmount.relay.messages import Call
 
-# a call that comes so soon over a connection goes on with the run that the last answer
-# there was for: runs make the next call at once
-CONTINUES_S = 0.0005
-# a call's deadline is that of its run where the run has less time than calls of the
-# route get: it lies before it by the rounding to milliseconds at each hop, and behind
-# it by the time that the call took to come here
-EARLIER_S = 0.0015
-LATER_S = 0.0007
-# where most lie
-USUALLY_EARLIER_S = 0.0003
-# a call with nearly the most time that calls of its route get may have it from its
-# route, so that it tells nothing of its run. The most fades by a part with each call
-OWN_LIMIT_S = 0.008
-LONGEST_FADE = 0.0001
-# with more runs in flight, those whose deadline differs are not compared: by their time
-# alone hardly one in three calls would find its run, at a cost that grows with each
-MAX_COMPARED = 24
-# a failed call whose run is not known lets a run of its server fail within this time
-LOSS_S = 1.0
-# usual time from the start of a run to its first call, before any is known, and the
-# part by which each first call moves it up or down: to the median, as means follow the
-# few runs whose calls were taken for those of others
-DEFAULT_LEAD_S = 0.01
-LEAD_STEP = 0.02
-# shortest time that runs are compared by
-MIN_AGE_S = 0.0001
-# how much less likely a run is the caller when it has made a call already (later ones
-# follow an answer at once) and while one of its calls is open: as if it were so many
-# times too old or too young
-LATER_TIMES = 20.0
-OPEN_TIMES = 7.0
-# a run that has just had an answer may go on over another connection: as likely as one
-# that is so many times too old or too young for its first call
-ANSWERED_TIMES = 2.0
-MS = 1000.0
+# longest time between an answer on a connection and the same run's next call on it
+MAX_CONTINUATION_DELAY_S = 0.0005
+# A call with the deadline of its run may state it earlier, as each hop truncates it to
+# milliseconds, or later, by the time that the call took to get here.
+MAX_EARLIER_DEADLINE_S = 0.0015
+MAX_LATER_DEADLINE_S = 0.0007
+USUAL_EARLIER_DEADLINE_S = 0.0003
+# A call whose remaining time is this close to the maximum of its route may have its
+# deadline from the timeout of the route, so that the deadline doesn't identify the run.
+# The maximum decays by a share with each call.
+ROUTE_TIMEOUT_TOLERANCE_S = 0.008
+MAX_REMAINING_DECAY = 0.0001
+# With more runs in flight, runs are not compared by age: it would find few callers, at
+# a cost that grows with each run.
+MAX_COMPARED_RUNS = 24
+# how long a failed call without a known run can explain the failure of a run
+FAILURE_MATCH_WINDOW_S = 1.0
+# time from the start of a run to its first call, and the share by which each first call
+# moves it towards the median; a mean would follow the few calls that are attributed to
+# a wrong run
+DEFAULT_FIRST_CALL_DELAY_S = 0.01
+FIRST_CALL_DELAY_STEP_SHARE = 0.02
+MIN_RUN_AGE_S = 0.0001
+# Factors by which the age of a run is taken to differ from the usual age at a call: for
+# a run that has made a call before, one with an open call, and one that has just had
+# an answer on another connection.
+LATER_CALL_PENALTY_FACTOR = 20.0
+OPEN_CALL_PENALTY_FACTOR = 7.0
+ANSWERED_RUN_PENALTY_FACTOR = 2.0
+MS_PER_S = 1000.0
 
 
 @define(eq=False)
 class Run:
-    """A run of the server, and what is known of its calls.
+    """A run of the server with the calls that are attributed to it.
 
-    ``made`` counts them and ``calls`` the same by route; ``done`` counts the runs that
-    those answered well have led to. One that failed has ``lost`` the run, as far as is
-    known.
+    ``completed_downstream_runs`` counts the runs that its successful calls led to, and
+    ``has_lost_call`` is set once a call of the run has failed.
     """
 
     call: Call
     started_s: float
     deadline_s: float
-    made: int = 0
+    call_count: int = 0
     open_calls: int = 0
-    done: int = 0
-    lost: bool = False
-    calls: dict[str, int] = field(factory=dict)
-    answered_s: float = -math.inf
+    completed_downstream_runs: int = 0
+    has_lost_call: bool = False
+    calls_by_route: dict[str, int] = field(factory=dict)
+    last_answer_s: float = -math.inf
 
 
 @define(eq=False)
-class MadeCall:
-    """A call of a server that is open, and the run that it is taken for.
+class DownstreamCall:
+    """An open call of the server and the run to which it is attributed.
 
-    There is no ``run`` where too many runs may have made it. It is ``repeated`` if its
-    run, or as many of those as are, was a repeat.
+    ``run`` is ``None`` if too many runs may have made the call; ``is_retry`` is then
+    drawn with the share of retries among the runs in flight. ``run_count`` is the
+    number of runs that the call leads to, its own included.
     """
 
     run: Run | None
     connection: object
-    size: int
-    repeated: bool = False
+    run_count: int
+    is_retry: bool = False
 
     def make_origin(self) -> Origin:
-        """Return the origin of the call, from that of its run.
+        """Return the origin of the call, derived from that of its run.
 
-        A call whose run is not known is refused last, as it may be an urgent one's.
+        A call without a known run gets the highest priority, as it may belong to an
+        urgent request.
         """
         if self.run is None:
-            return Origin(0, inner=True, repeated=self.repeated, left=self.size)
-        above = self.run.call.origin
-        left = max(self.size, above.left - self.run.done)
-        return Origin(above.priority, inner=True, repeated=above.repeated, left=left)
+            return Origin(0, inner=True, repeated=self.is_retry, left=self.run_count)
+        parent = self.run.call.origin
+        remaining = max(
+            self.run_count, parent.left - self.run.completed_downstream_runs
+        )
+        return Origin(
+            parent.priority, inner=True, repeated=parent.repeated, left=remaining
+        )
 
 
 @define
-class UnknownCalls:
-    """Calls whose run is not known: those that are open, and when others failed."""
+class UnattributedCalls:
+    """Calls whose run is unknown: the number open, and the times of failures."""
 
     open_calls: int = 0
-    failed_s: deque[float] = field(factory=deque)
+    failure_times_s: deque[float] = field(factory=deque)
 
     def claim_failure(self, now_s: float) -> bool:
-        """Let one of the latest failures stand for one failed run."""
-        while self.failed_s and now_s - self.failed_s[0] > LOSS_S:
-            self.failed_s.popleft()
-        if not self.failed_s:
+        """Use up one recent failure; return whether there was one."""
+        while (
+            self.failure_times_s
+            and now_s - self.failure_times_s[0] > FAILURE_MATCH_WINDOW_S
+        ):
+            self.failure_times_s.popleft()
+        if not self.failure_times_s:
             return False
-        self.failed_s.popleft()
+        self.failure_times_s.popleft()
         return True
 
 
 @define(eq=False)
 class CallAttributor:
-    """Tells which run a call belongs to, since calls of servers name none.
-
-    A run makes a call when it has the answer to the one before, mostly over the same
-    connection; the first one comes some time after its start, and a call has no more
-    time than its run. Where neither tells it among many runs, it is left open, and what
-    failed is counted for all of them. ``may_call`` tells whether runs of a route call
-    another, and ``count_runs`` how many runs a call of a route leads to, itself
-    included::
-
-        lineage.begin(job, call, given_s=0.69)
-        made = lineage.find_caller(connection, "shop/part/", deadline_s, 0.7)
-        origin = made.make_origin()
-        lineage.note_answer(made, well=True)
+    """Attributes the calls of the local server to its runs.
+
+    Calls of servers don't name the run that makes them. A run usually makes its next
+    call on the connection of the last answer, right after that answer. Its first call
+    follows some time after its start, and the deadline of a call is no later than that
+    of its run. Where neither identifies the run among many, the call is left
+    unattributed, and its failure can explain that of any run.
+
+    ``may_call`` returns whether runs of a route call another route, ``count_runs`` the
+    number of runs that a call of a route leads to, its own included::
+
+        attributor.start_run(job, call, time_limit_s=0.69)
+        call = attributor.find_caller(connection, "shop/part/", deadline_s, 0.7)
+        origin = call.make_origin()
+        attributor.record_answer(call, succeeded=True)
     """
 
     clock: Callable[[], float]
@@ -139,199 +144,218 @@
     rng: random.Random = field(factory=random.Random)
     completed: CompletedRuns = field(factory=CompletedRuns)
     runs: dict[object, Run] = field(factory=dict)
-    unknown: UnknownCalls = field(factory=UnknownCalls)
+    unattributed: UnattributedCalls = field(factory=UnattributedCalls)
     _by_deadline: dict[int, dict[object, Run]] = field(factory=dict)
-    _repeated: int = 0
-    _answered: dict[object, tuple[Run, float]] = field(factory=dict)
-    _lead_s: dict[str, float] = field(factory=dict)
-    _longest_s: dict[str, float] = field(factory=dict)
+    _retry_count: int = 0
+    _latest_answers: dict[object, tuple[Run, float]] = field(factory=dict)
+    _first_call_delay_s: dict[str, float] = field(factory=dict)
+    _max_remaining_s: dict[str, float] = field(factory=dict)
 
-    def start_run(self, job: object, call: Call, given_s: float) -> None:
-        """Note that a run starts, which is given so many seconds."""
+    def start_run(self, job: object, call: Call, time_limit_s: float) -> None:
+        """Record the start of a run and its time limit."""
         now_s = self.clock()
-        run = self.runs[job] = Run(call, now_s, now_s + given_s)
-        self._by_deadline.setdefault(_round(run.deadline_s), {})[job] = run
-        self._repeated += call.origin.repeated
+        run = self.runs[job] = Run(call, now_s, now_s + time_limit_s)
+        self._by_deadline.setdefault(_truncate_to_ms(run.deadline_s), {})[job] = run
+        self._retry_count += call.origin.repeated
 
-    def finish_run(self, job: object, well: bool = False) -> None:
-        """Note that a run has ended, well or not."""
+    def finish_run(self, job: object, succeeded: bool = False) -> None:
+        """Record the end of a run; count its calls if it succeeded."""
         run = self.runs.pop(job, None)
         if run is None:
             return
-        if well:
-            self.completed.record_run(run.call.route.name, run.calls)
-        self._repeated -= run.call.origin.repeated
-        deadline = _round(run.deadline_s)
+        if succeeded:
+            self.completed.record_run(run.call.route.name, run.calls_by_route)
+        self._retry_count -= run.call.origin.repeated
+        deadline = _truncate_to_ms(run.deadline_s)
         found = self._by_deadline[deadline]
         del found[job]
         if not found:
             del self._by_deadline[deadline]
 
     def has_lost_call(self, job: object) -> bool:
-        """Tell whether a call of a run has failed, or has no answer yet."""
+        """Return whether a call of a run has failed or may still be open."""
         run = self.runs.get(job)
         if run is None:
             return False
-        waits = run.open_calls > 0 or (self._makes_calls(run) and self._has_unknown())
-        return run.lost or waits
+        may_be_waiting = run.open_calls > 0 or (
+            self._makes_calls(run) and self._has_unattributed_calls()
+        )
+        return run.has_lost_call or may_be_waiting
 
     def claim_loss(self, job: object) -> bool:
-        """Tell whether a run has failed by a call that it made.
+        """Return whether a failed call explains the failure of a run.
 
-        Of the failures of calls whose run is not known, each stands for one run.
+        Each failure of an unattributed call explains one run only.
         """
         run = self.runs.get(job)
         if run is None:
             return False
-        if run.lost or run.open_calls > 0:
+        if run.has_lost_call or run.open_calls > 0:
             return True
         if not self._makes_calls(run):
             return False
-        return self.unknown.claim_failure(self.clock())
+        return self.unattributed.claim_failure(self.clock())
 
     def find_caller(
         self, connection: object, route_name: str, deadline_s: float, timeout_s: float
-    ) -> MadeCall | None:
-        """Return the run that has most likely made a call, ``None`` if none can.
+    ) -> DownstreamCall | None:
+        """Attribute a call to the run that most likely made it.
 
-        ``deadline_s`` is as the call says, and ``timeout_s`` the longest that one of
-        its route is kept waiting.
+        Return ``None`` if no run can have made the call. ``deadline_s`` is the deadline
+        that the call states, ``timeout_s`` the timeout of calls of its route.
         """
-        size = self.count_runs(route_name)
-        left_s = min(timeout_s, deadline_s - self.clock())
-        is_own = self._may_be_own(route_name, left_s)
-        run = self._find_continued(connection, deadline_s, is_own)
-        if run is None and not is_own:
+        run_count = self.count_runs(route_name)
+        remaining_s = min(timeout_s, deadline_s - self.clock())
+        may_have_route_timeout = self._may_have_route_timeout(route_name, remaining_s)
+        run = self._find_continuing_run(connection, deadline_s, may_have_route_timeout)
+        if run is None and not may_have_route_timeout:
             run = self._find_by_deadline(route_name, deadline_s)
-        if run is None and len(self.runs) > MAX_COMPARED:
-            self.completed.record_call(route_name, known=False)
-            return self._note_unknown(connection, size)
+        if run is None and len(self.runs) > MAX_COMPARED_RUNS:
+            self.completed.record_call(route_name, attributed=False)
+            return self._record_unattributed(connection, run_count)
         if run is None:
-            run = self._find_likeliest(route_name, deadline_s)
+            run = self._find_by_age(route_name, deadline_s)
         if run is None:
             return None
-        self._note_first(run, route_name)
-        self.completed.record_call(route_name, known=True)
-        run.calls[route_name] = run.calls.get(route_name, 0) + 1
-        run.made += 1
+        self._record_first_call(run, route_name)
+        self.completed.record_call(route_name, attributed=True)
+        run.calls_by_route[route_name] = run.calls_by_route.get(route_name, 0) + 1
+        run.call_count += 1
         run.open_calls += 1
-        run.answered_s = -math.inf
-        return MadeCall(run, connection, size)
+        run.last_answer_s = -math.inf
+        return DownstreamCall(run, connection, run_count)
 
-    def record_answer(self, made: MadeCall, well: bool) -> None:
-        """Note that a call has its answer, and whether its run ended well."""
+    def record_answer(self, call: DownstreamCall, succeeded: bool) -> None:
+        """Record the answer to a call, and whether the called run succeeded."""
         now_s = self.clock()
-        if made.run is None:
-            self.unknown.open_calls -= 1
-            if not well:
-                self.unknown.failed_s.append(now_s)
+        if call.run is None:
+            self.unattributed.open_calls -= 1
+            if not succeeded:
+                self.unattributed.failure_times_s.append(now_s)
             return
-        made.run.open_calls -= 1
-        if well:
-            made.run.done += made.size
+        call.run.open_calls -= 1
+        if succeeded:
+            call.run.completed_downstream_runs += call.run_count
         else:
-            made.run.lost = True
-        made.run.answered_s = now_s
-        self._answered[made.connection] = (made.run, now_s)
+            call.run.has_lost_call = True
+        call.run.last_answer_s = now_s
+        self._latest_answers[call.connection] = (call.run, now_s)
 
     def forget_answers(self) -> None:
-        """Forget answers that no call can follow any more."""
-        oldest_s = self.clock() - CONTINUES_S
-        self._answered = {
-            connection: answered
-            for connection, answered in self._answered.items()
-            if answered[1] >= oldest_s
+        """Discard answers that are too old for a continuing call."""
+        oldest_s = self.clock() - MAX_CONTINUATION_DELAY_S
+        self._latest_answers = {
+            connection: answer
+            for connection, answer in self._latest_answers.items()
+            if answer[1] >= oldest_s
         }
 
-    def _has_unknown(self) -> bool:
-        return self.unknown.open_calls > 0
+    def _has_unattributed_calls(self) -> bool:
+        return self.unattributed.open_calls > 0
 
     def _makes_calls(self, run: Run) -> bool:
         return self.count_runs(run.call.route.name) > 1
 
-    def _note_unknown(self, connection: object, size: int) -> MadeCall:
-        self.unknown.open_calls += 1
-        repeated = self.rng.random() * len(self.runs) < self._repeated
-        return MadeCall(None, connection, size, repeated)
-
-    def _may_be_own(self, route_name: str, left_s: float) -> bool:
-        """Tell whether a call's deadline may be its own, and not that of its run."""
-        longest_s = (1.0 - LONGEST_FADE) * self._longest_s.get(route_name, 0.0)
-        self._longest_s[route_name] = max(left_s, longest_s)
-        return left_s > longest_s - OWN_LIMIT_S
+    def _record_unattributed(
+        self, connection: object, run_count: int
+    ) -> DownstreamCall:
+        self.unattributed.open_calls += 1
+        is_retry = self.rng.random() * len(self.runs) < self._retry_count
+        return DownstreamCall(None, connection, run_count, is_retry)
+
+    def _may_have_route_timeout(self, route_name: str, remaining_s: float) -> bool:
+        """Return whether the route's timeout may have set the deadline of a call."""
+        max_remaining_s = (1.0 - MAX_REMAINING_DECAY) * self._max_remaining_s.get(
+            route_name, 0.0
+        )
+        self._max_remaining_s[route_name] = max(remaining_s, max_remaining_s)
+        return remaining_s > max_remaining_s - ROUTE_TIMEOUT_TOLERANCE_S
 
-    def _find_continued(
-        self, connection: object, deadline_s: float, is_own: bool
+    def _find_continuing_run(
+        self, connection: object, deadline_s: float, may_have_route_timeout: bool
     ) -> Run | None:
-        """Return the run that had an answer on a connection just now, if it can be."""
-        run, answered_s = self._answered.pop(connection, (None, -math.inf))
-        if run is None or self.clock() - answered_s > CONTINUES_S:
+        """Return the run that has just had an answer on a connection, if it fits."""
+        run, last_answer_s = self._latest_answers.pop(connection, (None, -math.inf))
+        if run is None or self.clock() - last_answer_s > MAX_CONTINUATION_DELAY_S:
             return None
-        earlier_s = run.deadline_s - deadline_s
-        if earlier_s < -LATER_S or (earlier_s > EARLIER_S and not is_own):
+        earlier_by_s = run.deadline_s - deadline_s
+        if earlier_by_s < -MAX_LATER_DEADLINE_S or (
+            earlier_by_s > MAX_EARLIER_DEADLINE_S and not may_have_route_timeout
+        ):
             return None
         return run
 
     def _find_by_deadline(self, route_name: str, deadline_s: float) -> Run | None:
-        """Return the run whose deadline a call has, one that waits for no other first.
+        """Return the run whose deadline matches that of a call.
 
-        Of several, it is the one from whose deadline the call's differs as usual.
+        Runs without open calls come first, then those whose deadline differs from that
+        of the call by the usual amount.
         """
-        first = _round(deadline_s - LATER_S)
-        last = _round(deadline_s + EARLIER_S)
+        first = _truncate_to_ms(deadline_s - MAX_LATER_DEADLINE_S)
+        last = _truncate_to_ms(deadline_s + MAX_EARLIER_DEADLINE_S)
         found = [
             run
             for deadline in range(first, last + 1)
             for run in self._by_deadline.get(deadline, {}).values()
-            if -LATER_S <= run.deadline_s - deadline_s <= EARLIER_S
+            if -MAX_LATER_DEADLINE_S
+            <= run.deadline_s - deadline_s
+            <= MAX_EARLIER_DEADLINE_S
             and self.may_call(run.call.route.name, route_name)
         ]
-        usual_s = deadline_s + USUALLY_EARLIER_S
+        usual_s = deadline_s + USUAL_EARLIER_DEADLINE_S
         return min(
             found,
             key=lambda run: (run.open_calls > 0, abs(run.deadline_s - usual_s)),
             default=None,
         )
 
-    def _find_likeliest(self, route_name: str, deadline_s: float) -> Run | None:
-        """Return the likeliest run by its time, one that waits for nothing first."""
+    def _find_by_age(self, route_name: str, deadline_s: float) -> Run | None:
+        """Return the likeliest run by its age, preferring runs without open calls."""
         possible = [
             run
             for run in self.runs.values()
-            if run.deadline_s > deadline_s - LATER_S
+            if run.deadline_s > deadline_s - MAX_LATER_DEADLINE_S
             and self.may_call(run.call.route.name, route_name)
         ]
         idle = [run for run in possible if not run.open_calls]
         now_s = self.clock()
-        lead_s = self._lead_s.get(route_name, DEFAULT_LEAD_S)
+        first_call_delay_s = self._first_call_delay_s.get(
+            route_name, DEFAULT_FIRST_CALL_DELAY_S
+        )
         return min(
             idle or possible,
-            key=lambda run: measure_distance(run, now_s, lead_s),
+            key=lambda run: measure_distance(run, now_s, first_call_delay_s),
             default=None,
         )
 
-    def _note_first(self, run: Run, route_name: str) -> None:
-        """Learn after which time runs make their first calls."""
-        if run.made:
+    def _record_first_call(self, run: Run, route_name: str) -> None:
+        """Adjust the usual time to the first call by that of this run."""
+        if run.call_count:
             return
-        lead_s = self._lead_s.get(route_name, DEFAULT_LEAD_S)
-        older = self.clock() - run.started_s > lead_s
-        lead_s *= 1.0 + LEAD_STEP if older else 1.0 - LEAD_STEP
-        self._lead_s[route_name] = lead_s
+        first_call_delay_s = self._first_call_delay_s.get(
+            route_name, DEFAULT_FIRST_CALL_DELAY_S
+        )
+        older = self.clock() - run.started_s > first_call_delay_s
+        first_call_delay_s *= (
+            1.0 + FIRST_CALL_DELAY_STEP_SHARE
+            if older
+            else 1.0 - FIRST_CALL_DELAY_STEP_SHARE
+        )
+        self._first_call_delay_s[route_name] = first_call_delay_s
 
 
-def _round(deadline_s: float) -> int:
-    return int(deadline_s * MS)
+def _truncate_to_ms(deadline_s: float) -> int:
+    return int(deadline_s * MS_PER_S)
 
 
-def measure_distance(run: Run, now_s: float, lead_s: float) -> float:
-    """Return how far a run is from one that makes a call now, 0 for the likeliest."""
-    if now_s - run.answered_s <= CONTINUES_S and not run.open_calls:
-        return math.log(ANSWERED_TIMES)
-    age_s = max(MIN_AGE_S, now_s - run.started_s)
-    distance = abs(math.log(age_s / lead_s))
-    if run.made:
-        distance += math.log(LATER_TIMES)
+def measure_distance(run: Run, now_s: float, first_call_delay_s: float) -> float:
+    """Return how unlikely a run makes a call now; the likeliest run has 0."""
+    if now_s - run.last_answer_s <= MAX_CONTINUATION_DELAY_S and not run.open_calls:
+        return math.log(ANSWERED_RUN_PENALTY_FACTOR)
+    age_s = max(MIN_RUN_AGE_S, now_s - run.started_s)
+    distance = abs(math.log(age_s / first_call_delay_s))
+    if run.call_count:
+        distance += math.log(LATER_CALL_PENALTY_FACTOR)
     if run.open_calls:
-        distance += math.log(OPEN_TIMES)
+        distance += math.log(OPEN_CALL_PENALTY_FACTOR)
     return distance
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -1,4 +1,4 @@
-"""What a node does at each step: levels, shares and reports."""
+"""Periodic steps of a node: admission, shares and reports."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.shared_state import SharedState
 
-# rows of the vectors that one report carries at most
+# rows of each kind in one report
 MAX_ROWS = 200
-# the rows go along with the reports of every so many steps
-ROWS_PERIOD = 5
-# reports that one step sends at most on average: with more callers, not every step has
-# one, as reports would else grow with the square of the nodes
-REPORTS_PER_STEP = 16
-# the same while the own server is short: those who send it nothing themselves are told
-# as well, since their requests lead to it through others
-REPORTS_PER_STEP_LOADED = 40
-# demand and wait, as parts of what is possible and allowed, from which on they are told
-LOADED_DEMAND = 0.7
-LOADED_WAIT = 0.3
-# shares and times travel as whole numbers
+# steps between two reports with rows
+ROWS_PERIOD_STEPS = 5
+# Limit on the mean number of reports per step. With more receivers, each gets reports
+# less often; their number would otherwise grow with the square of the number of nodes.
+MAX_REPORTS_PER_STEP = 16
+# The same while the local server is loaded. Reports then go to all connected nodes, as
+# requests of nodes that don't call this one may lead to it through other services.
+MAX_REPORTS_PER_STEP_LOADED = 40
+# demand (fraction of capacity) and wait (fraction of the maximum mean wait) above which
+# the local server counts as loaded
+MIN_LOADED_DEMAND = 0.7
+MIN_LOADED_WAIT = 0.3
+# units of the integers in reports
 SCALE = 1000
 PPM = 1_000_000
 MS = 1000.0
@@ -42,71 +43,71 @@
 
 @define(eq=False)
 class Controllers:
-    """What runs at each step: levels, shares, and reports to other nodes."""
+    """Runs at each step: updates admission and shares, and reports to other nodes."""
 
-    beliefs: SharedState
+    state: SharedState
     gate: Gate
     inbound: Inbound
     update_admission: Callable[[], None]
     update_shares: Callable[[RouteTable], None]
     _steps: int = 0
-    _told_step: int = 0
-    _rows_step: int = 0
+    _last_report_step: int = 0
+    _last_rows_step: int = 0
 
     def step(self) -> None:
-        """Work out the levels of all services and the shares of routes, and report."""
+        """Update the admission controllers and shares, and send reports if due."""
         self.gate.update_load()
-        self._note_own_load()
+        self._update_local_load()
         self.update_admission()
-        self.update_shares(self.beliefs.table)
-        # a second's worth of it at once would keep the node from answering
-        self.beliefs.learner.continue_solving()
+        self.update_shares(self.state.table)
+        # in parts, so as not to block the event loop
+        self.state.learner.continue_solving()
         self._steps += 1
-        if self._steps - self._told_step >= self._find_period():
-            self._told_step = self._steps
-            with_rows = self._steps - self._rows_step >= ROWS_PERIOD
+        if self._steps - self._last_report_step >= self._compute_report_period():
+            self._last_report_step = self._steps
+            with_rows = self._steps - self._last_rows_step >= ROWS_PERIOD_STEPS
             if with_rows:
-                self._rows_step = self._steps
+                self._last_rows_step = self._steps
             report = self.make_report(with_rows)
             only_active = not self._is_loaded()
             self.inbound.tell_all(FrameKind.REPORT, report, only_active=only_active)
 
-    def _find_period(self) -> int:
-        """Return the steps between two reports, more with more callers."""
+    def _compute_report_period(self) -> int:
+        """Return the number of steps between two reports."""
         if self._is_loaded():
-            told = len(self.inbound.connections)
-            return max(1, math.ceil(told / REPORTS_PER_STEP_LOADED))
+            connections = len(self.inbound.connections)
+            return max(1, math.ceil(connections / MAX_REPORTS_PER_STEP_LOADED))
         callers = self.inbound.count_active()
-        return max(1, math.ceil(callers / REPORTS_PER_STEP))
+        return max(1, math.ceil(callers / MAX_REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
         load = self.gate.measures.load
-        return load.demand > LOADED_DEMAND or load.wait > LOADED_WAIT
+        return load.demand > MIN_LOADED_DEMAND or load.wait > MIN_LOADED_WAIT
 
     def report_now(self) -> None:
-        """Tell the other nodes at once, as when the server leaves."""
-        self._note_own_load()
+        """Report to all connected nodes at once, for example when the server stops."""
+        self._update_local_load()
         report = self.make_report(False)
         self.inbound.tell_all(FrameKind.REPORT, report, only_active=False)
 
     def make_report(self, with_rows: bool) -> ttypes.RelayReport:
-        """Return what this node tells of its server."""
-        beliefs = self.beliefs
+        """Return the report on the local server."""
+        state = self.state
         rows = []
         counts = []
         if with_rows:
             busiest = nlargest(
-                MAX_ROWS, beliefs.request_counts.items(), key=itemgetter(1)
+                MAX_ROWS, state.request_counts.items(), key=itemgetter(1)
             )
             counts = [ttypes.RouteCount(name, count) for name, count in busiest]
-            rows = write_rows(beliefs.local_vectors)
+            rows = write_rows(state.local_vectors)
         return ttypes.RelayReport(
-            self._accepts(),
+            self._is_accepting(),
             self.gate.in_flight,
             self.gate.queued,
-            beliefs.server.compute_limit(),
+            state.server.compute_limit(),
             round(self.gate.measures.load.demand * SCALE),
-            beliefs.table.version,
+            state.table.version,
             [
                 ttypes.RouteTime(name, stats.run_s * MS)
                 for name, stats in self.gate.measures.routes.items()
@@ -118,25 +119,25 @@
             round(self.gate.measures.lost_share * PPM),
         )
 
-    def _accepts(self) -> bool:
-        beliefs = self.beliefs
-        refusal = beliefs.server.find_refusal(beliefs.clock())
-        return refusal is None and not beliefs.closing
+    def _is_accepting(self) -> bool:
+        state = self.state
+        refusal = state.server.find_refusal(state.clock())
+        return refusal is None and not state.closing
 
-    def _note_own_load(self) -> None:
-        own = self.beliefs.members.by_name.get(self.beliefs.name)
-        if own is None:
+    def _update_local_load(self) -> None:
+        local = self.state.members.by_name.get(self.state.name)
+        if local is None:
             return
-        load = own.load
-        load.accepting = self._accepts()
+        load = local.load
+        load.accepting = self._is_accepting()
         load.in_flight = self.gate.in_flight
         load.queued = self.gate.queued
-        load.limit = self.beliefs.server.compute_limit()
+        load.limit = self.state.server.compute_limit()
         load.demand = self.gate.measures.load.demand
         load.wait = self.gate.measures.load.wait
         load.failure_share = self.gate.measures.failure_share
         load.lost_share = self.gate.measures.lost_share
         routes = self.gate.measures.routes
         load.run_s = {name: one.run_s for name, one in routes.items()}
-        load.reported_s = self.beliefs.clock()
-        own.sent_since_report = 0
+        load.reported_s = self.state.clock()
+        local.sent_since_report = 0
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/entry.py
@@ -19,7 +19,7 @@
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.answers import Answering
-    from eelgrassmount.relay.call_attribution import CallAttributor, MadeCall
+    from eelgrassmount.relay.call_attribution import CallAttributor, DownstreamCall
     from eelgrassmount.relay.dialect import Dialect, RequestHead
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
@@ -129,7 +129,7 @@
         self.answers.begin(flow)
 
     def _find_origin(
-        self, route: Route, team: Team | None, made: MadeCall | None
+        self, route: Route, team: Team | None, made: DownstreamCall | None
     ) -> Origin:
         """Return the request that a call belongs to; without a known run, a new one."""
         if made is not None:
@@ -149,7 +149,7 @@
 
     def _find_caller(
         self, exchange: Exchange, head: RequestHead, route: Route
-    ) -> MadeCall | None:
+    ) -> DownstreamCall | None:
         """Return the run that a call belongs to, as far as it can be told."""
         remaining_ms = head.remaining_ms
         if remaining_ms is None:
--- a/eelgrassmount/relay/estimates.py
+++ b/eelgrassmount/relay/estimates.py
@@ -1,4 +1,4 @@
-"""The most likely rates of calls, and how far they can be trusted."""
+"""Maximum likelihood estimates of call rates and their standard errors."""
 
 from __future__ import annotations
 
@@ -11,29 +11,27 @@
 if TYPE_CHECKING:
     from eelgrassmount.relay.states import StateTable
 
-# steps of the first estimate; it changes little after that
-STEPS = 25
-# steps of each further one, which begins with the one before: with fewer, more routes
-# are taken for callers that aren't
-FURTHER_STEPS = 5
-# power of the correction in all steps but the last, which nears the same rates in half
-# as many steps
-RELAXATION = 1.8
-# terms that the steps of a first estimate go through, if there are so many, so that the
-# node goes on answering meanwhile
-FIRST_TERMS = 100_000
-# a rate begins with at least this part of the mean, since none comes back from zero
-LEAST_START = 0.05
-# less information than this is none
+# expectation-maximization steps of a first estimate
+FIRST_ESTIMATE_STEPS = 25
+# steps of a further estimate, which starts from the previous one
+FURTHER_ESTIMATE_STEPS = 5
+# exponent of the correction in all steps but the last: over-relaxation, which speeds up
+# convergence
+RELAXATION_EXPONENT = 1.8
+# limit on the work of a first estimate, so as not to block the event loop
+MAX_FIRST_ESTIMATE_TERMS = 100_000
+# initial rates are at least this share of the mean, as a rate of zero would never grow
+MIN_START_SHARE = 0.05
+# smaller pivots count as zero
 MIN_PIVOT = 1e-9
 
 
 @frozen
 class Sample:
-    """States with what was seen in each; ``columns`` holds them by place.
+    """States and the amount observed in each.
 
-    Sums go over whole rows and columns of floats, which is what the interpreter does
-    fastest.
+    The states are stored both by row and, in ``columns``, by place, as sums over whole
+    lists of floats are fastest.
     """
 
     states: list[tuple[int, ...]]
@@ -42,8 +40,8 @@
     amounts: list[float]
 
     @classmethod
-    def read(cls, table: StateTable, width: int) -> Sample:
-        """Return the sample that a table of full states holds."""
+    def from_table(cls, table: StateTable, width: int) -> Sample:
+        """Return the sample of a table whose states have ``width`` places."""
         states = list(table)
         columns = [list(map(float, one)) for one in zip(*states, strict=True)]
         if not states:
@@ -52,91 +50,102 @@
         return cls(states, rows, columns, list(table.values()))
 
     def sum_column(self, place: int) -> float:
-        """Return the runs in flight of one route, each times what was seen."""
+        """Return the sum over states of a route's runs in flight times the amount."""
         return sum(map(mul, self.columns[place], self.amounts))
 
-    def weigh(self, rates: list[float]) -> list[float]:
-        """Return the sum over the runs in flight of their rates, by state."""
+    def compute_state_rates(self, rates: list[float]) -> list[float]:
+        """Return the total rate of calls in each state."""
         return [sum(map(mul, rates, row)) for row in self.rows]
 
 
 def estimate_rates(
-    calls: Sample, exposures: list[float], before: list[float | None] | None = None
+    calls: Sample, exposures: list[float], previous: list[float | None] | None = None
 ) -> list[float]:
-    """Return the most likely calls a second of one run of each route.
+    """Return the most likely rate of calls, per second, of one run of each route.
 
-    ``calls`` holds how many calls were seen in each state, ``exposures`` the
-    seconds of all runs of each route together. ``before`` is an earlier estimate,
-    ``None`` for a route that it did not have.
+    ``calls`` holds the number of calls in each state, ``exposures`` the total seconds
+    of the runs of each route. ``previous`` is an earlier estimate, with ``None`` for
+    routes that it lacks.
     """
     total = sum(exposures)
     if total <= 0:
         return [0.0] * len(exposures)
     mean = sum(calls.amounts) / total
-    rates = _begin_rates(mean, exposures, before)
-    steps = _count_steps(calls, before is None)
+    rates = _init_rates(mean, exposures, previous)
+    steps = _count_steps(calls, previous is None)
     for _ in range(steps - 1):
-        factors = _correct(calls, exposures, rates)
+        factors = _compute_corrections(calls, exposures, rates)
         rates = [
-            rate * factor**RELAXATION
+            rate * factor**RELAXATION_EXPONENT
             for rate, factor in zip(rates, factors, strict=True)
         ]
-    # the last one is exact where a rate can be told from calls of its own
-    factors = _correct(calls, exposures, rates)
+    # without over-relaxation, the last step is exact for identifiable rates
+    factors = _compute_corrections(calls, exposures, rates)
     return [rate * factor for rate, factor in zip(rates, factors, strict=True)]
 
 
-def _correct(calls: Sample, exposures: list[float], rates: list[float]) -> list[float]:
-    """Return by how much each rate would have to be higher for what was seen."""
-    parts = [
-        amount / whole if whole > 0 else 0.0
-        for amount, whole in zip(calls.amounts, calls.weigh(rates), strict=True)
+def _compute_corrections(
+    calls: Sample, exposures: list[float], rates: list[float]
+) -> list[float]:
+    """Return the factors by which to multiply the rates in one step."""
+    ratios = [
+        amount / call_rate if call_rate > 0 else 0.0
+        for amount, call_rate in zip(
+            calls.amounts, calls.compute_state_rates(rates), strict=True
+        )
     ]
     return [
-        sum(map(mul, column, parts)) / exposure if exposure > 0 else 0.0
+        sum(map(mul, column, ratios)) / exposure if exposure > 0 else 0.0
         for column, exposure in zip(calls.columns, exposures, strict=True)
     ]
 
 
 def _count_steps(calls: Sample, first: bool) -> int:
     if not first:
-        return FURTHER_STEPS
+        return FURTHER_ESTIMATE_STEPS
     terms = max(1, len(calls.states) * len(calls.columns))
-    return max(FURTHER_STEPS, min(STEPS, FIRST_TERMS // terms))
+    return max(
+        FURTHER_ESTIMATE_STEPS,
+        min(FIRST_ESTIMATE_STEPS, MAX_FIRST_ESTIMATE_TERMS // terms),
+    )
 
 
-def _begin_rates(
-    mean: float, exposures: list[float], before: list[float | None] | None
+def _init_rates(
+    mean: float, exposures: list[float], previous: list[float | None] | None
 ) -> list[float]:
-    known = [None] * len(exposures) if before is None else before
+    known = [None] * len(exposures) if previous is None else previous
     return [
         0.0
         if exposure <= 0
         else mean
         if rate is None
-        else max(rate, LEAST_START * mean)
+        else max(rate, MIN_START_SHARE * mean)
         for rate, exposure in zip(known, exposures, strict=True)
     ]
 
 
-def find_errors(spans: Sample, calls: StateTable, rates: list[float]) -> list[float]:
+def compute_standard_errors(
+    spans: Sample, calls: StateTable, rates: list[float]
+) -> list[float]:
     """Return the standard errors of the rates.
 
-    They follow from the information in the states, widened where calls come more
-    unevenly than by chance, as the calls of one run do.
+    They derive from the Fisher information of the states, scaled up if calls are more
+    dispersed than independent calls would be.
     """
-    wholes = spans.weigh(rates)
+    call_rates = spans.compute_state_rates(rates)
     excess = 0.0
-    for state, span, whole in zip(spans.states, spans.amounts, wholes, strict=True):
-        if whole > 0:
-            expected = whole * span
+    for state, span, call_rate in zip(
+        spans.states, spans.amounts, call_rates, strict=True
+    ):
+        if call_rate > 0:
+            expected = call_rate * span
             excess += (calls.get(state, 0.0) - expected) ** 2 / (expected + 1.0)
-    uneven = math.sqrt(max(1.0, excess / max(1, len(wholes) - len(rates))))
-    # states without any rate tell nothing
-    divisors = [whole if whole > 0 else math.inf for whole in wholes]
+    dispersion = math.sqrt(max(1.0, excess / max(1, len(call_rates) - len(rates))))
+    # states without a positive rate carry no information
+    divisors = [call_rate if call_rate > 0 else math.inf for call_rate in call_rates]
     weights = list(map(truediv, spans.amounts, divisors))
     variances = invert_diagonal(_sum_products(spans.columns, weights))
-    return [math.sqrt(variance) * uneven for variance in variances]
+    return [math.sqrt(variance) * dispersion for variance in variances]
 
 
 def _sum_products(
@@ -154,17 +163,17 @@
 
 
 def invert_diagonal(matrix: list[list[float]]) -> list[float]:
-    """Return the diagonal of the inverse; infinite where there is none."""
+    """Return the diagonal of the inverse, infinite where a pivot is zero."""
     size = len(matrix)
     rows = [
         [*row, *(float(index == place) for place in range(size))]
         for index, row in enumerate(matrix)
     ]
-    found = [True] * size
+    invertible = [True] * size
     for column in range(size):
         pivot = rows[column][column]
         if abs(pivot) < MIN_PIVOT:
-            found[column] = False
+            invertible[column] = False
             continue
         rows[column] = [value / pivot for value in rows[column]]
         for index in range(size):
@@ -175,6 +184,6 @@
                     for value, other in zip(rows[index], rows[column], strict=True)
                 ]
     return [
-        max(0.0, rows[place][size + place]) if found[place] else math.inf
+        max(0.0, rows[place][size + place]) if invertible[place] else math.inf
         for place in range(size)
     ]
--- a/eelgrassmount/relay/internal_routes.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -1,4 +1,4 @@
-"""Which routes clients use and which only servers call, by where they are asked for."""
+"""Classification of routes as used by clients or internal (called by servers only)."""
 
 from __future__ import annotations
 
@@ -9,81 +9,81 @@
 
     from eelgrassmount.relay.tallies import ServiceCounts
 
-# counts of calls fade with this factor at each interval
-COUNT_FADE = 0.972
-# count below which a route that has left the configuration is forgotten: it decides
-# nothing, the least that does is CLIENT_SHARE of MIN_CALLS
-LEAST_COUNT = 0.01
-# calls on the VMs of a service, below which a route is not judged by being missing
-# there: with as many, one of clients is missing by chance less than once in a million
-MIN_CALLS = 15.0
-# on the VMs of some service, a route that clients use is asked for at least at
-# this part of its highest count on those of any
-CLIENT_SHARE = 0.05
+# factor by which request counts decay at each interval
+COUNT_DECAY_FACTOR = 0.972
+# count below which a route that has left the configuration is dropped
+MIN_COUNT = 0.01
+# a route counts as missing on the VMs of a service only if at least this many requests
+# are expected there
+MIN_REQUESTS = 15.0
+# on the VMs of each service, clients request a route at least at this share of its
+# highest rate on those of any service
+MIN_CLIENT_SHARE = 0.05
 
 
 def update_counts(
-    counts: dict[str, float], calls: dict[str, int], known: Collection[str] = ()
+    counts: dict[str, float], requests: dict[str, int], known: Collection[str] = ()
 ) -> None:
-    """Take up the calls of one interval into the fading counts.
+    """Add the requests of one interval to the decaying counts.
 
-    Routes that are not ``known`` are forgotten once their count has faded.
+    Routes that are not ``known`` are dropped once their count has decayed.
     """
-    for name in counts.keys() | calls.keys():
-        count = counts.get(name, 0.0) * COUNT_FADE + calls.get(name, 0)
-        if count >= LEAST_COUNT or name in known:
+    for name in counts.keys() | requests.keys():
+        count = counts.get(name, 0.0) * COUNT_DECAY_FACTOR + requests.get(name, 0)
+        if count >= MIN_COUNT or name in known:
             counts[name] = count
         else:
             counts.pop(name, None)
 
 
-def find_internal_routes(asked: dict[str, ServiceCounts]) -> set[str]:
-    """Return the routes that only running servers call.
+def find_internal_routes(request_counts: dict[str, ServiceCounts]) -> set[str]:
+    """Return the routes that only servers call.
 
-    ``asked`` holds, by service, the counts on all VMs of it that are known. Clients
-    are on all VMs, so what they use is asked for everywhere; what a server calls
-    is asked for on the VMs of its service only.
+    ``request_counts`` holds, by service, the counts of all known VMs of the service.
+    Clients are on all VMs, so the routes that they use are requested everywhere;
+    requests of a server are made on the VMs of its service only.
     """
     known = [
-        one
-        for one in asked.values()
-        if one.nodes and sum(one.counts.values()) >= MIN_CALLS
+        service
+        for service in request_counts.values()
+        if service.nodes and sum(service.counts.values()) >= MIN_REQUESTS
     ]
-    names = {name for one in known for name in one.counts}
-    return {name for name in names if _is_inner(name, known)}
+    names = {name for service in known for name in service.counts}
+    return {name for name in names if _is_internal(name, known)}
 
 
-def find_client_routes(asked: dict[str, ServiceCounts]) -> set[str]:
-    """Return the routes that clients are seen to use, as they do on all VMs.
+def find_client_routes(request_counts: dict[str, ServiceCounts]) -> set[str]:
+    """Return the routes that are requested on the VMs of all services, as by clients.
 
-    Of a route that is neither here nor among the inner ones, too little is known.
+    A route that is neither among these nor among the internal routes has too few
+    requests to be classified.
     """
-    known = [one for one in asked.values() if one.nodes]
-    names = {name for one in known for name in one.counts}
-    return {name for name in names if _is_of_clients(name, known)}
+    known = [service for service in request_counts.values() if service.nodes]
+    names = {name for service in known for name in service.counts}
+    return {name for name in names if _is_used_by_clients(name, known)}
 
 
-def _is_of_clients(name: str, known: list[ServiceCounts]) -> bool:
-    seen = _judge(name, known)
-    return len(seen) > 1 and all(seen)
+def _is_used_by_clients(name: str, known: list[ServiceCounts]) -> bool:
+    is_requested = _compare_services(name, known)
+    return len(is_requested) > 1 and all(is_requested)
 
 
-def _is_inner(name: str, known: list[ServiceCounts]) -> bool:
-    """Tell whether a route is missing on the VMs of a service, of those that are known.
+def _is_internal(name: str, known: list[ServiceCounts]) -> bool:
+    """Return whether a route is missing on the VMs of a known service.
 
-    It is if there should be many requests on them by what there are elsewhere.
+    The rate of requests on other VMs decides how many are expected there.
     """
-    return not all(_judge(name, known))
+    return not all(_compare_services(name, known))
 
 
-def _judge(name: str, known: list[ServiceCounts]) -> list[bool]:
-    """Tell of each service whether a route is asked for there as clients would.
+def _compare_services(name: str, known: list[ServiceCounts]) -> list[bool]:
+    """Return for each service whether a route is requested there as by clients.
 
-    Services are left out where too few requests of it are due to judge by.
+    Services at which too few requests are expected are left out.
     """
-    highest = max(one.counts.get(name, 0.0) / one.nodes for one in known)
+    highest = max(service.counts.get(name, 0.0) / service.nodes for service in known)
     return [
-        one.counts.get(name, 0.0) >= CLIENT_SHARE * highest * one.nodes
-        for one in known
-        if highest * one.nodes >= MIN_CALLS
+        service.counts.get(name, 0.0) >= MIN_CLIENT_SHARE * highest * service.nodes
+        for service in known
+        if highest * service.nodes >= MIN_REQUESTS
     ]
--- a/eelgrassmount/relay/learning.py
+++ b/eelgrassmount/relay/learning.py
@@ -1,4 +1,4 @@
-"""What a node counts of requests and calls, and learns from the counts of all."""
+"""Learning which calls runs make from the request counts of all nodes."""
 
 from __future__ import annotations
 
@@ -16,86 +16,86 @@
     from eelgrassmount.policy.piles import Demand
     from eelgrassmount.relay.shared_state import SharedState
 
-# for so long after its start, a node goes by what others have learned or kept, if
-# there is any: from the calls of its first second, routes seemed to call nothing
-LEARNING_S = 4.0
-# runs of all nodes together after which a route that was seen to call none makes none
-SETTLED_RUNS = 200.0
+# how long after its start a node relies on call vectors of others, if there are any:
+# its first counts would suggest that routes make no calls
+LEARNING_PERIOD_S = 4.0
+# runs of all nodes after which a route without observed calls is taken to make none
+MIN_SETTLED_RUNS = 200.0
 
 
-def update_request_counts(beliefs: SharedState) -> None:
-    """Take up how often each route was asked for in the latest interval."""
-    update_counts(beliefs.request_counts, beliefs.new_requests, beliefs.table.routes)
-    beliefs.new_requests = {}
+def update_request_counts(state: SharedState) -> None:
+    """Add the requests of the latest interval to the decaying counts."""
+    update_counts(state.request_counts, state.new_requests, state.table.routes)
+    state.new_requests = {}
 
 
-def _list_asked(beliefs: SharedState) -> dict[str, ServiceCounts]:
-    """Return how often routes were asked for, by the counts of most nodes."""
-    heard = [
-        Tally(1, asked={service: ServiceCounts(1, one.load.request_counts)})
-        for service, found in beliefs.members.by_service.items()
-        for one in found.values()
-        if one.load.request_counts
+def _collect_request_counts(state: SharedState) -> dict[str, ServiceCounts]:
+    """Return the request counts by service, from the tally of the most nodes."""
+    reported = [
+        Tally(1, requested={service: ServiceCounts(1, member.load.request_counts)})
+        for service, found in state.members.by_service.items()
+        for member in found.values()
+        if member.load.request_counts
     ]
-    direct = add_tallies([_count_asked(beliefs), *heard])
-    known = max(direct, beliefs.cluster_counts, key=lambda tally: tally.nodes)
-    return known.asked
+    direct = add_tallies([_tally_local_requests(state), *reported])
+    known = max(direct, state.cluster_counts, key=lambda tally: tally.nodes)
+    return known.requested
 
 
-def _count_asked(beliefs: SharedState) -> Tally:
-    counts = ServiceCounts(1, beliefs.request_counts)
-    return Tally(1, asked={beliefs.server.service: counts})
+def _tally_local_requests(state: SharedState) -> Tally:
+    counts = ServiceCounts(1, state.request_counts)
+    return Tally(1, requested={state.server.service: counts})
 
 
-def make_tally(beliefs: SharedState, rates: dict[Demand, float]) -> Tally:
-    """Return what this node counts, for those that add it up.
+def make_tally(state: SharedState, rates: dict[Demand, float]) -> Tally:
+    """Return the counts of this node, to be summed with those of others.
 
-    ``rates`` holds the requests a second that clients offer to it.
+    ``rates`` holds the offered load of its clients in requests per second.
     """
-    tally = add_tallies([_count_asked(beliefs)])
+    tally = add_tallies([_tally_local_requests(state)])
     tally.offered = dict(rates)
-    if beliefs.identifies_clients():
-        tally.runs = dict(beliefs.completed.runs)
-        tally.calls = beliefs.completed.list_calls()
-    elif not _is_young(beliefs):
-        tally.runs = beliefs.learner.list_runs()
-        tally.calls = beliefs.learner.list_calls()
+    if state.identifies_clients():
+        tally.runs = dict(state.completed.runs)
+        tally.calls = state.completed.list_calls()
+    elif not _is_learning(state):
+        tally.runs = state.learner.list_runs()
+        tally.calls = state.learner.list_calls()
     return tally
 
 
-def _is_young(beliefs: SharedState) -> bool:
-    """Tell whether the own runs show less than what others know."""
-    young = beliefs.clock() - beliefs.started_s < LEARNING_S
-    return young and bool(beliefs.graph.vectors)
+def _is_learning(state: SharedState) -> bool:
+    """Return whether the node has just started and can use vectors of others."""
+    has_just_started = state.clock() - state.started_s < LEARNING_PERIOD_S
+    return has_just_started and bool(state.graph.vectors)
 
 
-def update_call_graph(beliefs: SharedState) -> None:
-    """Work out the calls of routes anew and put them into the graph."""
-    asked = _list_asked(beliefs)
-    beliefs.client_routes |= find_client_routes(asked)
-    beliefs.client_routes &= beliefs.table.routes.keys()
-    outlook = beliefs.cluster_counts
-    beliefs.graph.settled |= {
-        name for name, runs in outlook.runs.items() if runs >= SETTLED_RUNS
+def update_call_graph(state: SharedState) -> None:
+    """Update the call graph with the latest estimates of calls per run."""
+    request_counts = _collect_request_counts(state)
+    state.client_routes |= find_client_routes(request_counts)
+    state.client_routes &= state.table.routes.keys()
+    cluster_counts = state.cluster_counts
+    state.graph.settled |= {
+        name for name, runs in cluster_counts.runs.items() if runs >= MIN_SETTLED_RUNS
     }
-    merged = pool_vectors(outlook.runs, outlook.calls)
-    if not beliefs.identifies_clients():
-        merged.update(_learn_from_states(beliefs, find_internal_routes(asked)))
+    merged = pool_vectors(cluster_counts.runs, cluster_counts.calls)
+    if not state.identifies_clients():
+        merged.update(_learn_from_states(state, find_internal_routes(request_counts)))
     for name, calls in merged.items():
-        if name in beliefs.table.routes and (calls or name in beliefs.graph.vectors):
-            beliefs.graph.put(name, calls)
+        if name in state.table.routes and (calls or name in state.graph.vectors):
+            state.graph.put(name, calls)
 
 
 def _learn_from_states(
-    beliefs: SharedState, inner_routes: set[str]
+    state: SharedState, internal_routes: set[str]
 ) -> dict[str, dict[str, float]]:
-    """Return the calls of routes by what is in flight when a call is made.
+    """Return call vectors estimated from the runs in flight when calls are made.
 
-    Where requests of clients can't be told from calls, the runs that make calls are
-    told neither before some calls are known.
+    They are needed where no keys distinguish requests of clients from calls, since
+    calls can't be attributed to runs there before some call vectors are known.
     """
-    vectors = beliefs.learner.solve(inner_routes)
-    beliefs.local_vectors = {} if _is_young(beliefs) else vectors
-    learned = [beliefs.local_vectors]
-    learned += [one.load.vectors for one in beliefs.members.by_name.values()]
+    vectors = state.learner.solve(internal_routes)
+    state.local_vectors = {} if _is_learning(state) else vectors
+    learned = [state.local_vectors]
+    learned += [member.load.vectors for member in state.members.by_name.values()]
     return merge_vectors(learned)
--- a/eelgrassmount/relay/members.py
+++ b/eelgrassmount/relay/members.py
@@ -1,4 +1,4 @@
-"""The nodes of a deployment and what is known of their load."""
+"""Table of the nodes of a deployment and their reported load."""
 
 from __future__ import annotations
 
@@ -11,25 +11,24 @@
 
     from eelgrassmount.relay.link import PeerLink
 
-# a node that can't be reached is tried again after so long, doubled each time
+# delay before an unreachable node is tried again: it doubles each time up to a limit
 RETRY_BASE_S = 0.25
 RETRY_LIMIT_S = 3.0
-# nodes that are known at most
 MAX_MEMBERS = 10_000
-# a report that is older says nothing about the load of now
+# an older report says nothing about the current load
 MAX_REPORT_AGE_S = 1.5
 
 
 @define(eq=False)
 class MemberLoad:
-    """What a node reported of its backend server.
-
-    ``run_s`` is the mean duration of the runs of each route; ``demand`` the work
-    that arrives as a part of what it can do, ``wait`` the mean wait at its gate as
-    a part of what is allowed. ``failure_share`` is the share of its runs that failed,
-    and ``lost_share`` that of those that failed with a call of theirs. ``request_counts`` says
-    how often each route has lately been asked for on its VM, and ``vectors`` what the
-    node has learned of the calls that runs of its server make.
+    """Load of a backend server as reported by its node.
+
+    ``run_s`` is the mean duration of the runs of each route. ``demand`` is the arriving
+    work as a fraction of capacity, ``wait`` the mean wait at the dispatcher as a
+    fraction of the maximum mean wait. ``failure_share`` is the share of runs that
+    failed, ``lost_share`` that of runs that failed because a call of theirs failed.
+    ``request_counts`` counts the recent requests on the VM by route, and ``vectors``
+    are the calls per run that the node has estimated.
     """
 
     accepting: bool = True
@@ -48,9 +47,9 @@
 
 @define(eq=False)
 class Member:
-    """A node, the address of its link and its service.
+    """A node: its link address, service, load and the state of its link.
 
-    ``sent_since_report`` counts the calls sent since the load was last heard.
+    ``sent_since_report`` counts the calls sent since the last report of its load.
     """
 
     name: str
@@ -65,24 +64,24 @@
     retry_at_s: float = 0.0
 
     def is_connected(self) -> bool:
-        """Tell whether calls to the node go out at once."""
+        """Return whether the link to the node is up."""
         return self.link is not None and self.link.is_up()
 
     def mark_unreachable(self, now_s: float) -> None:
-        """Leave the node alone for a while, longer each time."""
+        """Delay the next connection attempt, with exponential backoff."""
         delay_s = min(RETRY_LIMIT_S, RETRY_BASE_S * 2**self.connect_failures)
         self.connect_failures = min(self.connect_failures + 1, 8)
         self.retry_at_s = now_s + delay_s
 
     def mark_reachable(self) -> None:
-        """Forget that the node could not be reached."""
+        """Reset the backoff after a successful connection."""
         self.connect_failures = 0
         self.retry_at_s = 0.0
 
     def can_receive_calls(self, now_s: float) -> bool:
-        """Tell whether the node may be sent a call.
+        """Return whether calls may be sent to the node.
 
-        One that could not be reached has to be reached by a connection first.
+        An unreachable node gets no calls until a connection to it succeeds.
         """
         if self.connect_failures:
             return False
@@ -91,7 +90,7 @@
         return self.is_accepting(now_s)
 
     def is_accepting(self, now_s: float) -> bool:
-        """Tell whether the server takes work, unless the word of it is old."""
+        """Return whether the server accepts work, or its last report is too old."""
         load = self.load
         return load.accepting or now_s - load.reported_s > MAX_REPORT_AGE_S
 
@@ -100,8 +99,8 @@
 class MemberTable:
     """All known nodes, by name and by service.
 
-    ``changes`` counts how often a node was added, replaced or forgotten; ``retired``
-    holds the links of such nodes that still have calls.
+    ``changes`` counts additions, replacements and removals of nodes; ``retired`` holds
+    the links of removed nodes until their calls have finished.
     """
 
     changes: int = 0
@@ -114,7 +113,7 @@
     ) -> Member | None:
         """Add or replace a node; return it if it is new or has changed.
 
-        No more than `MAX_MEMBERS` are kept, see `is_full`.
+        The table holds at most `MAX_MEMBERS` nodes, see `is_full`.
         """
         if self.is_full(name):
             return None
@@ -130,11 +129,11 @@
         return member
 
     def is_full(self, name: str) -> bool:
-        """Tell whether there is no room for a node that is not known yet."""
+        """Return whether a node is unknown and the table has no room for it."""
         return name not in self.by_name and len(self.by_name) >= MAX_MEMBERS
 
     def remove(self, name: str) -> Member | None:
-        """Forget a node."""
+        """Remove a node and retire its link."""
         member = self.by_name.pop(name, None)
         if member is None:
             return None
@@ -147,7 +146,7 @@
         return member
 
     def list_retired(self) -> list[PeerLink]:
-        """Return the links of forgotten nodes that still have calls."""
+        """Return the links of removed nodes that are not closed yet."""
         self.retired = [link for link in self.retired if not link.closed]
         return self.retired
 
--- a/eelgrassmount/relay/rows.py
+++ b/eelgrassmount/relay/rows.py
@@ -1,4 +1,4 @@
-"""Vectors as the rows that reports and records carry."""
+"""Encoding of call vectors as the rows of reports and records."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def write_rows(vectors: dict[str, dict[str, float]]) -> list[ttypes.RouteCalls]:
-    """Return vectors as rows; a route that calls nothing has a row without a name.
+    """Return call vectors as rows; a route that calls nothing has a row with no name.
 
-    Only what a node has learned itself is told: what it heard of others would go
-    round among the nodes long after those have learned better.
+    A node must pass its local vectors only: vectors received from other nodes would
+    circulate after those nodes have corrected them.
     """
     rows = []
     for run_route, calls in vectors.items():
@@ -21,7 +21,7 @@
 
 
 def read_rows(rows: list[ttypes.RouteCalls]) -> dict[str, dict[str, float]]:
-    """Return the vectors that rows stand for."""
+    """Return the call vectors in rows."""
     vectors: dict[str, dict[str, float]] = {}
     for row in rows:
         calls = vectors.setdefault(row.run_route, {})
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.policy.repeats import is_in_vain
 from eelgrassmount.relay.gate import Job
-from eelgrassmount.relay.measures import SILENT_SHARE, SILENT_TIMES
+from eelgrassmount.relay.measures import SILENCE_OBJECTIVE_SHARE, SILENCE_RUN_FACTOR
 from eelgrassmount.relay.messages import Call, Fate, Reply
 from eelgrassmount.verdict import Reason
 
@@ -19,7 +19,7 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.call_attribution import MadeCall
+    from eelgrassmount.relay.call_attribution import DownstreamCall
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.members import Member
@@ -72,7 +72,7 @@
 
     exchange: Exchange
     call: Call
-    made: MadeCall | None = None
+    made: DownstreamCall | None = None
     team: Team | None = None
     timer: asyncio.TimerHandle | None = None
     current: Sending | None = None
@@ -125,7 +125,7 @@
         """Send a request to a server, and again where that is allowed."""
         call = flow.call
         if call.route.idempotent:
-            self._wake(flow, SILENT_SHARE * call.route.objective_s)
+            self._wake(flow, SILENCE_OBJECTIVE_SHARE * call.route.objective_s)
         else:
             self._wake(flow, math.inf)
         self._send(flow)
@@ -147,7 +147,7 @@
         call = flow.call
         usual_s = self.router.find_usual(call.service, call.route)
         waited_s = self.clock() - call.arrived_s
-        missing_s = SILENT_TIMES * usual_s - waited_s
+        missing_s = SILENCE_RUN_FACTOR * usual_s - waited_s
         if missing_s > 0.0:
             self._wake(flow, missing_s)
             return
--- a/eelgrassmount/relay/shared_state.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -1,4 +1,4 @@
-"""What a node believes, shared by its parts."""
+"""State that the components of a node share."""
 
 from __future__ import annotations
 
@@ -21,23 +21,24 @@
     from eelgrassmount.relay.members import MemberTable
     from eelgrassmount.relay.server import LocalServer
 
-# objective and time-out of a route that another node knows and this one doesn't
+# objective and timeout of a route that only another node has in its configuration
 UNKNOWN_ROUTE_TIMEOUT_S = 5.0
-# a route that has left the configuration is still known for so long: the time of the
-# longest request, whose run may make calls to its end
-KEEP_LEFT_S = 30.0
+# a removed route stays known until its runs, which may still make calls, have ended
+REMOVED_ROUTE_RETENTION_S = 30.0
 
 
 @define(eq=False)
 class SharedState:
-    """The state that the parts of a node share.
-
-    ``document`` is the configuration in force as it was read, which other nodes
-    may ask for; ``table_since_s`` is when it came. ``levels`` holds the mean level of
-    each service, ``cluster_counts`` the counts of as many nodes as are heard of, and
-    ``client_routes`` the routes that clients were seen to use. ``unreachable`` are the
-    services none of whose servers can be sent a call from here. A node that is
-    ``stopping`` gets no new clients, one that is ``closing`` no calls of other nodes.
+    """State that the components of a node share.
+
+    ``document`` is the current configuration as received, which other nodes may
+    request; ``table_since_s`` is the time of its arrival. ``new_requests`` counts the
+    requests of the current interval by route, and ``request_counts`` is their decaying
+    sum. ``admission_controllers`` are kept by service, ``cluster_counts`` is the tally
+    that covers the most nodes, and ``client_routes`` are the routes that clients use.
+    ``unreachable`` holds the services to none of whose servers this node can send a
+    call. A ``stopping`` node accepts no new clients, a ``closing`` one no calls of
+    other nodes.
     """
 
     name: str
@@ -64,65 +65,70 @@
     unreachable: set[str] = field(factory=set)
     stopping: bool = False
     closing: bool = False
-    _seen_s: dict[str, float] = field(factory=dict)
+    _last_configured_s: dict[str, float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Begin to learn."""
+        """Record the start time and create the learner."""
         self.started_s = self.clock()
         self.learner = VectorLearner(self.clock)
 
     def find_allowance(self, route: Route) -> float:
-        """Return the seconds that a call of a route may take."""
+        """Return the time limit in seconds for a call of a route."""
         return self.graph.find_allowance(route, self.table)
 
     def find_call_limit(self, route_name: str) -> float:
-        """Return the longest that the calls of a run of a route may take."""
+        """Return the longest time in seconds that calls of a route's run may take."""
         return self.graph.find_call_limit(route_name, self.table)
 
     def identifies_clients(self) -> bool:
-        """Tell whether keys tell requests of clients from calls of servers."""
+        """Return whether team keys distinguish requests of clients from calls."""
         return self.table.teams.is_required
 
     def record_call(self, route_name: str) -> None:
-        """Note that a request was sent from this VM."""
+        """Record that a request was sent from this VM."""
         self.new_requests[route_name] = self.new_requests.get(route_name, 0) + 1
         if not self.identifies_clients():
             self.learner.record_call(route_name)
 
     def record_client_request(self, route_name: str) -> None:
-        """Note that a client has sent a request from this VM, by the key of its team.
+        """Record a request of a client on this VM, identified by its team key.
 
-        It is no call of a run, and its route is one of clients from the first on.
+        The learner ignores the request, as no run has made it, and its route counts as
+        used by clients at once.
         """
         self.new_requests[route_name] = self.new_requests.get(route_name, 0) + 1
         self.client_routes.add(route_name)
 
     def get_admitted_fraction(self, service: str) -> float:
-        """Return the part of the ranks that a service admits, from 0 to 1."""
+        """Return the admitted fraction of a service, from 0 to 1."""
         if service in self.unreachable:
             return 0.0
         control = self.admission_controllers.get(service)
         return 1.0 if control is None else control.level
 
     def record_configured_routes(self) -> None:
-        """Note which routes there are now; it is done about once a second."""
+        """Record when the configured routes were last seen; called once a second."""
         now_s = self.clock()
-        self._seen_s.update(dict.fromkeys(self.table.routes, now_s))
-        oldest_s = now_s - KEEP_LEFT_S
-        self._seen_s = {
-            name: seen_s for name, seen_s in self._seen_s.items() if seen_s > oldest_s
+        self._last_configured_s.update(dict.fromkeys(self.table.routes, now_s))
+        oldest_s = now_s - REMOVED_ROUTE_RETENTION_S
+        self._last_configured_s = {
+            name: configured_s
+            for name, configured_s in self._last_configured_s.items()
+            if configured_s > oldest_s
         }
 
     def knows_route(self, name: str) -> bool:
-        """Tell whether a route is in the configuration, or was lately.
+        """Return whether a route is in the configuration, or was until recently.
 
-        Without a configuration, none is known to have left.
+        Without a configuration, every route counts as known.
         """
         table = self.table
-        return not table.version or name in table.routes or name in self._seen_s
+        return (
+            not table.version or name in table.routes or name in self._last_configured_s
+        )
 
     def find_route(self, name: str, idempotent: bool) -> Route:
-        """Return a route by name, also one that only another node knows yet."""
+        """Return a route by name, with defaults if only another node has it."""
         route = self.table.routes.get(name)
         if route is not None:
             return route
@@ -139,7 +145,7 @@
         )
 
     def make_hello(self) -> ttypes.RelayHello:
-        """Return what a node says of itself at the start of a link."""
+        """Return the message that introduces this node on a new link."""
         return ttypes.RelayHello(
             self.name,
             self.incarnation,
--- a/eelgrassmount/relay/states.py
+++ b/eelgrassmount/relay/states.py
@@ -1,4 +1,4 @@
-"""Tables of what was seen in each state, which is the numbers of runs in flight."""
+"""Tables of amounts by state, where a state is the runs in flight of each route."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 StateTable: TypeAlias = "dict[tuple[int, ...], float]"
 
 
-def round_count(count: int) -> int:
-    """Return a number of runs in classes that grow with it."""
+def bucket_count(count: int) -> int:
+    """Round a number of runs down to a bucket; buckets get wider as it grows."""
     if count < 8:
         return count
     if count < 32:
@@ -19,13 +19,13 @@
     return count - count % 16
 
 
-def fade_table(table: StateTable, factor: float) -> StateTable:
-    """Return a table with less of everything."""
+def decay_table(table: StateTable, factor: float) -> StateTable:
+    """Return a table with all amounts multiplied by a factor."""
     return {state: amount * factor for state, amount in table.items()}
 
 
 def trim_table(table: StateTable, limit: int) -> StateTable:
-    """Return a table with the most frequent states."""
+    """Return a table with the states of the largest amounts only."""
     if len(table) <= limit:
         return table
     ranked = sorted(table, key=table.__getitem__)
@@ -35,8 +35,8 @@
 def reshape_table(table: StateTable, places: Sequence[int]) -> StateTable:
     """Return a table whose states have the given places, in this order.
 
-    A state from when there were fewer has nothing in flight at the others. What was
-    seen while nothing ran that is told apart says nothing.
+    Places that a state lacks count as zero runs in flight. States without any run in
+    flight are dropped, as they carry no information.
     """
     found: StateTable = {}
     width = 1 + max(places, default=-1)
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -1,8 +1,7 @@
-"""What nodes count of requests, runs and calls, added up over many nodes.
+"""Counts of requests, runs and calls, summed over many nodes.
 
-On a large fleet, each node has so few requests of a route that its own counts say
-little: nodes that judged by their own last second would admit too much in a surge, and
-learn too late what a request leads to.
+On a large deployment a single node has too few requests of a route to react to a surge
+or to learn the calls per run in time.
 """
 
 from __future__ import annotations
@@ -19,13 +18,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# rows of one kind that a message carries at most, the largest ones
+# rows of each kind in a message; the largest counts come first
 MAX_ROWS = 200
 
 
 @define
 class ServiceCounts:
-    """How often routes were asked for on the VMs of one service, on all together."""
+    """Request counts by route, summed over the VMs of one service."""
 
     nodes: int = 0
     counts: dict[str, float] = field(factory=dict)
@@ -33,17 +32,16 @@
 
 @define
 class Tally:
-    """Counts of some nodes.
+    """Counts of one or more nodes.
 
-    ``offered`` holds the requests a second that clients make, and ``asked`` how often
-    routes were asked for, by the service of the VM. Of the runs of servers, ``runs``
-    counts those of each route and ``calls`` what they have called, by run route and
-    called route.
+    ``offered`` holds the offered load of clients in requests per second, and
+    ``requested`` the request counts by the service of the VM. ``runs`` counts the runs
+    of each route, and ``calls`` the calls that they made by (run route, called route).
     """
 
     nodes: int = 0
     offered: dict[Demand, float] = field(factory=dict)
-    asked: dict[str, ServiceCounts] = field(factory=dict)
+    requested: dict[str, ServiceCounts] = field(factory=dict)
     runs: dict[str, float] = field(factory=dict)
     calls: dict[tuple[str, str], float] = field(factory=dict)
 
@@ -53,20 +51,20 @@
         _add_counts(self.offered, other.offered)
         _add_counts(self.runs, other.runs)
         _add_counts(self.calls, other.calls)
-        for service, found in other.asked.items():
-            known = self.asked.setdefault(service, ServiceCounts())
+        for service, found in other.requested.items():
+            known = self.requested.setdefault(service, ServiceCounts())
             known.nodes += found.nodes
             _add_counts(known.counts, found.counts)
 
-    def scale(self, times: float) -> None:
-        """Let the rates and counts stand for so many times as many nodes."""
-        self.nodes = round(self.nodes * times)
+    def scale(self, factor: float) -> None:
+        """Extrapolate the rates and counts to ``factor`` times as many nodes."""
+        self.nodes = round(self.nodes * factor)
         tables = (self.offered, self.runs, self.calls)
-        for table in (*tables, *(one.counts for one in self.asked.values())):
+        for table in (*tables, *(one.counts for one in self.requested.values())):
             for key in table:
-                table[key] *= times
-        for one in self.asked.values():
-            one.nodes = round(one.nodes * times)
+                table[key] *= factor
+        for one in self.requested.values():
+            one.nodes = round(one.nodes * factor)
 
 
 def _add_counts(known: dict, counts: dict) -> None:
@@ -83,7 +81,7 @@
 
 
 def write_tally(tally: Tally) -> ttypes.RelayTally:
-    """Return a tally as it travels."""
+    """Return the wire form of a tally."""
     return ttypes.RelayTally(
         tally.nodes,
         [
@@ -92,7 +90,7 @@
         ],
         [
             ttypes.ServiceCounts(service, one.nodes, _write_counts(one.counts))
-            for service, one in tally.asked.items()
+            for service, one in tally.requested.items()
         ],
         _write_counts(tally.runs),
         [
@@ -113,7 +111,7 @@
 
 
 def read_tally(struct: ttypes.RelayTally) -> Tally:
-    """Return the tally that another node has sent."""
+    """Return the tally in a message of another node."""
     return Tally(
         struct.nodes,
         {Demand(row.route_name, row.rank): row.rate for row in struct.offered},
--- a/eelgrassmount/relay/vectors.py
+++ b/eelgrassmount/relay/vectors.py
@@ -1,4 +1,4 @@
-"""How many calls of which route one run of a route makes."""
+"""Estimation of call vectors: calls per run of a route, by called route."""
 
 from __future__ import annotations
 
@@ -7,12 +7,16 @@
 
 from attrs import define, field
 
-from eelgrassmount.relay.estimates import Sample, estimate_rates, find_errors
+from eelgrassmount.relay.estimates import (
+    Sample,
+    compute_standard_errors,
+    estimate_rates,
+)
 from eelgrassmount.relay.states import (
     StateTable,
-    fade_table,
+    bucket_count,
+    decay_table,
     reshape_table,
-    round_count,
     trim_table,
 )
 
@@ -20,98 +24,95 @@
     from collections.abc import Callable
 
 
-# counts of calls are taken over so long
+# interval over which requests are counted
 REQUEST_COUNT_INTERVAL_S = 0.25
-# what was counted fades with this factor at each solution, once a second
-FADE = 0.97
-# fewer calls a run than this are taken for coincidence
+# factor by which counts decay at each solution, once a second
+DECAY_FACTOR = 0.97
+# fewer calls per run count as coincidence
 MIN_CALLS_PER_RUN = 0.3
-# fewer than this are not even possible callers
-MIN_POSSIBLE = 0.1
-# multiple of its standard error that a rate has to reach
+# routes with fewer calls per run are no candidates for the caller
+MIN_CANDIDATE_CALLS_PER_RUN = 0.1
+# multiple of its standard error that a rate must reach
 MIN_SIGNIFICANCE = 4.0
-# runs that a route must have had before its vector is believed
+# runs that a route must have had before its vector is used
 MIN_RUNS = 20.0
-# routes that are told apart: a solution takes time with their square, and a server runs
-# few
-MAX_PLACES = 16
-# fading runs with which a route is told apart from then on, and below which no longer:
-# a route with a third of MIN_RUNS may still make calls that others would be blamed for
-ENTER_RUNS = 4.0
-LEAVE_RUNS = 2.0
-# of more routes, one has to have so many times the runs of another to take its place
-DISPLACING_TIMES = 2.0
-# states that are told apart, the most frequent ones: more of them make calls per run
-# more exact, and take time
+# routes with a place in the states; the time of a solution grows with their square
+MAX_TRACKED_ROUTES = 16
+# Decaying runs from which on a route is tracked, and below which it no longer is. Calls
+# of untracked routes may be attributed to tracked ones, so a route is tracked well
+# before MIN_RUNS.
+MIN_RUNS_TO_TRACK = 4.0
+MIN_RUNS_TO_STAY_TRACKED = 2.0
+# factor by which the runs of a route must exceed those of a tracked one to replace it
+DISPLACEMENT_FACTOR = 2.0
+# states in a table, the most frequent ones; more are more exact, but take more time
 MAX_STATES = 1000
-# called routes are looked at until so many terms were gone through; the next have their
-# turn after the node has answered others
-MAX_TERMS = 4000
-# fading runs or calls that are as good as none
-FORGET_COUNT = 0.5
-# called routes whose calls are kept by state
-MAX_CALLED = 16
-# calls that are told to others, at least so many: fewer were hardly taken for those of
-# the run
-LEAST_CALLS = 0.1
-# calls of all nodes' runs together from which on a route is taken for their caller: the
-# count is then four times its own error
-SURE_CALLS = 16.0
+# limit on the work of one step, so as not to block the event loop; the remaining called
+# routes are estimated in later steps
+MAX_TERMS_PER_STEP = 4000
+# decaying counts below this are dropped
+MIN_COUNT = 0.5
+# called routes with a table of calls by state
+MAX_CALLED_ROUTES = 16
+# smallest count of calls that is reported to other nodes
+MIN_REPORTED_CALLS = 0.1
+# calls in the counts of all nodes from which on a route counts as their caller
+MIN_POOLED_CALLS = 16.0
 
 
 @define(eq=False)
 class VectorLearner:
-    """Learns the calls per run from what is in flight when a call is made.
-
-    The node beside a server sees its runs and the calls that leave its VM, but
-    not which run makes which call. A call can only come from a run in flight, so
-    that for each route that is called, the rate of calls is a sum over the routes
-    that run, each with its number of runs in flight times a rate of its own. The
-    most likely rates are found by expectation and maximization over the states,
-    which are the numbers of runs in flight::
-
-        learner.begin("book")
-        learner.note_call("list")
-        learner.note_call("list")
-        learner.end("book")
-
-    Only routes that run often enough have a place in the states. A route that ran
-    a few times can't be judged, and its calls are too few to be blamed on others.
+    """Estimates calls per run from the runs in flight when calls are made.
+
+    The node sees the runs of its server and the calls that leave the VM, but not which
+    run makes which call. As only runs in flight make calls, the rate of calls to a
+    route is the sum over the tracked routes of their runs in flight times an unknown
+    rate per run. A state is the number of runs in flight of each tracked route; the
+    most likely rates are found by expectation maximization over the states::
+
+        learner.start_run("book")
+        learner.record_call("list")
+        learner.record_call("list")
+        learner.finish_run("book")
+
+    Only routes with enough runs are tracked, that is, have a place in the states.
+    Others are too rare to be estimated, and make too few calls to distort the estimates
+    of the tracked routes.
     """
 
     clock: Callable[[], float]
-    _recent: dict[str, float] = field(factory=dict)
+    _recent_runs: dict[str, float] = field(factory=dict)
     _running: dict[str, int] = field(factory=dict)
     _places: dict[str, int] = field(factory=dict)
     _in_flight: list[int] = field(factory=list)
-    _begun: list[float] = field(factory=list)
-    _spans: StateTable = field(factory=dict)
+    _run_counts: list[float] = field(factory=list)
+    _durations: StateTable = field(factory=dict)
     _calls: dict[str, StateTable] = field(factory=dict)
     _rates: dict[str, dict[str, float]] = field(factory=dict)
-    _counts: dict[str, dict[str, float]] = field(factory=dict)
-    _found: dict[str, dict[str, float]] = field(factory=dict)
-    _inner: set[str] = field(factory=set)
-    _due: list[str] = field(factory=list)
-    _shape: list[str] = field(factory=list)
+    _call_counts: dict[str, dict[str, float]] = field(factory=dict)
+    _callers: dict[str, dict[str, float]] = field(factory=dict)
+    _internal_routes: set[str] = field(factory=set)
+    _pending: list[str] = field(factory=list)
+    _table_routes: list[str] = field(factory=list)
     _state: tuple[int, ...] = ()
-    _since_s: float = 0.0
+    _state_since_s: float = 0.0
 
     def start_run(self, route_name: str) -> None:
-        """Note that a run starts."""
-        recent = self._recent.get(route_name, 0.0) + 1.0
-        self._recent[route_name] = recent
-        room = len(self._places) < MAX_PLACES
-        if recent >= ENTER_RUNS and room and route_name not in self._places:
-            self._add(route_name)
+        """Record the start of a run."""
+        recent = self._recent_runs.get(route_name, 0.0) + 1.0
+        self._recent_runs[route_name] = recent
+        has_room = len(self._places) < MAX_TRACKED_ROUTES
+        if recent >= MIN_RUNS_TO_TRACK and has_room and route_name not in self._places:
+            self._track_route(route_name)
         self._running[route_name] = self._running.get(route_name, 0) + 1
         place = self._places.get(route_name)
         if place is not None:
-            self._begun[place] += 1.0
+            self._run_counts[place] += 1.0
             self._in_flight[place] += 1
-            self._move()
+            self._update_state()
 
     def finish_run(self, route_name: str) -> None:
-        """Note that a run has ended."""
+        """Record the end of a run."""
         running = self._running[route_name] - 1
         if running:
             self._running[route_name] = running
@@ -120,222 +121,241 @@
         place = self._places.get(route_name)
         if place is not None:
             self._in_flight[place] -= 1
-            self._move()
+            self._update_state()
 
     def record_call(self, route_name: str) -> None:
-        """Note that a request was sent from this VM."""
+        """Record a request that was sent from this VM."""
         if not any(self._state):
             return
         states = self._calls.get(route_name)
         if states is None:
-            if len(self._calls) >= MAX_CALLED and route_name not in self._inner:
+            if (
+                len(self._calls) >= MAX_CALLED_ROUTES
+                and route_name not in self._internal_routes
+            ):
                 return
             states = self._calls[route_name] = {}
         states[self._state] = states.get(self._state, 0.0) + 1.0
 
-    def solve(self, inner: set[str]) -> dict[str, dict[str, float]]:
-        """Return the calls per run, by route that runs and route that is called.
+    def solve(self, internal_routes: set[str]) -> dict[str, dict[str, float]]:
+        """Return the calls per run, by run route and called route.
 
-        Only routes in ``inner``, which clients don't use, are looked at: as many as
-        take little time, the others when `continue_solving` is called before the next time.
+        Only calls to ``internal_routes`` are estimated. Work beyond the limit of a step
+        is left to `continue_solving`, and its results to the next solution.
         """
-        self._inner = inner
-        self._move()
-        self._choose_places()
-        self._choose_called()
-        called = inner & self._calls.keys()
-        self._found = {name: one for name, one in self._found.items() if name in called}
-        # those that have waited longest are last
-        self._due = [
-            *reversed(self._found),
-            *sorted(called - self._found.keys(), reverse=True),
+        self._internal_routes = internal_routes
+        self._update_state()
+        self._select_tracked_routes()
+        self._select_called_routes()
+        called = internal_routes & self._calls.keys()
+        self._callers = {
+            name: callers for name, callers in self._callers.items() if name in called
+        }
+        # the last is estimated first: it has waited longest
+        self._pending = [
+            *reversed(self._callers),
+            *sorted(called - self._callers.keys(), reverse=True),
         ]
-        spans = self._read_spans()
-        self._look_at_next(spans)
+        durations = self._read_durations()
+        self._estimate_pending(durations)
         vectors: dict[str, dict[str, float]] = {
             name: {}
             for name, place in self._places.items()
-            if self._begun[place] >= MIN_RUNS and spans.sum_column(place) > 0
+            if self._run_counts[place] >= MIN_RUNS and durations.sum_column(place) > 0
         }
-        for called, callers in self._found.items():
+        for called, callers in self._callers.items():
             for name in callers.keys() & vectors.keys():
                 vectors[name][called] = callers[name]
-        self._fade()
+        self._decay()
         return vectors
 
     def list_runs(self) -> dict[str, float]:
-        """Return the fading number of runs of each route that is told apart."""
-        return {name: self._begun[place] for name, place in self._places.items()}
+        """Return the decaying number of runs of each tracked route."""
+        return {name: self._run_counts[place] for name, place in self._places.items()}
 
     def list_calls(self) -> dict[tuple[str, str], float]:
-        """Return how many calls of each route the runs of each have made together.
+        """Return the estimated number of calls by run route and called route.
 
-        A few runs show little alone, and those of many nodes together what all do.
+        These are summed over nodes, as few runs on one node are not significant.
         """
         return {
             (name, called): count
-            for called, counts in self._counts.items()
+            for called, counts in self._call_counts.items()
             for name, count in counts.items()
-            if name in self._places and count >= LEAST_CALLS
+            if name in self._places and count >= MIN_REPORTED_CALLS
         }
 
     def continue_solving(self) -> None:
-        """Look at the next called routes unless all have had their turn."""
-        if self._due:
-            self._move()
-            self._look_at_next(self._read_spans())
+        """Estimate the callers of pending called routes, if there are any."""
+        if self._pending:
+            self._update_state()
+            self._estimate_pending(self._read_durations())
 
-    def _look_at_next(self, spans: Sample) -> None:
+    def _estimate_pending(self, durations: Sample) -> None:
         terms = 0
-        while self._due and terms < MAX_TERMS:
-            called = self._due.pop()
+        while self._pending and terms < MAX_TERMS_PER_STEP:
+            called = self._pending.pop()
             table = self._read_table(self._calls[called])
-            # the latest goes to the end
-            self._found.pop(called, None)
-            self._found[called] = self._find_callers(called, table, spans)
-            terms += (len(spans.states) + len(table)) * len(self._places)
+            # move the route to the end, as the latest
+            self._callers.pop(called, None)
+            self._callers[called] = self._find_callers(called, table, durations)
+            terms += (len(durations.states) + len(table)) * len(self._places)
 
-    def _read_spans(self) -> Sample:
-        return Sample.read(self._read_table(self._spans), len(self._places))
+    def _read_durations(self) -> Sample:
+        return Sample.from_table(self._read_table(self._durations), len(self._places))
 
     def _read_table(self, table: StateTable) -> StateTable:
-        """Return a table with all places, also those since the last solution."""
-        if list(self._places) != self._shape:
+        """Return a table with all places, including those added since the last one."""
+        if list(self._places) != self._table_routes:
             table = reshape_table(table, range(len(self._places)))
         return trim_table(table, MAX_STATES)
 
     def _find_callers(
-        self, called: str, table: StateTable, spans: Sample
+        self, called: str, table: StateTable, durations: Sample
     ) -> dict[str, float]:
-        """Return how many calls of a route one run of each route makes."""
+        """Return the calls to a route that one run of each calling route makes."""
         places = self._places
-        exposures = [spans.sum_column(place) for place in places.values()]
+        exposures = [durations.sum_column(place) for place in places.values()]
         known = self._rates.get(called)
-        before = None if known is None else [known.get(name) for name in places]
-        rates = estimate_rates(Sample.read(table, len(places)), exposures, before)
+        previous = None if known is None else [known.get(name) for name in places]
+        rates = estimate_rates(
+            Sample.from_table(table, len(places)), exposures, previous
+        )
         self._rates[called] = dict(zip(places, rates, strict=True))
-        self._counts[called] = {
+        self._call_counts[called] = {
             name: rates[place] * exposures[place] for name, place in places.items()
         }
-        errors = find_errors(spans, table, rates)
-        found = {}
+        errors = compute_standard_errors(durations, table, rates)
+        candidates = {}
         for name, place in places.items():
-            per_run = rates[place] * exposures[place] / max(self._begun[place], 1.0)
-            if per_run >= MIN_POSSIBLE and self._begun[place] >= MIN_RUNS:
-                found[name] = per_run
-        sure = {
+            per_run = (
+                rates[place] * exposures[place] / max(self._run_counts[place], 1.0)
+            )
+            if (
+                per_run >= MIN_CANDIDATE_CALLS_PER_RUN
+                and self._run_counts[place] >= MIN_RUNS
+            ):
+                candidates[name] = per_run
+        significant = {
             name: per_run
-            for name, per_run in found.items()
+            for name, per_run in candidates.items()
             if per_run >= MIN_CALLS_PER_RUN
             and rates[places[name]] >= MIN_SIGNIFICANCE * errors[places[name]]
         }
-        # while nothing is sure, each route may be the one that calls: to take
-        # a route for a caller costs less than to admit what can't be finished
-        return sure or found
+        # While no rate is significant, all candidates count as callers: a wrong caller
+        # costs less than admitting requests that can't be completed.
+        return significant or candidates
 
-    def _add(self, route_name: str) -> None:
+    def _track_route(self, route_name: str) -> None:
         running = self._running.get(route_name, 0)
         self._places[route_name] = len(self._places)
         self._in_flight.append(running)
-        # half of the calls of those that run already have been made on the mean
-        self._begun.append(running / 2)
+        # on average, runs in flight have made half of their calls
+        self._run_counts.append(running / 2)
 
-    def _move(self) -> None:
+    def _update_state(self) -> None:
         now_s = self.clock()
         state = self._state
         if any(state):
-            self._spans[state] = self._spans.get(state, 0.0) + now_s - self._since_s
-        self._since_s = now_s
-        self._state = tuple(map(round_count, self._in_flight))
-
-    def _choose_places(self) -> None:
-        """Tell the busiest routes apart, and give all states the same places."""
-        before = list(self._places)
-        chosen = self._find_busiest()
-        kept = [name for name in before if name in chosen]
+            self._durations[state] = (
+                self._durations.get(state, 0.0) + now_s - self._state_since_s
+            )
+        self._state_since_s = now_s
+        self._state = tuple(map(bucket_count, self._in_flight))
+
+    def _select_tracked_routes(self) -> None:
+        """Track the busiest routes, and give all states their places."""
+        previous = list(self._places)
+        selected = self._find_busiest()
+        kept = [name for name in previous if name in selected]
         places = [self._places[name] for name in kept]
         self._in_flight = [self._in_flight[place] for place in places]
-        self._begun = [self._begun[place] for place in places]
+        self._run_counts = [self._run_counts[place] for place in places]
         self._places = {name: place for place, name in enumerate(kept)}
-        for name in sorted(chosen - self._places.keys()):
-            # no state has had it
-            places.append(len(before) + len(places))
-            self._add(name)
-        if list(self._places) != self._shape:
+        for name in sorted(selected - self._places.keys()):
+            # an index beyond those in use: no state has runs of this route
+            places.append(len(previous) + len(places))
+            self._track_route(name)
+        if list(self._places) != self._table_routes:
             self._reshape(places)
-        self._state = tuple(map(round_count, self._in_flight))
+        self._state = tuple(map(bucket_count, self._in_flight))
 
     def _find_busiest(self) -> set[str]:
-        """Return the routes to be told apart from now on."""
+        """Return the routes to be tracked from now on."""
         weights = {}
-        for name, runs in self._recent.items():
+        for name, runs in self._recent_runs.items():
             if name in self._places:
-                if runs >= LEAVE_RUNS or name in self._running:
-                    weights[name] = runs * DISPLACING_TIMES
-            elif runs >= ENTER_RUNS:
+                if runs >= MIN_RUNS_TO_STAY_TRACKED or name in self._running:
+                    weights[name] = runs * DISPLACEMENT_FACTOR
+            elif runs >= MIN_RUNS_TO_TRACK:
                 weights[name] = runs
-        return set(sorted(weights, key=weights.__getitem__)[-MAX_PLACES:])
+        return set(sorted(weights, key=weights.__getitem__)[-MAX_TRACKED_ROUTES:])
 
     def _reshape(self, places: list[int]) -> None:
-        """Bring the states from the places that they had to the present ones."""
-        self._shape = list(self._places)
-        self._spans = reshape_table(self._spans, places)
+        """Convert the tables from their previous places to the current ones."""
+        self._table_routes = list(self._places)
+        self._durations = reshape_table(self._durations, places)
         self._calls = {
             called: reshape_table(table, places)
             for called, table in self._calls.items()
         }
 
-    def _choose_called(self) -> None:
-        """Keep the tables of the routes that are called most, with few states each."""
+    def _select_called_routes(self) -> None:
+        """Keep and trim the tables of the most called routes, internal ones first."""
         counts = {called: sum(table.values()) for called, table in self._calls.items()}
-        ranked = sorted(counts, key=lambda name: (name in self._inner, counts[name]))
+        ranked = sorted(
+            counts, key=lambda name: (name in self._internal_routes, counts[name])
+        )
         self._calls = {
             called: trim_table(self._calls[called], MAX_STATES)
-            for called in ranked[-MAX_CALLED:]
-            if counts[called] >= FORGET_COUNT
+            for called in ranked[-MAX_CALLED_ROUTES:]
+            if counts[called] >= MIN_COUNT
         }
         self._rates = {
             called: rates
             for called, rates in self._rates.items()
             if called in self._calls
         }
-        self._counts = {
+        self._call_counts = {
             called: counts
-            for called, counts in self._counts.items()
-            if called in self._calls and called in self._inner
+            for called, counts in self._call_counts.items()
+            if called in self._calls and called in self._internal_routes
         }
-        self._spans = trim_table(self._spans, MAX_STATES)
-
-    def _fade(self) -> None:
-        self._begun = [count * FADE for count in self._begun]
-        self._recent = {
-            name: runs * FADE
-            for name, runs in self._recent.items()
-            if runs * FADE >= FORGET_COUNT or name in self._running
+        self._durations = trim_table(self._durations, MAX_STATES)
+
+    def _decay(self) -> None:
+        self._run_counts = [count * DECAY_FACTOR for count in self._run_counts]
+        self._recent_runs = {
+            name: runs * DECAY_FACTOR
+            for name, runs in self._recent_runs.items()
+            if runs * DECAY_FACTOR >= MIN_COUNT or name in self._running
         }
-        self._spans = fade_table(self._spans, FADE)
+        self._durations = decay_table(self._durations, DECAY_FACTOR)
         self._calls = {
-            called: fade_table(table, FADE) for called, table in self._calls.items()
+            called: decay_table(table, DECAY_FACTOR)
+            for called, table in self._calls.items()
         }
 
 
 def merge_vectors(
     learned: list[dict[str, dict[str, float]]],
 ) -> dict[str, dict[str, float]]:
-    """Return, for each route, the median of what several nodes have learned.
+    """Return for each route the median of the vectors of several nodes.
 
-    A node that takes a route for a caller by mistake is outvoted; a call that is
-    not in a node's vector counts as none.
+    The median outvotes a node that wrongly takes a route for a caller. A called route
+    that is missing in a vector counts as zero calls.
     """
     merged: dict[str, dict[str, float]] = {}
     for name in {name for vectors in learned for name in vectors}:
-        found = [vectors[name] for vectors in learned if name in vectors]
+        known = [vectors[name] for vectors in learned if name in vectors]
         medians = {
-            called: median(calls.get(called, 0.0) for calls in found)
-            for called in {called for calls in found for called in calls}
+            called: median(calls.get(called, 0.0) for calls in known)
+            for called in {called for calls in known for called in calls}
         }
         merged[name] = {
-            called: count for called, count in medians.items() if count >= MIN_POSSIBLE
+            called: count
+            for called, count in medians.items()
+            if count >= MIN_CANDIDATE_CALLS_PER_RUN
         }
     return merged
 
@@ -343,17 +363,17 @@
 def pool_vectors(
     runs: dict[str, float], calls: dict[tuple[str, str], float]
 ) -> dict[str, dict[str, float]]:
-    """Return the calls per run from the runs and calls of many nodes together.
+    """Return the calls per run from the summed runs and calls of many nodes.
 
-    It knows a route after some runs anywhere: on a large fleet, no server soon has the
-    runs of a route that it would be judged by alone.
+    On a large deployment, single servers have too few runs of a route to estimate its
+    calls soon enough.
     """
     vectors: dict[str, dict[str, float]] = {
         name: {} for name, count in runs.items() if count >= MIN_RUNS
     }
     for (name, called), count in calls.items():
         per_run = count / max(1.0, runs.get(name, 0.0))
-        sure = count >= SURE_CALLS and per_run >= MIN_CALLS_PER_RUN
-        if sure and name in vectors:
+        significant = count >= MIN_POOLED_CALLS and per_run >= MIN_CALLS_PER_RUN
+        if significant and name in vectors:
             vectors[name][called] = per_run
     return vectors
--- a/tests/relay/test_completed.py
+++ b/tests/relay/test_completed.py
@@ -1,4 +1,4 @@
-"""Calls counted on runs that ended well."""
+"""Counts of the calls of successful runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from eelgrassmount.relay.vectors import pool_vectors
 
 
-def test_calls_are_those_of_the_runs_that_ended_well():
+def test_calls_are_counted_for_successful_runs():
     completed = CompletedRuns()
     for _ in range(30):
         completed.record_run("book", {"list": 2})
@@ -19,35 +19,34 @@
     assert vectors == {"book": {"list": 2.0}, "status": {}}
 
 
-def test_calls_of_unknown_runs_belong_to_those_of_their_route():
+def test_unattributed_calls_are_spread_like_attributed_ones():
     completed = CompletedRuns()
     rng = random.Random(1)
     for _ in range(400):
-        known = [rng.random() < 0.4 for _ in range(4)]
-        for one in known:
+        attributed = [rng.random() < 0.4 for _ in range(4)]
+        for one in attributed:
             completed.record_call("part", one)
-        completed.record_run("list", {"part": sum(known)})
+        completed.record_run("list", {"part": sum(attributed)})
     calls = completed.list_calls()[("list", "part")]
     assert calls / completed.runs["list"] == pytest.approx(4.0)
 
 
-# Counted against the runs that had begun, a list seemed to make 1.9 of its 4 calls in
-# the first second of a surge, and 3.1 in the fourth.
-def test_calls_are_right_within_the_first_second_of_a_surge():
+# Guards against counting unfinished runs, which lowers the calls per run in a surge.
+def test_calls_per_run_are_exact_within_the_first_second_of_a_surge():
     completed = CompletedRuns()
     rng = random.Random(2)
     for _ in range(300):
-        begun_s = rng.uniform(0.0, 1.0)
-        if begun_s + rng.uniform(0.2, 0.6) <= 1.0:
+        started_s = rng.uniform(0.0, 1.0)
+        if started_s + rng.uniform(0.2, 0.6) <= 1.0:
             completed.record_run("list", {"part": 4})
     vectors = pool_vectors(completed.runs, completed.list_calls())
     assert vectors["list"]["part"] == pytest.approx(4.0)
 
 
-def test_what_was_counted_fades_and_is_forgotten():
+def test_counts_decay_and_are_dropped():
     completed = CompletedRuns()
     completed.record_run("book", {"list": 2})
-    completed.record_call("list", known=True)
+    completed.record_call("list", attributed=True)
     for _ in range(100):
         completed.decay()
     assert completed.runs == {}
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -1,4 +1,4 @@
-"""What a node keeps of routes that have left the configuration."""
+"""Cleanup of data on routes that were removed from the configuration."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from tests.relay.test_gate import SIGNED, FakePool
 
 LIST = make_rule("/list/", "list")
-# one call of it may take a tenth of the time of others
+# calls of this route may take a tenth of the time of others
 PART = make_rule("/part/", "list", targetLatencyMs=30)
 
 
 class Setup:
-    """A node that is not started, on a clock that the test moves."""
+    """A node that is not started, with a clock that the test controls."""
 
     def __init__(self):
         self.node = build_relay(evolve(SETTINGS, service="list"))
@@ -61,17 +61,17 @@
         self.node.timers.advance(seconds)
 
     def start(self, name: str) -> None:
-        """Let a request be sent from the VM and a run of it start."""
+        """Send a request from the VM and start its run."""
         self.node.beliefs.record_call(name)
         route = self.node.beliefs.find_route(name, True)
         call = make_call(route, now_s=self.node.gate.clock())
-        self.node.gate.offer(Job(call, self.note_reply))
+        self.node.gate.offer(Job(call, self.check_reply))
 
-    def note_reply(self, reply: Reply) -> None:
+    def check_reply(self, reply: Reply) -> None:
         assert reply.status == 200
 
     def run(self, name: str) -> None:
-        """Let one run start and end."""
+        """Start and finish one run."""
         self.start(name)
         self.pool.open[-1].end(ClientAnswer(200, SIGNED, b""))
 
@@ -81,11 +81,10 @@
     return Setup()
 
 
-def test_routes_that_left_are_not_reported_and_bind_nothing(setup):
-    """A node reported each route that had ever run there, at each step.
+def test_removed_routes_are_not_reported_and_limit_no_waits(setup):
+    """Guards against reports that grow with each route that has ever run.
 
-    The one with the least time decided how long calls may wait at the gate, even
-    once nobody could ask for it any more.
+    A removed route with a short time limit must not limit waits at the dispatcher.
     """
     setup.run(setup.list_name)
     setup.run(setup.part_name)
@@ -94,17 +93,17 @@
     both = {setup.list_name, setup.part_name}
     assert {time.route_name for time in report.times} == both
     assert {count.route_name for count in report.counts} == both
-    tight_s = setup.node.gate.measures.compute_max_mean_wait_s()
-    assert tight_s < MAX_MEAN_WAIT_S
+    short_s = setup.node.gate.measures.compute_max_mean_wait_s()
+    assert short_s < MAX_MEAN_WAIT_S
     setup.configure(2, LIST)
     setup.wait(60.0)
     report = setup.node.controllers.make_report(True)
     assert [time.route_name for time in report.times] == [setup.list_name]
     assert [count.route_name for count in report.counts] == [setup.list_name]
-    assert setup.node.gate.measures.compute_max_mean_wait_s() > tight_s
+    assert setup.node.gate.measures.compute_max_mean_wait_s() > short_s
 
 
-def test_run_that_outlasts_its_route_is_judged_by_what_is_usual(setup):
+def test_run_that_outlasts_its_route_keeps_the_measures_of_the_route(setup):
     setup.run(setup.part_name)
     setup.start(setup.part_name)
     setup.configure(2, LIST)
@@ -115,14 +114,14 @@
     assert setup.part_name not in setup.node.gate.measures.routes
 
 
-def test_nothing_is_forgotten_without_a_configuration(setup):
+def test_nothing_is_dropped_without_a_configuration(setup):
     setup.run(setup.part_name)
     setup.node.beliefs.table = RouteTable()
     setup.wait(3.0)
     assert setup.part_name in setup.node.gate.measures.routes
 
 
-def test_counts_of_the_busiest_routes_are_told_first(setup):
+def test_counts_of_the_busiest_routes_are_reported_first(setup):
     for number in range(MAX_ROWS):
         setup.node.beliefs.record_call(f"shop/{number}/")
     for _ in range(3):
@@ -133,12 +132,11 @@
     assert counts[0].route_name == setup.list_name
 
 
-def test_calls_of_routes_that_left_are_not_kept(setup):
-    """What a route called was kept and told after it had left.
+def test_calls_of_removed_routes_are_dropped(setup):
+    """Guards against call vectors that outlive their route.
 
-    A route that only it had called stood for calls of servers for good: clients'
-    requests for it were admitted as such, and all nodes took the vector up again
-    from the log.
+    Routes that only a removed route called would count as internal for good, and the
+    requests of clients for them would be admitted as calls of servers.
     """
     graph = setup.node.beliefs.graph
     learned = {setup.part_name: {setup.list_name: 2.0}}
@@ -147,7 +145,7 @@
     setup.wait(1.0)
     assert graph.is_called(setup.list_name)
     setup.configure(2, LIST)
-    # runs that had begun before still make calls
+    # runs that were started earlier still make calls
     setup.wait(2.0)
     assert graph.is_called(setup.list_name)
     setup.wait(60.0)
@@ -158,15 +156,15 @@
     assert graph.vectors == {}
 
 
-def test_routes_that_only_other_nodes_know_are_not_kept(setup):
+def test_routes_that_only_other_nodes_know_are_not_stored(setup):
     beliefs = setup.node.beliefs
     route = weakref.ref(beliefs.find_route("shop/new/", True))
     assert route() is None
     assert beliefs.find_route("shop/new/", False).name == "shop/new/"
 
 
-def test_series_of_routes_that_left_are_not_kept(setup):
-    """Each route that had ever been asked for kept its series until a restart."""
+def test_metrics_of_removed_routes_are_dropped(setup):
+    """Guards against metrics that grow with each route that was ever requested."""
     metrics = setup.node.metrics
     for name in (setup.list_name, setup.part_name):
         metrics.count_answer(name, 200, 0.1)
@@ -177,14 +175,14 @@
     setup.wait(2.0)
     setup.configure(2, LIST)
     setup.wait(2.0)
-    # time for the last numbers to be read
+    # the metrics stay long enough for a last scrape
     assert setup.part_name in metrics.render().decode()
     setup.wait(60.0)
     text = metrics.render().decode()
     assert setup.part_name not in text
     assert text.count(f'route="{setup.list_name}"') > 20
     assert 'reason="no-route",route=""' in text
-    # one that comes back begins anew
+    # a route that returns starts from zero
     metrics.count_abandoned(setup.part_name)
     assert (
         f'abandoned_total{{route="{setup.part_name}"}} 1.0' in metrics.render().decode()
--- a/tests/relay/test_gate.py
+++ b/tests/relay/test_gate.py
@@ -15,7 +15,7 @@
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.measures import (
     DEFAULT_RUN_S,
-    LOAD_WEIGHT,
+    DEMAND_WEIGHT,
     MAX_MEAN_WAIT_S,
     RouteStats,
 )
@@ -337,7 +337,9 @@
     setup.now_s += 1.0
     setup.gate.update_load()
     run_s = setup.gate.measures.mean_run_s
-    assert setup.gate.measures.load.demand == pytest.approx(LOAD_WEIGHT * 3 * run_s / 2)
+    assert setup.gate.measures.load.demand == pytest.approx(
+        DEMAND_WEIGHT * 3 * run_s / 2
+    )
     # two wait for one of two seconds; three tenths of the least time are allowed
     setup.gate.measures.routes["r"] = RouteStats(allowed_s=0.2)
     setup.gate.measures.routes["s"] = RouteStats(allowed_s=0.4)
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -1,4 +1,4 @@
-"""Vectors that nodes learn from their own counts and tell each other."""
+"""Call vectors that nodes learn from their counts and report to each other."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
-    LEARNING_S,
-    SETTLED_RUNS,
+    LEARNING_PERIOD_S,
+    MIN_SETTLED_RUNS,
     update_call_graph,
     update_request_counts,
 )
@@ -26,49 +26,49 @@
 from tests.relay.samples import make_route, make_table
 
 
-def make_beliefs(now: list[float]) -> SharedState:
+def make_state(now: list[float]) -> SharedState:
     server = LocalServer("desk", Address("127.0.0.1", 80))
     members = MemberTable()
-    beliefs = SharedState(
+    state = SharedState(
         "own", "i", "a:1", "near", server, members, CallGraph(), lambda: now[0], None
     )
-    beliefs.table = make_table(make_route("shop/book/"), make_route("shop/part/"))
-    return beliefs
+    state.table = make_table(make_route("shop/book/"), make_route("shop/part/"))
+    return state
 
 
 def test_runs_and_calls_of_a_node_become_a_vector():
     now = [1.0]
-    beliefs = make_beliefs(now)
-    front = beliefs.members.put("front", "a:1", "near", "front")
+    state = make_state(now)
+    front = state.members.put("front", "a:1", "near", "front")
     front.load.request_counts = {"shop/book/": 20.0}
     for _ in range(40):
-        beliefs.record_call("shop/book/")
+        state.record_call("shop/book/")
         now[0] += 0.05
-        beliefs.learner.start_run("shop/book/")
-        beliefs.record_call("shop/part/")
-        beliefs.record_call("shop/part/")
+        state.learner.start_run("shop/book/")
+        state.record_call("shop/part/")
+        state.record_call("shop/part/")
         now[0] += 0.05
-        beliefs.learner.finish_run("shop/book/")
-        update_request_counts(beliefs)
-    update_call_graph(beliefs)
-    calls = beliefs.graph.vectors["shop/book/"]
+        state.learner.finish_run("shop/book/")
+        update_request_counts(state)
+    update_call_graph(state)
+    calls = state.graph.vectors["shop/book/"]
     assert calls["shop/part/"] == pytest.approx(2.0, abs=0.1)
-    assert beliefs.graph.is_called("shop/part/")
-    assert not beliefs.graph.is_called("shop/book/")
+    assert state.graph.is_called("shop/part/")
+    assert not state.graph.is_called("shop/book/")
 
 
-def test_links_are_kept_to_the_services_in_use_only():
-    beliefs = make_beliefs([1.0])
+def test_links_are_kept_only_to_services_in_use():
+    state = make_state([1.0])
     services = [f"s{number}" for number in range(20)]
     routes = [make_route(f"shop/{name}/", (name,)) for name in services]
-    beliefs.table = make_table(*routes)
+    state.table = make_table(*routes)
     for name in services:
-        beliefs.members.put(f"node-{name}", "a:1", "near", name)
-    links = LinkKeeper(beliefs, None)
+        state.members.put(f"node-{name}", "a:1", "near", name)
+    links = LinkKeeper(state, None)
     assert links._list_wanted() == set()
-    beliefs.record_call("shop/s3/")
-    beliefs.graph.put("shop/s3/", {"shop/s7/": 1.0})
-    update_request_counts(beliefs)
+    state.record_call("shop/s3/")
+    state.graph.put("shop/s3/", {"shop/s7/": 1.0})
+    update_request_counts(state)
     assert links._list_wanted() == {"s3", "s7"}
 
 
@@ -93,12 +93,12 @@
         self.reports.append(report)
 
 
-def make_controllers(beliefs: SharedState, inbound: FakeInbound) -> Controllers:
+def make_controllers(state: SharedState, inbound: FakeInbound) -> Controllers:
     return Controllers(
-        beliefs,
+        state,
         FakeGate(),
         inbound,
-        ServiceLevels(beliefs).update,
+        ServiceLevels(state).update,
         lambda table: None,
     )
 
@@ -106,9 +106,9 @@
 @pytest.mark.parametrize(("callers", "reports"), [(0, 60), (16, 60), (64, 15)])
 def test_reports_to_many_callers_are_sent_less_often(callers, reports):
     inbound = FakeInbound(callers)
-    beliefs = make_beliefs([1.0])
-    beliefs.local_vectors = {"shop/book/": {"shop/part/": 2.0}}
-    controllers = make_controllers(beliefs, inbound)
+    state = make_state([1.0])
+    state.local_vectors = {"shop/book/": {"shop/part/": 2.0}}
+    controllers = make_controllers(state, inbound)
     for _ in range(60):
         controllers.step()
     assert len(inbound.reports) == reports
@@ -116,63 +116,63 @@
     assert 6 <= len(with_rows) <= 12
 
 
-def test_vectors_survive_their_way_to_other_nodes():
+def test_vectors_survive_encoding():
     vectors = {"shop/book/": {"shop/part/": 2.0, "shop/list/": 1.0}, "shop/part/": {}}
     assert read_rows(write_rows(vectors)) == vectors
 
 
-def test_node_that_blames_the_wrong_route_is_outvoted():
-    beliefs = make_beliefs([1.0])
+def test_node_that_learned_a_wrong_caller_is_outvoted():
+    state = make_state([1.0])
     for name, calls in (("a", {"shop/part/": 4.0}), ("b", {}), ("c", {})):
-        member = beliefs.members.put(name, f"{name}:1", "near", "desk")
+        member = state.members.put(name, f"{name}:1", "near", "desk")
         member.load.vectors = {"shop/book/": calls}
-    beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
-    update_call_graph(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+    state.graph.put("shop/book/", {"shop/part/": 4.0})
+    update_call_graph(state)
+    assert state.graph.vectors["shop/book/"] == {}
 
 
-def test_what_was_heard_is_not_told_on_and_corrections_are_taken():
-    beliefs = make_beliefs([1.0])
-    member = beliefs.members.put("a", "a:1", "near", "desk")
+def test_received_vectors_are_not_forwarded_and_corrections_apply():
+    state = make_state([1.0])
+    member = state.members.put("a", "a:1", "near", "desk")
     inbound = FakeInbound(1)
-    controllers = make_controllers(beliefs, inbound)
+    controllers = make_controllers(state, inbound)
     member.load.vectors = {"shop/book/": {"shop/part/": 4.0}}
-    update_call_graph(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 4.0}
+    update_call_graph(state)
+    assert state.graph.vectors["shop/book/"] == {"shop/part/": 4.0}
     assert controllers.make_report(True).calls == []
     member.load.vectors = {"shop/book/": {}}
-    update_call_graph(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+    update_call_graph(state)
+    assert state.graph.vectors["shop/book/"] == {}
 
 
-def test_node_that_has_just_started_goes_by_what_is_known():
+def test_node_that_has_just_started_uses_known_vectors():
     now = [1.0]
-    beliefs = make_beliefs(now)
-    beliefs.graph.put("shop/book/", {"shop/part/": 2.0})
+    state = make_state(now)
+    state.graph.put("shop/book/", {"shop/part/": 2.0})
     for _ in range(40):
-        beliefs.learner.start_run("shop/book/")
+        state.learner.start_run("shop/book/")
         now[0] += 0.01
-        beliefs.learner.finish_run("shop/book/")
-    update_call_graph(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {"shop/part/": 2.0}
-    assert beliefs.local_vectors == {}
-    now[0] += LEARNING_S
-    update_call_graph(beliefs)
-    assert beliefs.graph.vectors["shop/book/"] == {}
+        state.learner.finish_run("shop/book/")
+    update_call_graph(state)
+    assert state.graph.vectors["shop/book/"] == {"shop/part/": 2.0}
+    assert state.local_vectors == {}
+    now[0] += LEARNING_PERIOD_S
+    update_call_graph(state)
+    assert state.graph.vectors["shop/book/"] == {}
 
 
-def test_links_to_a_large_service_are_chosen_anew_when_its_nodes_change():
-    beliefs = make_beliefs([1.0])
+def test_links_to_a_large_service_are_chosen_again_when_its_nodes_change():
+    state = make_state([1.0])
     for number in range(MAX_LINKS + 8):
-        beliefs.members.put(f"n{number}", f"a:{number}", "near", "list")
-    links = LinkKeeper(beliefs, None)
+        state.members.put(f"n{number}", f"a:{number}", "near", "list")
+    links = LinkKeeper(state, None)
     chosen = links._choose_links("list")
     assert len(chosen) == MAX_LINKS
     assert links._choose_links("list") is chosen
-    beliefs.members.remove(chosen[0].name)
-    again = links._choose_links("list")
-    assert len(again) == MAX_LINKS
-    assert chosen[0] not in again
+    state.members.remove(chosen[0].name)
+    chosen_again = links._choose_links("list")
+    assert len(chosen_again) == MAX_LINKS
+    assert chosen[0] not in chosen_again
 
 
 class FakeLink:
@@ -186,55 +186,55 @@
         self.sent.append(kind)
 
 
-def make_short_service(now: list[float]):
-    beliefs = make_beliefs(now)
-    member = beliefs.members.put("a", "a:1", "near", "list")
+def make_overloaded_service(now: list[float]):
+    state = make_state(now)
+    member = state.members.put("a", "a:1", "near", "list")
     member.link = FakeLink()
     member.load = MemberLoad(limit=10, demand=2.0, reported_s=now[0])
-    levels = ServiceLevels(beliefs)
+    admission = ServiceLevels(state)
     for _ in range(20):
-        levels.update()
-    assert beliefs.get_admitted_fraction("list") < 0.5
+        admission.update()
+    assert state.get_admitted_fraction("list") < 0.5
     assert member.link.sent == []
-    return beliefs, member, levels
+    return state, member, admission
 
 
-def test_node_asks_for_reports_while_a_service_is_short():
+def test_node_requests_reports_while_a_service_is_overloaded():
     now = [1.0]
-    _, member, levels = make_short_service(now)
+    _, member, admission = make_overloaded_service(now)
     now[0] += 2.0
-    levels.update()
+    admission.update()
     assert member.link.sent == [FrameKind.PING]
     member.load.reported_s = now[0]
-    levels.update()
+    admission.update()
     assert member.link.sent == [FrameKind.PING]
 
 
-def test_level_rises_while_nothing_is_heard_of_a_service():
+def test_admitted_fraction_rises_while_a_service_sends_no_reports():
     now = [1.0]
-    beliefs, member, levels = make_short_service(now)
+    state, member, admission = make_overloaded_service(now)
     member.link = None
     now[0] += 2.0
     for _ in range(40):
-        levels.update()
-    assert beliefs.get_admitted_fraction("list") == 1.0
+        admission.update()
+    assert state.get_admitted_fraction("list") == 1.0
 
 
-def test_server_that_leaves_counts_neither_for_demand_nor_for_room():
-    beliefs = make_beliefs([1.0])
-    leaving = beliefs.members.put("a", "a:1", "near", "list")
-    staying = beliefs.members.put("b", "b:1", "near", "list")
+def test_stopping_server_counts_neither_for_demand_nor_for_capacity():
+    state = make_state([1.0])
+    leaving = state.members.put("a", "a:1", "near", "list")
+    staying = state.members.put("b", "b:1", "near", "list")
     for member, accepting, demand in ((leaving, False, 0.0), (staying, True, 1.6)):
         member.load.limit = 10
         member.load.reported_s = 1.0
         member.load.accepting = accepting
         member.load.demand = demand
-    levels = ServiceLevels(beliefs)
-    levels.update()
-    assert beliefs.get_admitted_fraction("list") < 1.0
+    admission = ServiceLevels(state)
+    admission.update()
+    assert state.get_admitted_fraction("list") < 1.0
 
 
-def test_slots_of_a_failing_server_are_not_counted_on():
+def test_slots_of_a_failing_server_do_not_count():
     loads = [MemberLoad(limit=10, demand=1.2) for _ in range(3)]
     idle = MemberLoad(limit=10, demand=0.1)
     before = measure_load([*loads, idle]).demand
@@ -243,63 +243,63 @@
     assert measure_load([*loads, idle]).demand > 1.15
 
 
-def test_servers_that_all_fail_alike_keep_their_slots():
+def test_slots_count_if_all_servers_fail_alike():
     loads = [MemberLoad(limit=10, demand=0.6, failure_share=0.5) for _ in range(3)]
     assert measure_load(loads).demand == pytest.approx(0.6)
 
 
-def test_service_whose_runs_fail_by_their_calls_keeps_its_slots():
-    """One idle server made the others seem to have a tenth of their slots."""
+def test_slots_count_if_runs_fail_by_their_calls():
+    """Guards against discounting the slots of servers for failures of their calls."""
     idle = MemberLoad(limit=10, demand=0.5)
     lost = [MemberLoad(limit=10, demand=0.5, lost_share=0.8) for _ in range(15)]
     assert measure_load([idle, *lost]).demand == pytest.approx(0.5)
 
 
-def test_what_leads_to_a_service_that_cannot_be_reached_is_refused():
-    """Requests were begun whose last calls found no server, and were lost."""
+def test_service_that_cannot_be_reached_admits_nothing():
+    """Guards against admitting requests whose later calls would find no server."""
     now = [10.0]
-    beliefs = make_beliefs(now)
-    beliefs.graph.put("shop/book/", {"shop/part/": 4.0})
-    members = [beliefs.members.put(name, f"{name}:1", "far", "part") for name in "ab"]
-    levels = ServiceLevels(beliefs)
+    state = make_state(now)
+    state.graph.put("shop/book/", {"shop/part/": 4.0})
+    members = [state.members.put(name, f"{name}:1", "far", "part") for name in "ab"]
+    admission = ServiceLevels(state)
     members[0].mark_unreachable(now[0])
-    levels.update()
-    assert beliefs.get_admitted_fraction("part") == 1.0
+    admission.update()
+    assert state.get_admitted_fraction("part") == 1.0
     members[1].load.accepting = False
     members[1].load.reported_s = now[0]
-    levels.update()
-    assert beliefs.get_admitted_fraction("part") == 0.0
+    admission.update()
+    assert state.get_admitted_fraction("part") == 0.0
     members[0].mark_reachable()
-    levels.update()
-    assert beliefs.get_admitted_fraction("part") == 1.0
+    admission.update()
+    assert state.get_admitted_fraction("part") == 1.0
 
 
-def test_node_without_a_configuration_calls_no_service_unreachable():
-    """Each node wrote a warning on its own service at its start."""
-    beliefs = make_beliefs([10.0])
-    beliefs.table = RouteTable()
-    member = beliefs.members.put("own", "a:1", "near", "desk")
+def test_no_service_is_unreachable_without_a_configuration():
+    """Guards against a warning on the local service at each start."""
+    state = make_state([10.0])
+    state.table = RouteTable()
+    member = state.members.put("own", "a:1", "near", "desk")
     member.load.accepting = False
     member.load.reported_s = 10.0
-    ServiceLevels(beliefs).update()
-    assert beliefs.unreachable == set()
+    ServiceLevels(state).update()
+    assert state.unreachable == set()
 
 
-def test_requests_with_keys_are_those_of_clients_from_the_first_on():
-    beliefs = make_beliefs([1.0])
-    beliefs.learner.start_run("shop/part/")
-    beliefs.record_client_request("shop/book/")
-    assert "shop/book/" in beliefs.client_routes
-    assert beliefs.new_requests == {"shop/book/": 1}
-    # they are taken for no calls of what runs here
-    assert not beliefs.learner._calls
+def test_requests_with_keys_count_as_requests_of_clients_at_once():
+    state = make_state([1.0])
+    state.learner.start_run("shop/part/")
+    state.record_client_request("shop/book/")
+    assert "shop/book/" in state.client_routes
+    assert state.new_requests == {"shop/book/": 1}
+    # nor as calls of the runs in flight
+    assert not state.learner._calls
 
 
-def test_route_that_ran_often_and_called_nothing_is_settled():
-    beliefs = make_beliefs([1.0])
-    beliefs.cluster_counts.runs = {
-        "shop/book/": SETTLED_RUNS,
-        "shop/part/": SETTLED_RUNS - 1,
+def test_route_with_many_runs_and_no_calls_is_settled():
+    state = make_state([1.0])
+    state.cluster_counts.runs = {
+        "shop/book/": MIN_SETTLED_RUNS,
+        "shop/part/": MIN_SETTLED_RUNS - 1,
     }
-    update_call_graph(beliefs)
-    assert beliefs.graph.settled == {"shop/book/"}
+    update_call_graph(state)
+    assert state.graph.settled == {"shop/book/"}
--- a/tests/relay/test_tallies.py
+++ b/tests/relay/test_tallies.py
@@ -1,4 +1,4 @@
-"""Counts of many nodes, added up and told on."""
+"""Counts summed over many nodes and sent on."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     )
 
 
-def carry(tally: Tally) -> Tally:
+def send(tally: Tally) -> Tally:
     struct = write_tally(tally)
     return read_tally(decode_struct(type(struct), encode_struct(struct)))
 
@@ -33,30 +33,30 @@
     total = add_tallies([make_tally(), make_tally(), make_tally("rate")])
     assert total.nodes == 3
     assert total.offered == {Demand("shop/book/", 3): 1.5}
-    assert total.asked["desk"] == ServiceCounts(2, {"shop/book/": 8.0})
-    assert total.asked["rate"] == ServiceCounts(1, {"shop/book/": 4.0})
+    assert total.requested["desk"] == ServiceCounts(2, {"shop/book/": 8.0})
+    assert total.requested["rate"] == ServiceCounts(1, {"shop/book/": 4.0})
     assert total.calls == {("shop/book/", "shop/list/"): 18.0}
 
 
-def test_adding_leaves_what_is_added_as_it_was():
+def test_adding_does_not_change_the_added_tally():
     one = make_tally()
     total = add_tallies([one, one])
     total.scale(3.0)
     assert one == make_tally()
     assert total.nodes == 6
-    assert total.asked["desk"] == ServiceCounts(6, {"shop/book/": 24.0})
+    assert total.requested["desk"] == ServiceCounts(6, {"shop/book/": 24.0})
 
 
-def test_counts_survive_their_way_to_other_nodes():
+def test_counts_survive_encoding():
     total = add_tallies([make_tally(), make_tally("rate")])
-    assert carry(total) == total
-    assert carry(Tally()) == Tally()
+    assert send(total) == total
+    assert send(Tally()) == Tally()
 
 
-def test_of_very_many_routes_the_largest_are_told():
+def test_only_the_largest_counts_of_many_routes_are_sent():
     rates = {
         Demand(f"shop/{number}/", 0): float(number) for number in range(3 * MAX_ROWS)
     }
-    told = carry(Tally(1, rates)).offered
-    assert len(told) == MAX_ROWS
-    assert min(told.values()) == 2 * MAX_ROWS
+    sent = send(Tally(1, rates)).offered
+    assert len(sent) == MAX_ROWS
+    assert min(sent.values()) == 2 * MAX_ROWS
--- a/tests/relay/test_vectors.py
+++ b/tests/relay/test_vectors.py
@@ -1,4 +1,4 @@
-"""Learning the calls per run."""
+"""Estimation of the calls per run."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from eelgrassmount.relay import vectors as vectors_module
 from eelgrassmount.relay.internal_routes import (
-    COUNT_FADE,
+    COUNT_DECAY_FACTOR,
     find_client_routes,
     find_internal_routes,
     update_counts,
 )
 from eelgrassmount.relay.tallies import ServiceCounts
 from eelgrassmount.relay.vectors import (
-    MAX_CALLED,
-    MAX_PLACES,
+    MAX_CALLED_ROUTES,
     MAX_STATES,
+    MAX_TRACKED_ROUTES,
     VectorLearner,
     pool_vectors,
 )
@@ -42,15 +42,15 @@
     def add(self, route: str, per_s: float, run_s: float, calls: list[str]) -> None:
         def start() -> None:
             self.learner.start_run(route)
-            begun_s = self.now_s
+            started_s = self.now_s
             for index, called in enumerate(calls):
-                part = (index + 0.5) / len(calls)
+                progress = (index + 0.5) / len(calls)
                 self.at(
-                    begun_s + part * run_s,
+                    started_s + progress * run_s,
                     lambda called=called: self.learner.record_call(called),
                 )
-            self.at(begun_s + run_s, lambda: self.learner.finish_run(route))
-            self.at(begun_s + self.rng.expovariate(per_s), start)
+            self.at(started_s + run_s, lambda: self.learner.finish_run(route))
+            self.at(started_s + self.rng.expovariate(per_s), start)
 
         self.at(self.now_s + self.rng.expovariate(per_s), start)
 
@@ -62,7 +62,7 @@
         self.now_s = end_s
 
 
-def test_calls_of_two_routes_are_told_apart():
+def test_calls_of_two_routes_are_separated():
     load = Load()
     load.add("book", 40.0, 0.2, ["list", "list"])
     load.add("ledger", 90.0, 0.1, ["list"])
@@ -72,7 +72,7 @@
     assert vectors["ledger"]["list"] == pytest.approx(1.0, abs=0.4)
 
 
-def test_estimates_that_begin_with_the_one_before_follow_a_change():
+def test_estimates_follow_a_change():
     load = Load()
     load.add("book", 60.0, 0.2, ["list"])
     load.add("ledger", 90.0, 0.1, [])
@@ -81,7 +81,7 @@
         vectors = load.learner.solve({"list"})
     assert vectors["book"]["list"] == pytest.approx(1.0, abs=0.3)
     assert "list" not in vectors["ledger"]
-    # from now on the other route makes the calls
+    # from now on, the other route makes the calls
     load.due.clear()
     load.add("book", 60.0, 0.2, [])
     load.add("ledger", 90.0, 0.1, ["list", "list"])
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_runs_beside_those_that_call_are_not_blamed(seed):
+def test_concurrent_runs_are_not_taken_for_callers(seed):
     load = Load(seed)
     load.add("order", 50.0, 0.06, [])
     load.add("maker", 200.0, 0.12, ["part"] * 4)
@@ -103,80 +103,79 @@
     assert vectors["maker"]["part"] == pytest.approx(4.0, abs=1.0)
 
 
-def test_routes_that_clients_use_are_not_looked_at():
+def test_calls_to_client_routes_are_not_estimated():
     load = Load()
     load.add("book", 40.0, 0.2, ["list", "status"])
     load.run(5.0)
     assert load.learner.solve({"list"})["book"].keys() == {"list"}
 
 
-def test_few_runs_are_not_believed():
+def test_few_runs_give_no_vector():
     load = Load()
     load.add("book", 4.0, 0.2, ["list"])
     load.run(2.0)
     assert load.learner.solve({"list"}) == {}
 
 
-def test_states_stay_few():
+def test_number_of_states_is_limited():
     load = Load()
     for name in "abcd":
         load.add(name, 100.0, 0.5, ["list"])
     load.run(10.0)
     load.learner.solve({"list"})
-    assert len(load.learner._spans) <= MAX_STATES
+    assert len(load.learner._durations) <= MAX_STATES
 
 
-def test_routes_of_clients_are_asked_for_everywhere():
-    asked = {
+def test_client_routes_are_requested_everywhere():
+    request_counts = {
         "desk": ServiceCounts(2, {"book": 56.0, "status": 17.0, "list": 80.0}),
         "rate": ServiceCounts(1, {"book": 18.0, "status": 19.0}),
         "proof": ServiceCounts(1, {"book": 22.0, "status": 18.0, "list": 0.0}),
     }
-    assert find_internal_routes(asked) == {"list"}
+    assert find_internal_routes(request_counts) == {"list"}
 
 
-def test_calls_of_servers_are_told_from_few_counts_on_many_vms():
-    """On 195 nodes, no VM had 15 calls of a route in the span that counts.
+def test_internal_routes_are_found_from_few_counts_on_many_vms():
+    """Guards against judging each VM alone on a large deployment.
 
-    Calls of servers were taken for requests of clients then, and refused at the entry:
-    what had been begun for their requests was lost.
+    Calls of servers would be taken for requests of clients and refused at admission.
     """
-    asked = {
+    request_counts = {
         "rate": ServiceCounts(88, {"price": 300.0, "book": 130.0, "ledger": 260.0}),
         "desk": ServiceCounts(66, {"price": 220.0, "book": 95.0}),
         "proof": ServiceCounts(15, {"price": 50.0, "book": 22.0}),
     }
-    assert find_internal_routes(asked) == {"ledger"}
+    assert find_internal_routes(request_counts) == {"ledger"}
 
 
-def test_route_of_clients_that_is_seldom_asked_for_is_not_taken_for_inner():
-    asked = {
+def test_rarely_requested_client_route_is_not_internal():
+    request_counts = {
         "rate": ServiceCounts(88, {"price": 300.0, "seldom": 40.0}),
         "proof": ServiceCounts(15, {"price": 50.0}),
     }
-    assert find_internal_routes(asked) == set()
+    assert find_internal_routes(request_counts) == set()
 
 
-def test_routes_of_clients_are_known_once_they_are_seen_everywhere():
-    asked = {
+def test_client_routes_are_known_once_they_are_requested_everywhere():
+    request_counts = {
         "rate": ServiceCounts(88, {"price": 300.0, "ledger": 260.0, "new": 8.0}),
         "desk": ServiceCounts(66, {"price": 220.0, "new": 9.0}),
         "proof": ServiceCounts(15, {"price": 50.0}),
     }
-    # too few requests for the new route, and the ledger is asked for in one place only
-    assert find_client_routes(asked) == {"price"}
-    assert find_client_routes({"rate": asked["rate"]}) == set()
+    # the new route has too few requests, and only one service requests the ledger
+    assert find_client_routes(request_counts) == {"price"}
+    assert find_client_routes({"rate": request_counts["rate"]}) == set()
 
 
-def test_few_runs_on_each_of_many_nodes_show_what_a_route_calls():
-    """No server of 66 had 20 runs of a booking within 25 s, and none was believed."""
+def test_few_runs_on_each_of_many_nodes_give_a_vector():
+    """Guards against slow learning where each node has too few runs to judge alone."""
     load_runs = {"book": 66 * 2.0, "price": 12.0}
     calls = {("book", "list"): 250.0, ("book", "part"): 9.0, ("price", "list"): 12.0}
     vectors = pool_vectors(load_runs, calls)
     assert vectors == {"book": {"list": pytest.approx(250 / 132)}}
 
 
-def test_counts_of_few_runs_are_told_though_they_are_not_believed():
+def test_counts_of_few_runs_are_reported_without_a_vector():
     load = Load()
     load.add("book", 4.0, 0.2, ["list"])
     load.run(2.0)
@@ -186,20 +185,20 @@
     assert calls == pytest.approx(runs, abs=2.0)
 
 
-def test_nothing_is_told_from_one_service_alone():
-    asked = {"desk": ServiceCounts(1, {"book": 10.0, "list": 80.0})}
-    assert find_internal_routes(asked) == set()
+def test_one_service_alone_shows_no_internal_routes():
+    request_counts = {"desk": ServiceCounts(1, {"book": 10.0, "list": 80.0})}
+    assert find_internal_routes(request_counts) == set()
 
 
-def test_counts_fade():
+def test_counts_decay():
     counts: dict[str, float] = {}
     for _ in range(500):
         update_counts(counts, {"book": 5})
-    assert counts["book"] == pytest.approx(5 / (1 - COUNT_FADE), abs=1)
+    assert counts["book"] == pytest.approx(5 / (1 - COUNT_DECAY_FACTOR), abs=1)
 
 
 class Counted(float):
-    """A number that counts the operations on it and on what comes of it."""
+    """A number that counts the operations on it and on their results."""
 
     operations = 0
 
@@ -220,7 +219,7 @@
 
 
 class CountedLoad(Load):
-    """Runs on a clock whose seconds count the work that is done with them."""
+    """Runs on a clock whose numbers count the operations on them."""
 
     def __init__(self, seed: int = 5):
         super().__init__(seed)
@@ -230,12 +229,12 @@
         self.learner.start_run(route)
         self.at(self.now_s + 0.05, lambda: self.learner.finish_run(route))
 
-    def count_work(self, seconds: int, inner: set[str]) -> int:
-        """Return the operations of the last solution of so many, one a second."""
+    def count_work(self, seconds: int, internal_routes: set[str]) -> int:
+        """Return the operations of the last of several solutions, one per second."""
         for _ in range(seconds):
             self.run(1.0)
             Counted.operations = 0
-            self.learner.solve(inner)
+            self.learner.solve(internal_routes)
         return Counted.operations
 
 
@@ -246,26 +245,24 @@
 
 
 def test_work_does_not_grow_with_routes_that_ran_once():
-    """Each route that had ever run took part in all later solutions.
+    """Guards against solutions that include every route that has ever run.
 
-    A deployment added a route every few seconds, most of which ran once or twice.
-    After a minute and a half, four nodes spent about a second of each second on
-    their solutions and answered nobody meanwhile.
+    With many such routes, solutions would block the event loop of the node.
     """
     load = CountedLoad()
     add_busy_routes(load)
-    before = load.count_work(20, {"list"})
+    busy_only = load.count_work(20, {"list"})
     for number in range(30):
         for times in range(1 + number % 2):
             load.at(
                 load.now_s + 0.4 * number + times,
                 lambda number=number: load.run_once(f"once-{number}"),
             )
-    assert load.count_work(13, {"list"}) < 2.0 * before
-    assert load.count_work(60, {"list"}) < 1.5 * before
+    assert load.count_work(13, {"list"}) < 2.0 * busy_only
+    assert load.count_work(60, {"list"}) < 1.5 * busy_only
 
 
-def test_busy_routes_are_learned_beside_routes_that_ran_once():
+def test_busy_routes_are_learned_despite_routes_that_ran_once():
     load = CountedLoad()
     load.add("book", 30.0, 0.2, ["list", "list"])
     load.add("ledger", 40.0, 0.1, ["part"])
@@ -285,23 +282,23 @@
     assert vectors["status"] == {}
 
 
-def test_called_routes_are_looked_at_in_turn(monkeypatch):
+def test_called_routes_are_estimated_in_turn(monkeypatch):
     load = Load()
     called = [f"part-{number}" for number in range(3)]
     load.add("book", 40.0, 0.2, called)
     load.run(5.0)
-    monkeypatch.setattr(vectors_module, "MAX_TERMS", 1)
+    monkeypatch.setattr(vectors_module, "MAX_TERMS_PER_STEP", 1)
     assert load.learner.solve(set(called))["book"].keys() == {"part-0"}
     load.learner.continue_solving()
     load.run(0.2)
-    # the one that has waited longest is next
+    # the route that has waited longest is next
     assert load.learner.solve(set(called))["book"].keys() == set(called)
     load.learner.continue_solving()
     load.learner.continue_solving()
     load.learner.continue_solving()
 
 
-def test_few_states_are_gone_through_for_all_called_routes_at_once():
+def test_all_called_routes_are_estimated_at_once_with_few_states():
     load = Load()
     called = [f"part-{number}" for number in range(3)]
     load.add("book", 40.0, 0.2, called)
@@ -309,9 +306,9 @@
     assert load.learner.solve(set(called))["book"].keys() == set(called)
 
 
-def test_of_many_busy_routes_the_busiest_are_told_apart():
+def test_busiest_of_many_routes_are_tracked():
     load = Load()
-    for number in range(2 * MAX_PLACES):
+    for number in range(2 * MAX_TRACKED_ROUTES):
         load.add(f"rare-{number}", 2.0, 0.1, [])
     load.run(15.0)
     load.learner.solve({"list"})
@@ -319,11 +316,11 @@
     for _ in range(5):
         load.run(1.0)
         vectors = load.learner.solve({"list"})
-    assert len(vectors) <= MAX_PLACES
+    assert len(vectors) <= MAX_TRACKED_ROUTES
     assert vectors["book"]["list"] == pytest.approx(1.0, abs=0.3)
 
 
-def test_route_that_displaces_one_of_the_same_second_has_no_states_of_it():
+def test_route_does_not_inherit_the_states_of_the_one_it_displaces():
     now = [100.0]
     learner = VectorLearner(lambda: now[0])
 
@@ -334,7 +331,7 @@
             now[0] += 0.01
             learner.finish_run(name)
 
-    for number in range(MAX_PLACES - 1):
+    for number in range(MAX_TRACKED_ROUTES - 1):
         run(f"busy-{number}", 30)
     learner.solve({"list"})
     run("late", 4)
@@ -346,20 +343,20 @@
     assert "late" not in vectors
 
 
-def test_tables_of_called_routes_stay_few():
+def test_number_of_tables_of_called_routes_is_limited():
     load = Load()
-    called = [f"part-{number}" for number in range(4 * MAX_CALLED)]
+    called = [f"part-{number}" for number in range(4 * MAX_CALLED_ROUTES)]
     load.add("book", 20.0, 0.1, called)
     load.add("ledger", 20.0, 0.1, ["list"] * 3)
     load.run(3.0)
     load.learner.solve({"list"})
     load.run(3.0)
     vectors = load.learner.solve({"list"})
-    assert len(load.learner._calls) <= MAX_CALLED + 1
+    assert len(load.learner._calls) <= MAX_CALLED_ROUTES + 1
     assert vectors["ledger"]["list"] == pytest.approx(3.0, abs=1.0)
 
 
-def test_runs_of_a_route_that_is_forgotten_end_well():
+def test_run_of_a_dropped_route_finishes_without_error():
     load = Load()
     load.learner.start_run("long")
     load.add("book", 20.0, 0.1, [])
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -82,7 +82,7 @@
 
 def wait_for_silent() -> None:
     """Stay with a silent server until the deadline."""
-    sender.SILENT_SHARE = math.inf
+    sender.SILENCE_OBJECTIVE_SHARE = math.inf
 
 
 def forget_crashes() -> None:
