--- a/tests/topics/test_learned.py
+++ b/tests/topics/test_learned.py
@@ -7,7 +7,7 @@
 import pytest
 
 from eelgrassmount.topics.learned import SETTLED_S, LearnedCalls, is_same
-from tests.relay.test_learning import make_beliefs
+from tests.relay.test_learning import make_state
 
 CALLS = {"shop/book/": {"shop/part/": 2.0}}
 
@@ -15,7 +15,7 @@
 class Setup:
     def __init__(self, members: int = 1):
         self.now = [100.0]
-        self.beliefs = make_beliefs(self.now)
+        self.beliefs = make_state(self.now)
         self.beliefs.rng = random.Random(4)
         for number in range(members):
             self.beliefs.members.put(f"n{number}", f"a:{number}", "near", "list")
