--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -29,14 +29,14 @@
 # The maximum decays by a share with each call.
 ROUTE_TIMEOUT_TOLERANCE_S = 0.008
 MAX_REMAINING_DECAY = 0.0001
-# With more runs in flight, runs are not compared by age: it would find few callers, at
-# a cost that grows with each run.
+# With more runs in flight, runs are not compared by age: the comparison would find few
+# callers, at a cost that grows with each run.
 MAX_COMPARED_RUNS = 24
 # how long a failed call without a known run can explain the failure of a run
 FAILURE_MATCH_WINDOW_S = 1.0
 # time from the start of a run to its first call, and the share by which each first call
-# moves it towards the median; a mean would follow the few calls that are attributed to
-# a wrong run
+# moves the estimate towards the median; a mean would follow the few calls that are
+# attributed to a wrong run
 DEFAULT_FIRST_CALL_DELAY_S = 0.01
 FIRST_CALL_DELAY_STEP_SHARE = 0.02
 MIN_RUN_AGE_S = 0.0001
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -36,9 +36,9 @@
 MIN_LOADED_DEMAND = 0.7
 MIN_LOADED_WAIT = 0.3
 # units of the integers in reports
-SCALE = 1000
+PER_MILLE = 1000
 PPM = 1_000_000
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 @define(eq=False)
@@ -106,16 +106,16 @@
             self.gate.in_flight,
             self.gate.queued,
             state.server.compute_limit(),
-            round(self.gate.measures.load.demand * SCALE),
+            round(self.gate.measures.load.demand * PER_MILLE),
             state.table.version,
             [
-                ttypes.RouteTime(name, stats.run_s * MS)
+                ttypes.RouteTime(name, stats.run_s * MS_PER_S)
                 for name, stats in self.gate.measures.routes.items()
             ],
             rows[:MAX_ROWS],
             round(self.gate.measures.failure_share * PPM),
             counts,
-            round(self.gate.measures.load.wait * SCALE),
+            round(self.gate.measures.load.wait * PER_MILLE),
             round(self.gate.measures.lost_share * PPM),
         )
 
--- a/eelgrassmount/relay/estimates.py
+++ b/eelgrassmount/relay/estimates.py
@@ -125,26 +125,26 @@
 
 
 def compute_standard_errors(
-    spans: Sample, calls: StateTable, rates: list[float]
+    durations: Sample, calls: StateTable, rates: list[float]
 ) -> list[float]:
     """Return the standard errors of the rates.
 
     They derive from the Fisher information of the states, scaled up if calls are more
     dispersed than independent calls would be.
     """
-    call_rates = spans.compute_state_rates(rates)
+    call_rates = durations.compute_state_rates(rates)
     excess = 0.0
-    for state, span, call_rate in zip(
-        spans.states, spans.amounts, call_rates, strict=True
+    for state, duration, call_rate in zip(
+        durations.states, durations.amounts, call_rates, strict=True
     ):
         if call_rate > 0:
-            expected = call_rate * span
+            expected = call_rate * duration
             excess += (calls.get(state, 0.0) - expected) ** 2 / (expected + 1.0)
     dispersion = math.sqrt(max(1.0, excess / max(1, len(call_rates) - len(rates))))
     # states without a positive rate carry no information
     divisors = [call_rate if call_rate > 0 else math.inf for call_rate in call_rates]
-    weights = list(map(truediv, spans.amounts, divisors))
-    variances = invert_diagonal(_sum_products(spans.columns, weights))
+    weights = list(map(truediv, durations.amounts, divisors))
+    variances = invert_diagonal(_sum_products(durations.columns, weights))
     return [math.sqrt(variance) * dispersion for variance in variances]
 
 
--- a/eelgrassmount/relay/measures.py
+++ b/eelgrassmount/relay/measures.py
@@ -11,7 +11,7 @@
 
     from eelgrassmount.relay.routes import Route
 
-# maximum mean wait: share of the shortest time limit of calls, and its bounds
+# maximum mean wait: its share of the shortest time limit for calls, and its bounds
 MEAN_WAIT_SHARE = 0.3
 MIN_MEAN_WAIT_S = 0.01
 MAX_MEAN_WAIT_S = 0.1
@@ -34,11 +34,11 @@
 
 @define(eq=False)
 class RouteStats:
-    """Mean duration and number of the runs of a route, and its time limit of calls."""
+    """Mean duration and number of the runs of a route, and the limit for its calls."""
 
     run_s: float = DEFAULT_RUN_S
     runs: int = 0
-    allowed_s: float = 0.0
+    call_time_limit_s: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Add the duration of a run."""
@@ -79,13 +79,15 @@
     _last_queue_sample_s: float = 0.0
     _last_update_s: float = 0.0
 
-    def add_run(self, route_name: str, seconds: float, allowed_s: float) -> None:
+    def add_run(
+        self, route_name: str, seconds: float, call_time_limit_s: float
+    ) -> None:
         """Record the duration of a run, and the time limit for calls of its route."""
         self.mean_run_s += SAMPLE_WEIGHT * (seconds - self.mean_run_s)
         stats = self.routes.get(route_name)
         if stats is None:
             stats = self.routes[route_name] = RouteStats()
-        stats.allowed_s = allowed_s
+        stats.call_time_limit_s = call_time_limit_s
         stats.add(seconds)
 
     def record_outcome(self, failed: bool) -> None:
@@ -94,9 +96,9 @@
         self.lost_share -= SAMPLE_WEIGHT * self.lost_share
 
     def record_lost_run(self) -> None:
-        """Record a run that failed because a call of it failed.
+        """Record a run that failed because one of its calls failed.
 
-        It is no failure of the server: counting it as such would make the services that
+        This is no failure of the server: counting it as one would make the services that
         call an overloaded service seem overloaded too.
         """
         self.lost_share += SAMPLE_WEIGHT * (1.0 - self.lost_share)
@@ -136,7 +138,7 @@
 
         It is a share of the shortest time limit for calls of the routes that run here.
         """
-        time_limits = [stats.allowed_s for stats in self.routes.values()]
+        time_limits = [stats.call_time_limit_s for stats in self.routes.values()]
         if not time_limits:
             return MAX_MEAN_WAIT_S
         max_wait_s = MEAN_WAIT_SHARE * min(time_limits)
--- a/eelgrassmount/relay/members.py
+++ b/eelgrassmount/relay/members.py
@@ -11,9 +11,9 @@
 
     from eelgrassmount.relay.link import PeerLink
 
-# delay before an unreachable node is tried again: it doubles each time up to a limit
-RETRY_BASE_S = 0.25
-RETRY_LIMIT_S = 3.0
+# delay before an unreachable node is tried again; doubles with each failure
+MIN_RETRY_DELAY_S = 0.25
+MAX_RETRY_DELAY_S = 3.0
 MAX_MEMBERS = 10_000
 # an older report says nothing about the current load
 MAX_REPORT_AGE_S = 1.5
@@ -69,7 +69,7 @@
 
     def mark_unreachable(self, now_s: float) -> None:
         """Delay the next connection attempt, with exponential backoff."""
-        delay_s = min(RETRY_LIMIT_S, RETRY_BASE_S * 2**self.connect_failures)
+        delay_s = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2**self.connect_failures)
         self.connect_failures = min(self.connect_failures + 1, 8)
         self.retry_at_s = now_s + delay_s
 
--- a/eelgrassmount/relay/news.py
+++ b/eelgrassmount/relay/news.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.controllers import MS, PPM, SCALE
+from eelgrassmount.relay.controllers import MS_PER_S, PER_MILLE, PPM
 from eelgrassmount.relay.frames import QUOTA_KINDS, FrameKind
 from eelgrassmount.relay.rows import read_rows
 from eelgrassmount.retry.quarantine import QUARANTINE_S, Suspect
@@ -91,11 +91,11 @@
         load.in_flight = report.in_flight
         load.queued = report.queued
         load.limit = report.limit
-        load.demand = report.demand / SCALE
-        load.wait = report.wait / SCALE
+        load.demand = report.demand / PER_MILLE
+        load.wait = report.wait / PER_MILLE
         load.failure_share = report.failures_ppm / PPM
         load.lost_share = report.lost_ppm / PPM
-        load.run_s = {time.route_name: time.run_ms / MS for time in report.times}
+        load.run_s = {time.route_name: time.run_ms / MS_PER_S for time in report.times}
         load.reported_s = self.beliefs.clock()
         if report.counts:
             load.request_counts = {one.route_name: one.count for one in report.counts}
--- a/eelgrassmount/relay/states.py
+++ b/eelgrassmount/relay/states.py
@@ -38,11 +38,11 @@
     Places that a state lacks count as zero runs in flight. States without any run in
     flight are dropped, as they carry no information.
     """
-    found: StateTable = {}
+    reshaped: StateTable = {}
     width = 1 + max(places, default=-1)
     for state, amount in table.items():
         padded = state + (0,) * (width - len(state))
         picked = tuple([padded[place] for place in places])
         if any(picked):
-            found[picked] = found.get(picked, 0.0) + amount
-    return found
+            reshaped[picked] = reshaped.get(picked, 0.0) + amount
+    return reshaped
--- a/eelgrassmount/relay/vectors.py
+++ b/eelgrassmount/relay/vectors.py
@@ -30,7 +30,7 @@
 DECAY_FACTOR = 0.97
 # fewer calls per run count as coincidence
 MIN_CALLS_PER_RUN = 0.3
-# routes with fewer calls per run are no candidates for the caller
+# routes with fewer calls per run are not considered as callers
 MIN_CANDIDATE_CALLS_PER_RUN = 0.1
 # multiple of its standard error that a rate must reach
 MIN_SIGNIFICANCE = 4.0
@@ -205,7 +205,7 @@
         return Sample.from_table(self._read_table(self._durations), len(self._places))
 
     def _read_table(self, table: StateTable) -> StateTable:
-        """Return a table with all places, including those added since the last one."""
+        """Return a trimmed table that has the places of all tracked routes."""
         if list(self._places) != self._table_routes:
             table = reshape_table(table, range(len(self._places)))
         return trim_table(table, MAX_STATES)
--- a/tests/relay/test_gate.py
+++ b/tests/relay/test_gate.py
@@ -341,8 +341,8 @@
         DEMAND_WEIGHT * 3 * run_s / 2
     )
     # two wait for one of two seconds; three tenths of the least time are allowed
-    setup.gate.measures.routes["r"] = RouteStats(allowed_s=0.2)
-    setup.gate.measures.routes["s"] = RouteStats(allowed_s=0.4)
+    setup.gate.measures.routes["r"] = RouteStats(call_time_limit_s=0.2)
+    setup.gate.measures.routes["s"] = RouteStats(call_time_limit_s=0.4)
     assert setup.gate.measures.compute_max_mean_wait_s() == pytest.approx(0.06)
     assert setup.gate.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
 
