--- a/eelgrassmount/relay/measures.py
+++ b/eelgrassmount/relay/measures.py
@@ -98,8 +98,8 @@
     def record_lost_run(self) -> None:
         """Record a run that failed because one of its calls failed.
 
-        This is no failure of the server: counting it as one would make the callers of an
-        overloaded service seem overloaded too.
+        This is no failure of the server. Counting it as one would make the services
+        that call an overloaded one seem overloaded too.
         """
         self.lost_share += SAMPLE_WEIGHT * (1.0 - self.lost_share)
         # the server itself did not fail the run
