--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -13,7 +13,6 @@
 from eelgrassmount.platform.store import StoreClient
 from eelgrassmount.platform.topics import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
-from eelgrassmount.relay.answers import Answering
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.beliefs import Beliefs
 from eelgrassmount.relay.budget import RetryBudget
@@ -21,16 +20,17 @@
 from eelgrassmount.relay.decisions import DecisionLog
 from eelgrassmount.relay.entry import Entry
 from eelgrassmount.relay.gate import Gate
-from eelgrassmount.relay.inbound import Inbound
+from eelgrassmount.relay.inbound import InboundLinks
 from eelgrassmount.relay.learning import make_tally
 from eelgrassmount.relay.levels import ServiceLevels
 from eelgrassmount.relay.lineage import Lineage
-from eelgrassmount.relay.link import LinkEvents
-from eelgrassmount.relay.links import LinkKeeper
+from eelgrassmount.relay.link import LinkHandlers
+from eelgrassmount.relay.links import LinkManager
 from eelgrassmount.relay.members import MemberTable
 from eelgrassmount.relay.metrics import RelayMetrics
-from eelgrassmount.relay.news import News
+from eelgrassmount.relay.peer_updates import PeerUpdates
 from eelgrassmount.relay.refused import RefusedMessages
+from eelgrassmount.relay.responder import Responder
 from eelgrassmount.relay.routing import Router
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.relay.server import LocalServer
@@ -120,18 +120,18 @@
         on_end=note_end,
         is_lost_below=lineage.is_lost,
         claim_loss=lineage.claim_loss,
-        on_crash=lambda ended, jobs: news.note_crash(ended, jobs),
+        on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
         call_later=call_later,
     )
-    inbound = Inbound(
+    inbound = InboundLinks(
         incarnation,
         gate,
         clock,
         beliefs.find_route,
         beliefs.make_hello,
-        lambda hello: news.note_caller(hello),
-        lambda kind, struct, send: news.take_frame(kind, struct, send),
+        lambda hello: news.register_caller(hello),
+        lambda kind, struct, send: news.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
         beliefs,
@@ -141,11 +141,11 @@
         lambda records: node.take_nodes(records),
         lambda: make_tally(beliefs, admission.rates),
     )
-    news = News(
+    news = PeerUpdates(
         beliefs,
         quarantine,
         lambda document: node.apply_document(document),
-        inbound.tell_all,
+        inbound.broadcast,
         readers,
         lambda kind, struct, send: quotas.take_frame(kind, struct, send),
     )
@@ -163,13 +163,13 @@
         lambda name: name in beliefs.client_routes,
         rng,
     )
-    events = LinkEvents(
+    events = LinkHandlers(
         beliefs.make_hello,
-        news.note_hello,
-        news.note_report,
-        news.take_frame,
+        news.handle_hello,
+        news.handle_report,
+        news.handle_frame,
     )
-    links = LinkKeeper(beliefs, events)
+    links = LinkManager(beliefs, events)
     controllers = Controllers(
         beliefs, gate, inbound, ServiceLevels(beliefs).update, admission.update
     )
@@ -184,7 +184,7 @@
         clock,
         links.open_link,
     )
-    answers = Answering(
+    answers = Responder(
         DIALECT,
         sender,
         admission,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -30,10 +30,10 @@
     from eelgrassmount.relay.entry import Entry
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.heartbeats import Heartbeat
-    from eelgrassmount.relay.inbound import Inbound
-    from eelgrassmount.relay.links import LinkKeeper
+    from eelgrassmount.relay.inbound import InboundLinks
+    from eelgrassmount.relay.links import LinkManager
     from eelgrassmount.relay.metrics import RelayMetrics
-    from eelgrassmount.relay.news import News
+    from eelgrassmount.relay.peer_updates import PeerUpdates
     from eelgrassmount.relay.refused import RefusedMessages
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.settings import RelaySettings
@@ -56,12 +56,12 @@
     settings: RelaySettings
     beliefs: Beliefs
     gate: Gate
-    inbound: Inbound
+    inbound: InboundLinks
     entry: Entry
     admission: Admission
     controllers: Controllers
-    links: LinkKeeper
-    news: News
+    links: LinkManager
+    news: PeerUpdates
     decisions: DecisionLog
     metrics: RelayMetrics
     store: StoreClient
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -26,8 +26,8 @@
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.learning import apply_vectors, count_calls
 from eelgrassmount.relay.reload import WATCH_PERIOD_S, SettingsWatch
+from eelgrassmount.relay.shutdown import Shutdown
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
-from eelgrassmount.relay.stopping import Stopping
 from eelgrassmount.relay.vectors import INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.learned import PERIOD_S
@@ -42,7 +42,7 @@
     from anyio.abc import TaskGroup
 
     from eelgrassmount.compose.relay_node import RelayNode
-    from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.inbound import InboundLinks
 
 METRICS_PORT = 9464
 # an announcement has some hundred bytes, and other calls to these listeners none
@@ -81,7 +81,7 @@
 
 async def stop_relay(node: RelayNode) -> None:
     """End a node in order: clients go first, then calls of other nodes."""
-    stopping = Stopping(
+    stopping = Shutdown(
         node.beliefs,
         node.callers,
         node.inbound,
@@ -154,7 +154,7 @@
     await _bind(node.callers, settings.caller_address)
 
 
-async def _bind(listener: HttpListener | Inbound, address: Address) -> None:
+async def _bind(listener: HttpListener | InboundLinks, address: Address) -> None:
     try:
         await listener.start(address.host, address.port)
     except OSError as error:
@@ -171,7 +171,7 @@
         node.metrics.stalls.inc,
     )
     timers.subscribe(LINK_PERIOD_S, stalls.check)
-    timers.subscribe(LINK_PERIOD_S, node.links.watch_links)
+    timers.subscribe(LINK_PERIOD_S, node.links.maintain_links)
     timers.subscribe(STEP_S, node.readers.step)
     timers.subscribe(STEP_S, node.quotas.step)
     timers.subscribe(STEP_S, node.controllers.step)
--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -23,7 +23,7 @@
 
 # characters of the name of a route: a host and the begin of a path, which have room
 # in the headers of a request
-MAX_ROUTE_LENGTH = 65536
+MAX_ROUTE_NAME_LENGTH = 65536
 # characters of an incarnation or a digest, which have some dozen
 MAX_ID_LENGTH = 512
 # a call may take an hour, as a client may ask for
@@ -31,14 +31,14 @@
 # calls at one server; a VM has some thousand descriptors
 MAX_CALLS = 1_000_000
 # load as a part of what is possible, in thousandths
-MAX_LOAD = 1_000_000_000
+MAX_LOAD_MILLI = 1_000_000_000
 MAX_PPM = 1_000_000
-MAX_VERSION = 2**62
+MAX_COUNTER = 2**62
 # calls that one run makes, and requests or milliseconds of one route
 MAX_COUNT = 1e9
 
 _REASONS = frozenset(str(reason) for reason in Reason)
-_FATES = frozenset(int(fate) for fate in Fate)
+_OUTCOMES = frozenset(int(fate) for fate in Fate)
 
 
 def check_struct(struct: Any) -> None:
@@ -52,13 +52,13 @@
 
 
 def _require_all(struct: Any) -> None:
-    optional = _OPTIONAL.get(type(struct))
+    optional = _OPTIONAL_FIELDS.get(type(struct))
     for name, value in vars(struct).items():
         if value is None and name != optional:
-            _refuse(struct, name, "missing or of another type")
+            _raise_invalid(struct, name, "missing or of another type")
 
 
-def _refuse(struct: Any, name: str, cause: str) -> None:
+def _raise_invalid(struct: Any, name: str, cause: str) -> None:
     raise BadFrameError(f"{type(struct).__name__}.{name} is {cause}")
 
 
@@ -66,14 +66,14 @@
     values = struct.__dict__
     for name, most in highest.items():
         if not 0 <= values[name] <= most:
-            _refuse(struct, name, f"not from 0 to {most}")
+            _raise_invalid(struct, name, f"not from 0 to {most}")
 
 
 def _check_texts(struct: Any, names: Iterable[str], longest: int) -> None:
     for name in names:
         text = getattr(struct, name)
         if not is_printable(text, longest):
-            _refuse(struct, name, f"no plain text of 1 to {longest} characters")
+            _raise_invalid(struct, name, f"no plain text of 1 to {longest} characters")
 
 
 def _check_address(struct: Any) -> None:
@@ -85,7 +85,7 @@
 
 def _check_hello(hello: ttypes.RelayHello) -> None:
     _check_node(hello)
-    _check_ranges(hello, {"config_version": MAX_VERSION})
+    _check_ranges(hello, {"config_version": MAX_COUNTER})
     _check_texts(hello, ("incarnation",), MAX_ID_LENGTH)
 
 
@@ -98,16 +98,16 @@
 def _check_call(call: ttypes.RelayCall) -> None:
     _check_ranges(call, _CALL_RANGES)
     if not (call.method and call.target and call.route_name):
-        _refuse(call, "method, target or route_name", "empty")
-    _check_lines(call)
+        _raise_invalid(call, "method, target or route_name", "empty")
+    _check_request_lines(call)
     _check_head(call)
 
 
-def _check_lines(call: ttypes.RelayCall) -> None:
+def _check_request_lines(call: ttypes.RelayCall) -> None:
     """Refuse texts that would not stay within their line of a request."""
     line = f"{call.method}{call.target}{call.request_id}{call.caller_service}"
     if "\r" in line or "\n" in line:
-        _refuse(call, "method, target or a header", "more than a line")
+        _raise_invalid(call, "method, target or a header", "more than a line")
     try:
         line.encode("latin-1")
     except UnicodeEncodeError as error:
@@ -118,16 +118,16 @@
     """Refuse a block of headers that would end before its end, or not with it."""
     head = struct.head
     if head and (not head.endswith(b"\r\n") or b"\r\n\r\n" in b"\r\n" + head):
-        _refuse(struct, "head", "no block of whole lines")
+        _raise_invalid(struct, "head", "no block of whole lines")
 
 
 def _check_reply(reply: ttypes.RelayReply) -> None:
-    if reply.outcome not in _FATES:
-        _refuse(reply, "outcome", "none that is known")
+    if reply.outcome not in _OUTCOMES:
+        _raise_invalid(reply, "outcome", "none that is known")
     if reply.reason and reply.reason not in _REASONS:
-        _refuse(reply, "reason", "none that is known")
+        _raise_invalid(reply, "reason", "none that is known")
     if reply.outcome == Fate.ANSWERED and not 100 <= reply.status <= 999:
-        _refuse(reply, "status", "no status of an answer")
+        _raise_invalid(reply, "status", "no status of an answer")
     _check_ranges(reply, _REPLY_RANGES)
     _check_head(reply)
 
@@ -155,12 +155,12 @@
     values = row.__dict__
     for name in names:
         text = values[name]
-        if text is None or not 0 < len(text) <= MAX_ROUTE_LENGTH:
-            _refuse(row, name, "no name of a route")
+        if text is None or not 0 < len(text) <= MAX_ROUTE_NAME_LENGTH:
+            _raise_invalid(row, name, "no name of a route")
     value = values[number]
     # NaN and infinity lie within no bounds
     if value is None or not 0 <= value <= MAX_COUNT:
-        _refuse(row, number, f"not from 0 to {MAX_COUNT:g}")
+        _raise_invalid(row, number, f"not from 0 to {MAX_COUNT:g}")
 
 
 def _check_tally(tally: ttypes.RelayTally) -> None:
@@ -186,78 +186,78 @@
 
 def _check_subscribe(struct: ttypes.RelaySubscribe) -> None:
     _check_texts(struct, ("node_name", "failure_domain"), MAX_NAME_LENGTH)
-    _check_ranges(struct, {"next_offset": MAX_VERSION})
+    _check_ranges(struct, {"next_offset": MAX_COUNTER})
     _check_era(struct)
     _require_all(struct.tally)
     _check_tally(struct.tally)
 
 
 def _check_era(struct: ttypes.RelaySubscribe | ttypes.RelayNews) -> None:
-    if not UNKNOWN_ERA <= struct.era <= MAX_VERSION:
-        _refuse(struct, "era", f"not from {UNKNOWN_ERA} to {MAX_VERSION}")
+    if not UNKNOWN_ERA <= struct.era <= MAX_COUNTER:
+        _raise_invalid(struct, "era", f"not from {UNKNOWN_ERA} to {MAX_COUNTER}")
 
 
 def _check_news(news: ttypes.RelayNews) -> None:
     _check_texts(news, ("node_name",), MAX_NAME_LENGTH)
-    _check_ranges(news, {"config_version": MAX_VERSION, "next_offset": MAX_VERSION})
+    _check_ranges(news, {"config_version": MAX_COUNTER, "next_offset": MAX_COUNTER})
     _check_era(news)
     _require_all(news.tally)
     _check_tally(news.tally)
     for record in news.records:
         _require_all(record)
-        _check_ranges(record, {"offset": MAX_VERSION})
+        _check_ranges(record, {"offset": MAX_COUNTER})
 
 
 def _check_quota_ask(ask: ttypes.RelayQuotaAsk) -> None:
     _check_texts(ask, ("node_name",), MAX_NAME_LENGTH)
-    _check_ranges(ask, {"number": MAX_VERSION})
+    _check_ranges(ask, {"number": MAX_COUNTER})
     for name in ask.holders:
         if not is_printable(name, MAX_NAME_LENGTH):
-            _refuse(ask, "holders", "not a list of names")
+            _raise_invalid(ask, "holders", "not a list of names")
     for use in ask.uses:
         _require_all(use)
         _check_texts(use, ("team_name",), MAX_NAME_LENGTH)
         _check_ranges(use, {"wanted": MAX_CALLS})
         if abs(use.used) > MAX_CALLS:
-            _refuse(use, "used", f"not from {-MAX_CALLS} to {MAX_CALLS}")
+            _raise_invalid(use, "used", f"not from {-MAX_CALLS} to {MAX_CALLS}")
 
 
 def _check_quota_grants(struct: ttypes.RelayQuotaGrants) -> None:
     _check_texts(struct, ("node_name",), MAX_NAME_LENGTH)
-    _check_ranges(struct, {"number": MAX_VERSION})
+    _check_ranges(struct, {"number": MAX_COUNTER})
     for grant in struct.grants:
         _require_all(grant)
         _check_texts(grant, ("team_name",), MAX_NAME_LENGTH)
         _check_ranges(grant, _GRANT_RANGES)
         if grant.granted > grant.wanted:
-            _refuse(grant, "granted", "more than what was asked for")
+            _raise_invalid(grant, "granted", "more than what was asked for")
 
 
 def _check_quota_borrow(borrow: ttypes.RelayQuotaBorrow) -> None:
     _check_texts(borrow, ("node_name", "team_name"), MAX_NAME_LENGTH)
-    _check_ranges(borrow, {"number": MAX_VERSION, "wanted": MAX_CALLS})
+    _check_ranges(borrow, {"number": MAX_COUNTER, "wanted": MAX_CALLS})
 
 
 def _check_quota_loan(loan: ttypes.RelayQuotaLoan) -> None:
     _check_texts(loan, ("node_name",), MAX_NAME_LENGTH)
-    _check_ranges(loan, {"number": MAX_VERSION, "amount": MAX_CALLS})
+    _check_ranges(loan, {"number": MAX_COUNTER, "amount": MAX_CALLS})
 
 
 def _check_suspects(suspects: ttypes.RelaySuspects) -> None:
     _check_texts(suspects, ("crash_id",), MAX_ID_LENGTH)
     for digest in suspects.digests:
         if not is_printable(digest, MAX_ID_LENGTH):
-            _refuse(suspects, "digests", "not a list of digests")
+            _raise_invalid(suspects, "digests", "not a list of digests")
 
 
 def _check_config(config: ttypes.RelayConfig) -> None:
-    _check_ranges(config, {"version": MAX_VERSION})
+    _check_ranges(config, {"version": MAX_COUNTER})
 
 
 _CALL_NAMES = ("run_route", "called_route")
 _CALL_RANGES = {
     "remaining_ms": MAX_REMAINING_MS,
-    "sequence": MAX_VERSION,
+    "sequence": MAX_COUNTER,
     "priority": MAX_RANK,
     "left": MAX_CALLS,
 }
@@ -272,14 +272,14 @@
     "in_flight": MAX_CALLS,
     "queued": MAX_CALLS,
     "limit": MAX_CALLS,
-    "demand": MAX_LOAD,
-    "wait": MAX_LOAD,
+    "demand": MAX_LOAD_MILLI,
+    "wait": MAX_LOAD_MILLI,
     "failures_ppm": MAX_PPM,
     "lost_ppm": MAX_PPM,
-    "config_version": MAX_VERSION,
+    "config_version": MAX_COUNTER,
 }
 # fields that may be missing: a reply with an answer has no reason
-_OPTIONAL = {ttypes.RelayReply: "reason"}
+_OPTIONAL_FIELDS = {ttypes.RelayReply: "reason"}
 _CHECKS: dict[type, Callable[[Any], None]] = {
     ttypes.RelayHello: _check_hello,
     ttypes.RelayCall: _check_call,
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -18,7 +18,7 @@
 
     from eelgrassmount.relay.beliefs import Beliefs
     from eelgrassmount.relay.gate import Gate
-    from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.inbound import InboundLinks
     from eelgrassmount.relay.routes import RouteTable
 
 # rows of the vectors that one report carries at most
@@ -46,7 +46,7 @@
 
     beliefs: Beliefs
     gate: Gate
-    inbound: Inbound
+    inbound: InboundLinks
     update_levels: Callable[[], None]
     update_shares: Callable[[RouteTable], None]
     _steps: int = 0
@@ -69,14 +69,14 @@
                 self._rows_step = self._steps
             report = self.make_report(with_rows)
             only_active = not self._is_loaded()
-            self.inbound.tell_all(FrameKind.REPORT, report, only_active=only_active)
+            self.inbound.broadcast(FrameKind.REPORT, report, only_active=only_active)
 
     def _find_period(self) -> int:
         """Return the steps between two reports, more with more callers."""
         if self._is_loaded():
             told = len(self.inbound.connections)
             return max(1, math.ceil(told / REPORTS_PER_STEP_LOADED))
-        callers = self.inbound.count_active()
+        callers = self.inbound.count_active_senders()
         return max(1, math.ceil(callers / REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
@@ -87,7 +87,7 @@
         """Tell the other nodes at once, as when the server leaves."""
         self._note_own_load()
         report = self.make_report(False)
-        self.inbound.tell_all(FrameKind.REPORT, report, only_active=False)
+        self.inbound.broadcast(FrameKind.REPORT, report, only_active=False)
 
     def make_report(self, with_rows: bool) -> ttypes.RelayReport:
         """Return what this node tells of its server."""
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/entry.py
@@ -18,9 +18,9 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.answers import Answering
     from eelgrassmount.relay.dialect import Dialect, RequestHead
     from eelgrassmount.relay.lineage import Lineage, MadeCall
+    from eelgrassmount.relay.responder import Responder
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
@@ -43,7 +43,7 @@
 
     own_service: Callable[[], str]
     dialect: Dialect
-    answers: Answering
+    answers: Responder
     admission: Admission
     quarantine: Quarantine
     clock: Callable[[], float]
@@ -69,7 +69,7 @@
         path = exchange.target.partition("?")[0]
         route = table.find(head.host, path)
         if route is None:
-            self.answers.answer_unknown(exchange, head)
+            self.answers.answer_unknown_route(exchange, head)
             return
         access = judge_key(table.teams, route.needs_key, head.api_key, self.is_current)
         team = access.team
@@ -81,7 +81,7 @@
             reason = access.refusal
             self.answers.refuse_uninformed(exchange, head, route.name, reason)
         else:
-            self.answers.refuse_access(exchange, head, route.name, access.refusal)
+            self.answers.refuse_unauthorized(exchange, head, route.name, access.refusal)
 
     def _take_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
@@ -126,7 +126,7 @@
         if call.is_quarantined(self.quarantine, call.arrived_s):
             self.answers.refuse(flow, Reason.QUARANTINED)
             return
-        self.answers.begin(flow)
+        self.answers.start(flow)
 
     def _find_origin(
         self, route: Route, team: Team | None, made: MadeCall | None
--- a/eelgrassmount/relay/frames.py
+++ b/eelgrassmount/relay/frames.py
@@ -18,11 +18,11 @@
 from eelgrassmount.relay.checks import check_struct
 
 LENGTH_BYTES = 4
-HEAD_BYTES = LENGTH_BYTES + 1
+HEADER_BYTES = LENGTH_BYTES + 1
 MAX_FRAME_BYTES = 128 * 1024 * 1024
 # entries of one list; reports and records have some hundred. An entry may be written
 # as one byte and takes some hundred once it is decoded
-MAX_ENTRIES = 50_000
+MAX_LIST_ENTRIES = 50_000
 
 
 class FrameKind(IntEnum):
@@ -53,7 +53,7 @@
         FrameKind.QUOTA_LOAN,
     )
 )
-_STRUCTS = {
+_STRUCT_TYPES = {
     FrameKind.HELLO: ttypes.RelayHello,
     FrameKind.CALL: ttypes.RelayCall,
     FrameKind.REPLY: ttypes.RelayReply,
@@ -78,12 +78,12 @@
     # a body may be as long as a frame; by the library's own limit, a longer one would
     # be taken for a bad frame and the link dropped
     string_length_limit=MAX_FRAME_BYTES,
-    container_length_limit=MAX_ENTRIES,
+    container_length_limit=MAX_LIST_ENTRIES,
 )
 
 
 # handles a frame; the function that it is given sends one back
-FrameTaker = Callable[[FrameKind, Any, Callable[[FrameKind, Any], None]], None]
+FrameHandler = Callable[[FrameKind, Any, Callable[[FrameKind, Any], None]], None]
 
 
 def encode_struct(struct: Any) -> bytes:
@@ -93,18 +93,18 @@
     return buffer.getvalue()
 
 
-def decode_struct(make: Any, payload: bytes) -> Any:
+def decode_struct(struct_type: Any, payload: bytes) -> Any:
     """Return a thrift struct, raising `BadFrameError` if there is none.
 
     All its fields are there and within their range, see `check_struct`.
     """
-    struct = make()
+    struct = struct_type()
     _PROTOCOL.trans = TMemoryBuffer(payload)
     try:
         struct.read(_PROTOCOL)
     # the accelerated decoder raises many types on malformed input
     except Exception as error:
-        raise BadFrameError(f"not a {make.__name__}: {error!r}") from error
+        raise BadFrameError(f"not a {struct_type.__name__}: {error!r}") from error
     check_struct(struct)
     return struct
 
@@ -131,7 +131,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell that the connection is gone."""
         self.closed = True
-        self.note_lost()
+        self.handle_connection_lost()
 
     def send(self, kind: FrameKind, struct: Any) -> None:
         """Send a frame; nothing is sent on a connection that is gone."""
@@ -160,7 +160,7 @@
         position = 0
         size = len(buffer)
         try:
-            while size - position >= HEAD_BYTES:
+            while size - position >= HEADER_BYTES:
                 length = int.from_bytes(buffer[position : position + 4], "big")
                 if not 1 <= length <= MAX_FRAME_BYTES:
                     raise OverlongFrameError(f"a frame of {length} bytes")
@@ -168,22 +168,22 @@
                 if end > size:
                     break
                 kind = buffer[position + LENGTH_BYTES]
-                self._take(kind, buffer[position + HEAD_BYTES : end])
+                self._dispatch_frame(kind, buffer[position + HEADER_BYTES : end])
                 position = end
         except BadFrameError as error:
-            self.note_bad(error)
+            self.handle_bad_frame(error)
             self.abort()
             return
         self._buffer = buffer[position:] if position else buffer
 
-    def _take(self, kind: int, payload: bytes) -> None:
-        make = _STRUCTS.get(kind)
+    def _dispatch_frame(self, kind: int, payload: bytes) -> None:
+        struct_type = _STRUCT_TYPES.get(kind)
         # kinds of later releases are skipped
-        if make is None:
+        if struct_type is None:
             return
-        struct = decode_struct(make, payload)
+        struct = decode_struct(struct_type, payload)
         try:
-            self.note_frame(FrameKind(kind), struct)
+            self.handle_frame(FrameKind(kind), struct)
         except Exception as error:
             # what this end believes of the link can't be trusted any more
             name = FrameKind(kind).name
@@ -191,13 +191,13 @@
             raise BadFrameError(f"the handler of {name} failed") from error
 
     @abstractmethod
-    def note_frame(self, kind: FrameKind, struct: Any) -> None:
+    def handle_frame(self, kind: FrameKind, struct: Any) -> None:
         """Handle a frame."""
 
     @abstractmethod
-    def note_bad(self, error: BadFrameError) -> None:
+    def handle_bad_frame(self, error: BadFrameError) -> None:
         """Handle bytes that are no frame; the connection is dropped after it."""
 
     @abstractmethod
-    def note_lost(self) -> None:
+    def handle_connection_lost(self) -> None:
         """Handle the end of the connection."""
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -18,43 +18,43 @@
     from collections.abc import Callable
 
     from eelgrassmount.errors import BadFrameError
-    from eelgrassmount.relay.frames import FrameTaker
+    from eelgrassmount.relay.frames import FrameHandler
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.routes import Route
 
 # replies to calls that must not run twice are kept for a sender that asks again
-KEEP_REPLY_S = 6.0
+REPLY_RETENTION_S = 6.0
 # the numbers of a sender without a connection are kept as long as one of its calls
 # could be asked for again: longer than the time-outs of routes, which are seconds
-KEEP_SENDER_S = 600.0
+SENDER_RETENTION_S = 600.0
 # runs whose link broke go on so long for a sender that comes again over a new one,
 # well within the half second in which those that nobody waits for are to end
-JOIN_WAIT_S = 0.3
+REJOIN_TIMEOUT_S = 0.3
 # a sender that has been quiet for longer gets no more reports
-ACTIVE_S = 3.0
+ACTIVE_WINDOW_S = 3.0
 
 
 @define(eq=False)
-class Kept:
+class ReceivedCall:
     """A call of another node, and its reply where that is kept."""
 
     key: tuple[str, int]
     connection: InboundConnection
     job: Job | None = None
     reply: Reply | None = None
-    ended_s: float = 0.0
+    finished_s: float = 0.0
 
 
 @define
-class Numbering:
+class SenderSequence:
     """The highest sequence of a sender, and when it last had a connection."""
 
     latest: int
-    seen_s: float
+    last_connected_s: float
 
 
 @define(eq=False)
-class Inbound:
+class InboundLinks:
     """Takes links of other nodes.
 
     A call is known by its sender's incarnation and sequence, so that one that comes
@@ -68,12 +68,12 @@
     clock: Callable[[], float]
     find_route: Callable[[str, bool], Route]
     make_hello: Callable[[], ttypes.RelayHello]
-    note_caller: Callable[[ttypes.RelayHello], bool]
-    take_frame: FrameTaker
+    register_caller: Callable[[ttypes.RelayHello], bool]
+    handle_frame: FrameHandler
     accepting: bool = True
     connections: set[InboundConnection] = field(factory=set)
-    kept: dict[tuple[str, int], Kept] = field(factory=dict)
-    senders: dict[str, Numbering] = field(factory=dict)
+    received_calls: dict[tuple[str, int], ReceivedCall] = field(factory=dict)
+    senders: dict[str, SenderSequence] = field(factory=dict)
     _server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -90,32 +90,34 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def tell_all(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
+    def broadcast(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
         """Send a frame to the nodes that send calls here."""
         frame = encode_frame(kind, struct)
-        for connection in self._list_active() if only_active else self.connections:
+        for connection in (
+            self._list_active_connections() if only_active else self.connections
+        ):
             connection.send_encoded(frame)
 
-    def count_active(self) -> int:
+    def count_active_senders(self) -> int:
         """Return how many nodes have lately sent calls here."""
-        return len(self._list_active())
+        return len(self._list_active_connections())
 
-    def _list_active(self) -> list[InboundConnection]:
-        oldest_s = self.clock() - ACTIVE_S
-        return [one for one in self.connections if one.heard_s > oldest_s]
+    def _list_active_connections(self) -> list[InboundConnection]:
+        oldest_s = self.clock() - ACTIVE_WINDOW_S
+        return [one for one in self.connections if one.last_received_s > oldest_s]
 
-    def note_sequence(self, sender: str, sequence: int) -> None:
+    def record_sequence(self, sender: str, sequence: int) -> None:
         """Take up the number of a call that a sender has made."""
-        numbering = self.senders.get(sender)
-        if numbering is None:
-            self.senders[sender] = Numbering(sequence, self.clock())
+        sender_sequence = self.senders.get(sender)
+        if sender_sequence is None:
+            self.senders[sender] = SenderSequence(sequence, self.clock())
         else:
-            numbering.latest = max(sequence, numbering.latest)
+            sender_sequence.latest = max(sequence, sender_sequence.latest)
 
-    def find_latest(self, sender: str) -> int:
+    def find_latest_sequence(self, sender: str) -> int:
         """Return the highest sequence of a sender, 0 when it is not known."""
-        numbering = self.senders.get(sender)
-        return 0 if numbering is None else numbering.latest
+        sender_sequence = self.senders.get(sender)
+        return 0 if sender_sequence is None else sender_sequence.latest
 
     def expire(self) -> None:
         """Forget replies and senders that nobody will ask for any more."""
@@ -123,18 +125,19 @@
         self._expire_senders(now_s)
         old = [
             key
-            for key, kept in self.kept.items()
-            if kept.reply is not None and now_s - kept.ended_s > KEEP_REPLY_S
+            for key, received in self.received_calls.items()
+            if received.reply is not None
+            and now_s - received.finished_s > REPLY_RETENTION_S
         ]
         for key in old:
-            del self.kept[key]
+            del self.received_calls[key]
 
     def _expire_senders(self, now_s: float) -> None:
         present = {connection.sender for connection in self.connections}
-        for sender, numbering in list(self.senders.items()):
+        for sender, sender_sequence in list(self.senders.items()):
             if sender in present:
-                numbering.seen_s = now_s
-            elif now_s - numbering.seen_s > KEEP_SENDER_S:
+                sender_sequence.last_connected_s = now_s
+            elif now_s - sender_sequence.last_connected_s > SENDER_RETENTION_S:
                 del self.senders[sender]
 
     def count_open(self) -> int:
@@ -148,12 +151,12 @@
 class InboundConnection(FrameConnection):
     """One link of another node."""
 
-    def __init__(self, inbound: Inbound):
+    def __init__(self, inbound: InboundLinks):
         super().__init__()
         self.inbound = inbound
         self.jobs: dict[int, Job] = {}
         self.sender = ""
-        self.heard_s = inbound.clock()
+        self.last_received_s = inbound.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Say who this node is."""
@@ -161,22 +164,22 @@
         self.inbound.connections.add(self)
         self.send(FrameKind.HELLO, self.inbound.make_hello())
 
-    def note_lost(self) -> None:
+    def handle_connection_lost(self) -> None:
         """Give up soon what the sender doesn't ask for again."""
         if self.jobs:
-            self._wait_to_join(self.inbound.clock())
+            self._schedule_drop(self.inbound.clock())
         else:
             self._drop()
 
-    def _wait_to_join(self, begun_s: float) -> None:
+    def _schedule_drop(self, waiting_since_s: float) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(JOIN_WAIT_S, self._end_wait, begun_s)
+        loop.call_later(REJOIN_TIMEOUT_S, self._drop_unless_paused, waiting_since_s)
 
-    def _end_wait(self, begun_s: float) -> None:
+    def _drop_unless_paused(self, waiting_since_s: float) -> None:
         """Drop what was not joined, unless this node paused and heard nobody."""
         now_s = self.inbound.clock()
-        if now_s - begun_s > 2 * JOIN_WAIT_S:
-            self._wait_to_join(now_s)
+        if now_s - waiting_since_s > 2 * REJOIN_TIMEOUT_S:
+            self._schedule_drop(now_s)
         else:
             self._drop()
 
@@ -187,35 +190,35 @@
                 self._cancel(sequence)
         self.jobs.clear()
 
-    def note_bad(self, error: BadFrameError) -> None:
+    def handle_bad_frame(self, error: BadFrameError) -> None:
         """Say that the other node sent what is no frame."""
         logger.warning("bad frame", peer=self.sender, cause=str(error))
 
-    def note_frame(self, kind: FrameKind, struct: Any) -> None:
+    def handle_frame(self, kind: FrameKind, struct: Any) -> None:
         """Handle a frame of the other node."""
-        self.heard_s = self.inbound.clock()
+        self.last_received_s = self.inbound.clock()
         if kind is FrameKind.CALL:
-            self._take_call(struct)
+            self._handle_call(struct)
         elif kind is FrameKind.CANCEL:
             self._cancel(struct.sequence)
         elif kind is FrameKind.HELLO:
             self.sender = f"{struct.node_name}/{struct.incarnation}"
-            if self.inbound.note_caller(struct):
+            if self.inbound.register_caller(struct):
                 self.send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(0))
         elif kind is FrameKind.PING:
             self.send(FrameKind.PING, struct)
         else:
-            self.inbound.take_frame(kind, struct, self.send)
+            self.inbound.handle_frame(kind, struct, self.send)
 
-    def _take_call(self, frame: ttypes.RelayCall) -> None:
-        if self._join(frame):
+    def _handle_call(self, frame: ttypes.RelayCall) -> None:
+        if self._resume_call(frame):
             return
         sequence = frame.sequence
-        kept = Kept((self.sender, sequence), self)
-        job = Job(self._read_call(frame), lambda reply: self._end(kept, reply))
-        kept.job = job
-        self.inbound.kept[kept.key] = kept
-        self.inbound.note_sequence(self.sender, sequence)
+        received = ReceivedCall((self.sender, sequence), self)
+        job = Job(self._read_call(frame), lambda reply: self._finish(received, reply))
+        received.job = job
+        self.inbound.received_calls[received.key] = received
+        self.inbound.record_sequence(self.sender, sequence)
         self.jobs[sequence] = job
         if self.inbound.accepting:
             self.inbound.gate.offer(job)
@@ -223,11 +226,11 @@
             job.ended = True
             job.done(Reply(Fate.NOT_RUN, Reason.DRAINING))
 
-    def _join(self, frame: ttypes.RelayCall) -> bool:
+    def _resume_call(self, frame: ttypes.RelayCall) -> bool:
         """Join a call that has come before; tell whether that settles it."""
-        kept = self.inbound.kept.get((self.sender, frame.sequence))
-        if kept is not None:
-            self._move(kept, frame)
+        received = self.inbound.received_calls.get((self.sender, frame.sequence))
+        if received is not None:
+            self._reattach(received, frame)
             return True
         if self._may_have_run(frame):
             reply = Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST)
@@ -235,14 +238,14 @@
             return True
         return False
 
-    def _move(self, kept: Kept, frame: ttypes.RelayCall) -> None:
-        if kept.reply is not None:
-            self._send_reply(frame.sequence, kept.reply)
+    def _reattach(self, received: ReceivedCall, frame: ttypes.RelayCall) -> None:
+        if received.reply is not None:
+            self._send_reply(frame.sequence, received.reply)
         elif frame.resumed:
             # one that is not marked comes late from a connection that is given up
-            kept.connection.jobs.pop(frame.sequence, None)
-            kept.connection = self
-            self.jobs[frame.sequence] = kept.job
+            received.connection.jobs.pop(frame.sequence, None)
+            received.connection = self
+            self.jobs[frame.sequence] = received.job
 
     def _may_have_run(self, frame: ttypes.RelayCall) -> bool:
         """Tell whether a call that is not known has come before, here or elsewhere.
@@ -252,7 +255,7 @@
         """
         if frame.resumed and frame.incarnation != self.inbound.incarnation:
             return True
-        return frame.sequence <= self.inbound.find_latest(self.sender)
+        return frame.sequence <= self.inbound.find_latest_sequence(self.sender)
 
     def _read_call(self, frame: ttypes.RelayCall) -> Call:
         now_s = self.inbound.clock()
@@ -272,18 +275,18 @@
             frame.again,
         )
 
-    def _end(self, kept: Kept, reply: Reply) -> None:
-        idempotent = kept.job.call.route.idempotent
+    def _finish(self, received: ReceivedCall, reply: Reply) -> None:
+        idempotent = received.job.call.route.idempotent
         # only the reply is asked for again
-        kept.job = None
-        sequence = kept.key[1]
-        connection = kept.connection
+        received.job = None
+        sequence = received.key[1]
+        connection = received.connection
         wanted = connection.jobs.pop(sequence, None) is not None
         if idempotent and not (wanted and connection.closed):
-            self.inbound.kept.pop(kept.key, None)
+            self.inbound.received_calls.pop(received.key, None)
         else:
-            kept.reply = reply
-            kept.ended_s = self.inbound.clock()
+            received.reply = reply
+            received.finished_s = self.inbound.clock()
         if wanted:
             connection._send_reply(sequence, reply)
 
@@ -292,11 +295,11 @@
         if job is None:
             return
         self.inbound.gate.cancel(job)
-        kept = self.inbound.kept.get((self.sender, sequence))
-        if kept is not None and kept.job is job and job.ended:
+        received = self.inbound.received_calls.get((self.sender, sequence))
+        if received is not None and received.job is job and job.ended:
             # it waited at the gate, which tells of it no more
-            kept.job = None
-            del self.inbound.kept[kept.key]
+            received.job = None
+            del self.inbound.received_calls[received.key]
 
     def _send_reply(self, sequence: int, reply: Reply) -> None:
         gate = self.inbound.gate
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -10,18 +10,18 @@
 
 if TYPE_CHECKING:
     from eelgrassmount.relay.beliefs import Beliefs
-    from eelgrassmount.relay.link import LinkEvents
+    from eelgrassmount.relay.link import LinkHandlers
     from eelgrassmount.relay.members import Member
 
 # links kept to the nodes of one service, those of the own failure domain first
-MAX_LINKS = 16
+MAX_LINKS_PER_SERVICE = 16
 # with so few services, links to all of them are opened before they are needed; with
 # more, a node would keep links to thousands of nodes that it never calls
-EAGER_SERVICES = 8
+MAX_EAGER_SERVICES = 8
 
 
 @frozen
-class ChosenLinks:
+class LinkSelection:
     """The nodes of a service that links are kept to, while no node has changed."""
 
     changes: int
@@ -29,14 +29,14 @@
 
 
 @define(eq=False)
-class LinkKeeper:
+class LinkManager:
     """Opens the links that are wanted, and finds those that are silent."""
 
     beliefs: Beliefs
-    events: LinkEvents
-    _chosen: dict[str, ChosenLinks] = field(factory=dict)
+    events: LinkHandlers
+    _selections: dict[str, LinkSelection] = field(factory=dict)
 
-    def watch_links(self) -> None:
+    def maintain_links(self) -> None:
         """Find silent links, and open those that are wanted and missing."""
         beliefs = self.beliefs
         now_s = beliefs.clock()
@@ -45,8 +45,8 @@
                 member.link.check_silence(now_s)
         for link in beliefs.members.list_retired():
             link.check_silence(now_s)
-        for service in self._list_wanted():
-            for member in self._choose_links(service):
+        for service in self._find_needed_services():
+            for member in self._select_members(service):
                 if member.name != beliefs.name and now_s >= member.retry_s:
                     self.open_link(member)
 
@@ -56,11 +56,11 @@
             member.link = PeerLink(member, self.beliefs.clock, self.events)
         member.link.connect()
 
-    def _list_wanted(self) -> set[str]:
+    def _find_needed_services(self) -> set[str]:
         """Return the services that requests of this VM need, directly or not."""
         beliefs = self.beliefs
         routes = beliefs.table.routes
-        if len(beliefs.members.by_service) <= EAGER_SERVICES:
+        if len(beliefs.members.by_service) <= MAX_EAGER_SERVICES:
             return {
                 target.service for route in routes.values() for target in route.targets
             }
@@ -71,17 +71,17 @@
             for service in beliefs.graph.count_calls(routes[name], beliefs.table)
         }
 
-    def _choose_links(self, service: str) -> list[Member]:
+    def _select_members(self, service: str) -> list[Member]:
         members = self.beliefs.members
-        chosen = self._chosen.get(service)
+        chosen = self._selections.get(service)
         if chosen is None or chosen.changes != members.changes:
-            chosen = ChosenLinks(members.changes, self._rank_links(service))
-            self._chosen[service] = chosen
+            chosen = LinkSelection(members.changes, self._rank_members(service))
+            self._selections[service] = chosen
         return chosen.members
 
-    def _rank_links(self, service: str) -> list[Member]:
+    def _rank_members(self, service: str) -> list[Member]:
         found = list(self.beliefs.members.list_service(service))
-        if len(found) <= MAX_LINKS:
+        if len(found) <= MAX_LINKS_PER_SERVICE:
             return found
         # nodes choose differently, and each stays with its choice
         own = self.beliefs.name
@@ -91,4 +91,4 @@
                 hash((own, member.name)),
             )
         )
-        return found[:MAX_LINKS]
+        return found[:MAX_LINKS_PER_SERVICE]
--- a/eelgrassmount/relay/news.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.beliefs import Beliefs
-    from eelgrassmount.relay.frames import FrameTaker
+    from eelgrassmount.relay.frames import FrameHandler
     from eelgrassmount.relay.gate import Job
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.members import Member
@@ -27,23 +27,23 @@
 
 
 # a node that was asked for a configuration and does not send it is given so long
-ASK_AGAIN_S = 0.3
+CONFIG_REQUEST_TIMEOUT_S = 0.3
 
 
 @define(eq=False)
-class News:
+class PeerUpdates:
     """What a node takes up from other nodes."""
 
     beliefs: Beliefs
     quarantine: Quarantine
     apply_document: Callable[[bytes], None]
-    tell_all: Callable[[FrameKind, object], None]
+    broadcast: Callable[[FrameKind, object], None]
     readers: LogReaders
-    take_quota_frame: FrameTaker
-    _asked_version: int = 0
-    _asked_s: float = -math.inf
+    handle_quota_frame: FrameHandler
+    _requested_version: int = 0
+    _requested_s: float = -math.inf
 
-    def note_hello(self, member: Member, hello: ttypes.RelayHello) -> None:
+    def handle_hello(self, member: Member, hello: ttypes.RelayHello) -> None:
         """Take up who is at the other end of a link."""
         if hello.node_name != member.name or hello.service_name != member.service:
             logger.info(
@@ -60,10 +60,10 @@
                     hello.node_name, address, domain, hello.service_name
                 )
             return
-        self._note_version(member, hello.config_version)
+        self._request_newer_config(member, hello.config_version)
         self.readers.note_linked(member)
 
-    def note_caller(self, hello: ttypes.RelayHello) -> bool:
+    def register_caller(self, hello: ttypes.RelayHello) -> bool:
         """Take up a node that has opened a link; tell whether it knows more.
 
         A node that starts while the log is away learns of the others in this way.
@@ -78,7 +78,7 @@
             )
         return (hello.config_version or 0) > beliefs.table.version
 
-    def note_report(self, member: Member, report: ttypes.RelayReport) -> None:
+    def handle_report(self, member: Member, report: ttypes.RelayReport) -> None:
         """Take up the load of another node's server.
 
         What describes one start of the server is replaced by each report, and one is
@@ -102,13 +102,13 @@
         member.sent_since = 0
         if report.calls:
             load.vectors = read_rows(report.calls)
-        self._note_version(member, report.config_version)
+        self._request_newer_config(member, report.config_version)
 
-    def _note_version(self, member: Member, version: int) -> None:
+    def _request_newer_config(self, member: Member, version: int) -> None:
         if member.link is not None:
-            self._ask_for_version(version, member.link.send)
+            self._request_config(version, member.link.send)
 
-    def _ask_for_version(
+    def _request_config(
         self, version: int, send: Callable[[FrameKind, Any], None]
     ) -> None:
         """Ask for a later configuration, of one node at a time.
@@ -117,46 +117,49 @@
         """
         known = self.beliefs.table.version
         now_s = self.beliefs.clock()
-        asked = version <= self._asked_version and now_s - self._asked_s < ASK_AGAIN_S
-        if version <= known or asked:
+        requested = (
+            version <= self._requested_version
+            and now_s - self._requested_s < CONFIG_REQUEST_TIMEOUT_S
+        )
+        if version <= known or requested:
             return
-        self._asked_version = version
-        self._asked_s = now_s
+        self._requested_version = version
+        self._requested_s = now_s
         send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(known))
 
-    def take_frame(
+    def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
     ) -> None:
         """Handle a frame that either end of a link may send; ``send`` answers it."""
         if kind in QUOTA_KINDS:
-            self.take_quota_frame(kind, struct, send)
+            self.handle_quota_frame(kind, struct, send)
         elif kind is FrameKind.SUSPECTS:
-            self.note_suspects(struct)
+            self.record_suspects(struct)
         elif kind is FrameKind.SUBSCRIBE:
             self.readers.note_subscribe(struct, send)
         elif kind is FrameKind.NEWS:
             self.readers.note_news(struct)
-            self._ask_for_version(struct.config_version, send)
+            self._request_config(struct.config_version, send)
         elif kind is FrameKind.CONFIG:
-            self.note_config(struct)
+            self.handle_config(struct)
         elif kind is FrameKind.CONFIG_REQUEST:
-            config = self.find_config(struct.known_version)
+            config = self.find_newer_config(struct.known_version)
             if config is not None:
                 send(FrameKind.CONFIG, config)
 
-    def note_config(self, config: ttypes.RelayConfig) -> None:
+    def handle_config(self, config: ttypes.RelayConfig) -> None:
         """Take up a configuration that another node has sooner."""
         if config.version > self.beliefs.table.version:
             self.apply_document(config.document)
 
-    def find_config(self, known_version: int) -> ttypes.RelayConfig | None:
+    def find_newer_config(self, known_version: int) -> ttypes.RelayConfig | None:
         """Return the configuration for a node that has an older one."""
         beliefs = self.beliefs
         if beliefs.table.version <= known_version:
             return None
         return ttypes.RelayConfig(beliefs.table.version, beliefs.document)
 
-    def note_crash(self, ended: ServerIncarnation, jobs: list[Job]) -> None:
+    def handle_crash(self, ended: ServerIncarnation, jobs: list[Job]) -> None:
         """Suspect what ran when the server crashed, and tell the other nodes.
 
         A crash that is found in two ways counts once, and those of two starts under
@@ -172,10 +175,10 @@
             requests=[job.call.request_id for job in jobs[:4]],
         )
         suspects = ttypes.RelaySuspects(crash_id, digests)
-        self.note_suspects(suspects)
-        self.tell_all(FrameKind.SUSPECTS, suspects)
+        self.record_suspects(suspects)
+        self.broadcast(FrameKind.SUSPECTS, suspects)
 
-    def note_suspects(self, suspects: ttypes.RelaySuspects) -> None:
+    def record_suspects(self, suspects: ttypes.RelaySuspects) -> None:
         """Count a crash against the contents that ran when it came."""
         now_s = self.beliefs.clock()
         calls = frozenset([suspects.crash_id])
--- a/eelgrassmount/relay/answers.py
+++ b/eelgrassmount/relay/responder.py
@@ -26,26 +26,26 @@
 
 # parts of the objective after which a refused client is to come back: soon enough
 # for the objective to hold, and spread so that they don't all come at once
-COME_BACK_MIN = 0.25
-COME_BACK_MAX = 0.6
+MIN_RETRY_AFTER_SHARE = 0.25
+MAX_RETRY_AFTER_SHARE = 0.6
 # a client is told to come back after so long to a node that knows too little to judge
-UNINFORMED_S = 0.5
+UNINFORMED_RETRY_AFTER_S = 0.5
 # clients that wait for the same quota come back over a time up to so many times as long
-MOST_LATER = 1.2
+MAX_QUOTA_RETRY_FACTOR = 1.2
 
 UNAUTHORIZED = 401
 NOT_FOUND = 404
-TOO_MANY = 429
-UNAVAILABLE = 503
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
 BAD_GATEWAY = 502
-TIMEOUT = 504
+GATEWAY_TIMEOUT = 504
 
 
 @define(eq=False)
-class Answering:
+class Responder:
     """Gives each request its answer, counts it and writes a line on what went wrong.
 
-    ``give_back`` hears of requests that count for a quota and have not run, and
+    ``return_quota`` hears of requests that count for a quota and have not run, and
     ``open_flows`` counts those that were begun and have no answer.
     """
 
@@ -57,10 +57,10 @@
     clock: Callable[[], float]
     rng: random.Random
     lineage: Lineage
-    give_back: Callable[[Team], None] = lambda team: None
+    return_quota: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
-    def begin(self, flow: Flow) -> None:
+    def start(self, flow: Flow) -> None:
         """Have a request sent to a server."""
         self.open_flows += 1
         flow.exchange.on_abandon = lambda: self._abandon(flow)
@@ -68,7 +68,7 @@
 
     def deliver(self, flow: Flow, reply: Reply) -> None:
         """Hand the answer of a server on."""
-        self._end(flow)
+        self._finish(flow)
         call = flow.call
         seconds = self.clock() - call.arrived_s
         self.metrics.count_answer(call.route.name, reply.status, seconds)
@@ -90,7 +90,7 @@
         if last is not None and last.fate is Fate.ANSWERED:
             self.deliver(flow, last)
             return
-        self._end(flow)
+        self._finish(flow)
         reason = Reason.NO_SERVER if last is None else last.reason
         if flow.may_have_run:
             self._fail(flow, BAD_GATEWAY, reason)
@@ -102,9 +102,9 @@
         if flow.ended:
             return
         sent = flow.current is not None or flow.spare is not None or flow.may_have_run
-        self._end(flow)
+        self._finish(flow)
         if sent:
-            self._fail(flow, TIMEOUT, Reason.DEADLINE)
+            self._fail(flow, GATEWAY_TIMEOUT, Reason.DEADLINE)
         else:
             self.refuse(flow, Reason.DEADLINE)
 
@@ -112,9 +112,9 @@
         """Say that a request has not run, and when to come back."""
         call = flow.call
         if flow.team is not None:
-            self.give_back(flow.team)
+            self.return_quota(flow.team)
         delay_s = call.route.objective_s * self.rng.uniform(
-            COME_BACK_MIN, COME_BACK_MAX
+            MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE
         )
         self.metrics.count_refusal(call.route.name, str(reason))
         share = self.admission.shares.get(call.demand, 1.0)
@@ -128,17 +128,22 @@
             retry_after_s=round(delay_s, 3),
         )
         head = self.dialect.write_refusal(call.request_id, delay_s)
-        self._respond(flow, UNAVAILABLE, head)
+        self._respond(flow, SERVICE_UNAVAILABLE, head)
 
     def refuse_uninformed(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
         """Refuse what this node knows too little to judge."""
         self._answer_early(
-            exchange, head, route_name, reason, UNAVAILABLE, UNINFORMED_S
+            exchange,
+            head,
+            route_name,
+            reason,
+            SERVICE_UNAVAILABLE,
+            UNINFORMED_RETRY_AFTER_S,
         )
 
-    def refuse_access(
+    def refuse_unauthorized(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
         """Refuse a request whose key is missing or wrong, for good."""
@@ -152,13 +157,13 @@
         verdict: QuotaVerdict,
     ) -> None:
         """Refuse a request for the quota of its team, until some of it is there."""
-        status = UNAVAILABLE
+        status = SERVICE_UNAVAILABLE
         if verdict.refusal is Reason.QUOTA_SPENT:
-            status = TOO_MANY
-        delay_s = verdict.wait_s * self.rng.uniform(1.0, MOST_LATER)
+            status = TOO_MANY_REQUESTS
+        delay_s = verdict.wait_s * self.rng.uniform(1.0, MAX_QUOTA_RETRY_FACTOR)
         self._answer_early(exchange, head, route_name, verdict.refusal, status, delay_s)
 
-    def answer_unknown(self, exchange: Exchange, head: RequestHead) -> None:
+    def answer_unknown_route(self, exchange: Exchange, head: RequestHead) -> None:
         """Say that there is no such route."""
         self._answer_early(exchange, head, "", Reason.NO_ROUTE, NOT_FOUND)
 
@@ -186,10 +191,10 @@
 
     def _abandon(self, flow: Flow) -> None:
         if not flow.ended:
-            self._end(flow)
+            self._finish(flow)
             self.metrics.count_abandoned(flow.call.route.name)
 
-    def _end(self, flow: Flow) -> None:
+    def _finish(self, flow: Flow) -> None:
         flow.ended = True
         self.sender.cancel(flow)
         self.open_flows -= 1
--- a/tests/relay/test_checks.py
+++ b/tests/relay/test_checks.py
@@ -260,13 +260,13 @@
         self.bad: list[str] = []
         self.aborted = False
 
-    def note_frame(self, kind, struct):
+    def handle_frame(self, kind, struct):
         raise ZeroDivisionError("handler")
 
-    def note_bad(self, error):
+    def handle_bad_frame(self, error):
         self.bad.append(error.detail)
 
-    def note_lost(self):
+    def handle_connection_lost(self):
         pass
 
     def abort(self):
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -16,7 +16,7 @@
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import UNKNOWN_START
 from eelgrassmount.relay.rows import write_rows
-from eelgrassmount.relay.stopping import CLIENTS_GONE_S, PEERS_GONE_S
+from eelgrassmount.relay.shutdown import CLIENT_DRAIN_S, PEER_DRAIN_S
 from standins.platform_log import Trouble
 from tests.relay.deployment import (
     Deployment,
@@ -547,13 +547,13 @@
             if answer.status == 200:
                 served_s = loop.time() - begun_s
             await anyio.sleep(0.05)
-        assert CLIENTS_GONE_S - 2 * PEERS_GONE_S < served_s < CLIENTS_GONE_S
+        assert CLIENT_DRAIN_S - 2 * PEER_DRAIN_S < served_s < CLIENT_DRAIN_S
         await anyio.sleep(0.1)
         # from here on it takes nothing, and that is known before anything is sent
         runs = len(back.server.runs)
         assert (await ask(front, "/list/1")).status == 503
         assert len(back.server.runs) == runs
-        await anyio.sleep(PEERS_GONE_S + 0.2)
+        await anyio.sleep(PEER_DRAIN_S + 0.2)
         back.server.listener.end()
 
     run(scenario, LIST)
@@ -629,7 +629,7 @@
             "Flow",
             "Job",
             "Call",
-            "Kept",
+            "ReceivedCall",
             "Exchange",
             "ServerConnection",
         }
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -16,7 +16,7 @@
     count_calls,
 )
 from eelgrassmount.relay.levels import ServiceLevels
-from eelgrassmount.relay.links import MAX_LINKS, LinkKeeper
+from eelgrassmount.relay.links import MAX_LINKS_PER_SERVICE, LinkManager
 from eelgrassmount.relay.measures import RunMeasures
 from eelgrassmount.relay.members import MemberLoad, MemberTable
 from eelgrassmount.relay.routes import RouteTable
@@ -64,12 +64,12 @@
     beliefs.table = make_table(*routes)
     for name in services:
         beliefs.members.put(f"node-{name}", "a:1", "near", name)
-    links = LinkKeeper(beliefs, None)
-    assert links._list_wanted() == set()
+    links = LinkManager(beliefs, None)
+    assert links._find_needed_services() == set()
     beliefs.note_call("shop/s3/")
     beliefs.graph.put("shop/s3/", {"shop/s7/": 1.0})
     count_calls(beliefs)
-    assert links._list_wanted() == {"s3", "s7"}
+    assert links._find_needed_services() == {"s3", "s7"}
 
 
 class FakeGate:
@@ -86,10 +86,10 @@
         self.connections = range(callers)
         self.reports = []
 
-    def count_active(self):
+    def count_active_senders(self):
         return self.callers
 
-    def tell_all(self, kind, report, only_active=True):
+    def broadcast(self, kind, report, only_active=True):
         self.reports.append(report)
 
 
@@ -163,15 +163,15 @@
 
 def test_links_to_a_large_service_are_chosen_anew_when_its_nodes_change():
     beliefs = make_beliefs([1.0])
-    for number in range(MAX_LINKS + 8):
+    for number in range(MAX_LINKS_PER_SERVICE + 8):
         beliefs.members.put(f"n{number}", f"a:{number}", "near", "list")
-    links = LinkKeeper(beliefs, None)
-    chosen = links._choose_links("list")
-    assert len(chosen) == MAX_LINKS
-    assert links._choose_links("list") is chosen
+    links = LinkManager(beliefs, None)
+    chosen = links._select_members("list")
+    assert len(chosen) == MAX_LINKS_PER_SERVICE
+    assert links._select_members("list") is chosen
     beliefs.members.remove(chosen[0].name)
-    again = links._choose_links("list")
-    assert len(again) == MAX_LINKS
+    again = links._select_members("list")
+    assert len(again) == MAX_LINKS_PER_SERVICE
     assert chosen[0] not in again
 
 
--- a/tests/relay/test_link.py
+++ b/tests/relay/test_link.py
@@ -9,13 +9,13 @@
 from eelgrassmount.relay.frames import FrameKind, decode_struct
 from eelgrassmount.relay.link import (
     MAX_RESUMES,
-    MOVE_AFTER_S,
     PING_AFTER_S,
-    SILENCE_LIMIT_S,
-    SILENT_LINE_S,
+    SILENCE_LOG_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
     SUSPECT_AFTER_S,
+    SWITCH_AFTER_S,
     LinkConnection,
-    LinkEvents,
+    LinkHandlers,
     PeerLink,
 )
 from eelgrassmount.relay.members import Member
@@ -29,7 +29,7 @@
 
     connects = 0
 
-    def _begin_connecting(self) -> None:
+    def _start_connecting(self) -> None:
         self.connects += 1
 
 
@@ -52,7 +52,7 @@
     def __init__(self):
         self.now_s = 100.0
         self.member = Member("peer", "127.0.0.1:1", "near", "list")
-        events = LinkEvents(
+        events = LinkHandlers(
             ttypes.RelayHello,
             lambda member, hello: None,
             lambda member, report: None,
@@ -68,13 +68,13 @@
         self.transport = MemoryTransport(connection)
         connection.transport = self.transport
         self.link._connection = connection
-        self.link.heard_s = self.now_s
+        self.link.last_received_s = self.now_s
 
     def open_second(self):
         """Let the other node's system accept a second connection."""
         connection = LinkConnection(self.link)
         connection.transport = MemoryTransport(connection)
-        self.link._note_accepted(connection)
+        self.link._handle_connected(connection)
         return connection
 
     def fall_silent(self):
@@ -111,7 +111,7 @@
     setup.wait(SUSPECT_AFTER_S - PING_AFTER_S)
     assert not setup.member.can_take(setup.now_s)
     assert setup.link.connects == 0
-    setup.wait(SILENCE_LIMIT_S - SUSPECT_AFTER_S)
+    setup.wait(SILENCE_TIMEOUT_S - SUSPECT_AFTER_S)
     assert setup.link.connects == 1
     assert not setup.transport.closing
     assert setup.replies == []
@@ -121,7 +121,7 @@
     setup.call()
     setup.call(idempotent=False)
     setup.fall_silent()
-    setup.link._note_refused(ConnectionRefusedError())
+    setup.link._handle_connect_failure(ConnectionRefusedError())
     assert setup.transport.closing
     assert [reply.fate for reply in setup.replies] == [Fate.MAY_HAVE_RUN] * 2
     assert not setup.link.is_up()
@@ -131,8 +131,8 @@
 def test_node_that_was_heard_meanwhile_is_not_given_up(setup):
     setup.call()
     setup.fall_silent()
-    setup.link.note_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
-    setup.link._note_refused(TimeoutError())
+    setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
+    setup.link._handle_connect_failure(TimeoutError())
     assert not setup.transport.closing
     assert setup.replies == []
     assert setup.member.can_take(setup.now_s)
@@ -143,16 +143,16 @@
     setup.link.incarnation = "first"
     setup.fall_silent()
     second = setup.open_second()
-    second.note_frame(FrameKind.HELLO, ttypes.RelayHello(incarnation="first"))
-    setup.wait(MOVE_AFTER_S / 2)
+    second.handle_frame(FrameKind.HELLO, ttypes.RelayHello(incarnation="first"))
+    setup.wait(SWITCH_AFTER_S / 2)
     assert not setup.transport.closing
-    setup.wait(MOVE_AFTER_S)
+    setup.wait(SWITCH_AFTER_S)
     assert setup.transport.closing
     calls = read_calls(second.transport)
     assert [call.sequence for call in calls] == sequences
     assert all(call.resumed for call in calls)
     assert setup.member.can_take(setup.now_s)
-    second.note_frame(
+    second.handle_frame(
         FrameKind.REPLY,
         ttypes.RelayReply(sequences[0], Fate.ANSWERED, None, 200, b"", b"", 0, 0),
     )
@@ -163,10 +163,10 @@
     setup.call()
     setup.fall_silent()
     second = setup.open_second()
-    second.note_frame(FrameKind.HELLO, ttypes.RelayHello())
-    setup.link.note_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
+    second.handle_frame(FrameKind.HELLO, ttypes.RelayHello())
+    setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
     assert second.transport.closing
-    setup.wait(MOVE_AFTER_S + 0.01)
+    setup.wait(SWITCH_AFTER_S + 0.01)
     assert not setup.transport.closing
     assert read_calls(second.transport) == []
     assert setup.member.can_take(setup.now_s)
@@ -220,12 +220,12 @@
 def test_node_that_often_stands_still_is_told_of_now_and_then(setup):
     lines = []
     sink = logger.add(lines.append, filter="eelgrassmount.relay.link")
-    begun_s = setup.now_s
+    started_s = setup.now_s
     try:
-        while setup.now_s < begun_s + 2 * SILENT_LINE_S - 1.0:
+        while setup.now_s < started_s + 2 * SILENCE_LOG_INTERVAL_S - 1.0:
             setup.call()
             setup.fall_silent()
-            setup.link.note_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
+            setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
     finally:
         logger.remove(sink)
     assert [line.record["message"] for line in lines] == ["link silent"] * 2
@@ -235,7 +235,7 @@
 def test_any_frame_is_a_sign_of_life(setup):
     setup.call()
     setup.wait(SUSPECT_AFTER_S + 0.01)
-    setup.link.note_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
+    setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
     assert setup.member.can_take(setup.now_s)
     setup.wait(SUSPECT_AFTER_S - 0.01)
     assert not setup.transport.closing
@@ -247,7 +247,7 @@
     setup.link._connection.connection_lost(None)
     assert setup.replies == []
     assert setup.link.connects == 1
-    assert setup.link.open_calls[sequence].frame.resumed
+    assert setup.link.pending_calls[sequence].frame.resumed
 
 
 def test_call_that_never_left_has_not_run(setup):
@@ -262,7 +262,7 @@
     sent = len(setup.transport.written)
     setup.link.cancel(sequence)
     assert len(setup.transport.written) > sent
-    setup.link._note_reply(ttypes.RelayReply(sequence, 0, None, 200, b"", b"", 0, 0))
+    setup.link._handle_reply(ttypes.RelayReply(sequence, 0, None, 200, b"", b"", 0, 0))
     assert setup.replies == []
 
 
@@ -275,7 +275,7 @@
     setup.call()
     setup.wait(LOOK_S)
     sent = len(setup.transport.written)
-    setup.now_s += SILENCE_LIMIT_S * 2
+    setup.now_s += SILENCE_TIMEOUT_S * 2
     assert setup.member.can_take(setup.now_s)
     setup.wait(0.0)
     assert setup.member.can_take(setup.now_s)
@@ -287,8 +287,8 @@
     assert not setup.member.can_take(setup.now_s)
     # nor does what has come over a second connection move the calls
     setup.fall_silent()
-    setup.open_second().note_frame(FrameKind.HELLO, ttypes.RelayHello())
-    setup.wait(SILENCE_LIMIT_S * 2)
+    setup.open_second().handle_frame(FrameKind.HELLO, ttypes.RelayHello())
+    setup.wait(SILENCE_TIMEOUT_S * 2)
     assert not setup.transport.closing
     setup.wait(LOOK_S)
     setup.wait(LOOK_S)
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -8,7 +8,7 @@
 import anyio
 
 from eelgrassmount.http1.client import ClientAnswer
-from eelgrassmount.relay.inbound import KEEP_REPLY_S
+from eelgrassmount.relay.inbound import REPLY_RETENTION_S
 from tests.relay.deployment import (
     Deployment,
     connect,
@@ -102,7 +102,7 @@
         for vm in self.backs:
             address = vm.settings.peer_address
             self.network.go_on((address.host, address.port))
-        await anyio.sleep(KEEP_REPLY_S + 3.0)
+        await anyio.sleep(REPLY_RETENTION_S + 3.0)
         self.check()
         self.check_ends()
         assert self.given_up == []
@@ -133,12 +133,12 @@
             inbound = vm.node.inbound
             assert vm.node.gate.in_flight == 0
             assert inbound.count_open() == 0
-            assert not inbound.kept
+            assert not inbound.received_calls
             assert len(inbound.connections) <= len(self.deployment.vms)
         for vm in self.fronts:
             assert vm.node.entry.answers.open_flows == 0
             for member in vm.node.beliefs.members.by_name.values():
-                assert member.link is None or not member.link.open_calls
+                assert member.link is None or not member.link.pending_calls
 
 
 def play(seed: int) -> None:
--- a/tests/relay/test_news.py
+++ b/tests/relay/test_peer_updates.py
@@ -29,7 +29,7 @@
 def test_crashes_of_two_starts_of_one_identity_are_two(node):
     job = Job(make_call(), lambda reply: None)
     for started_ms in (STARTED_MS, STARTED_MS, STARTED_MS + 1):
-        node.news.note_crash(ServerIncarnation("i1", started_ms), [job])
+        node.news.handle_crash(ServerIncarnation("i1", started_ms), [job])
     (suspect,) = node.news.quarantine.suspects.values()
     assert suspect.crashes == 2
 
@@ -39,9 +39,9 @@
     times = [ttypes.RouteTime("shop/list/", 900.0)]
     load = (False, 7, 3, 90, 2000, 1, times, [], 500_000, [], 1000, 250_000)
     report = ttypes.RelayReport(*load)
-    node.news.note_report(member, report)
+    node.news.handle_report(member, report)
     assert member.load.run_s == {"shop/list/": 0.9}
-    node.news.note_report(
+    node.news.handle_report(
         member, ttypes.RelayReport(True, 0, 0, 14, 0, 1, [], [], 0, [], 0, 0)
     )
     load = member.load
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -11,8 +11,12 @@
 
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.inbound import JOIN_WAIT_S, KEEP_REPLY_S, KEEP_SENDER_S
-from eelgrassmount.relay.link import CONNECT_LIMIT_S, SILENCE_LIMIT_S
+from eelgrassmount.relay.inbound import (
+    REJOIN_TIMEOUT_S,
+    REPLY_RETENTION_S,
+    SENDER_RETENTION_S,
+)
+from eelgrassmount.relay.link import CONNECT_TIMEOUT_S, SILENCE_TIMEOUT_S
 from eelgrassmount.relay.messages import Fate
 from tests.relay.deployment import (
     Deployment,
@@ -141,14 +145,14 @@
     async def scenario(scene: Scene) -> None:
         future = await scene.ask()
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         scene.network.mute(scene.place)
         scene.network.listeners[scene.place].close()
         answer = await asyncio.wait_for(future, 5)
         assert answer.status == 502
-        passed_s = loop.time() - begun_s
-        assert passed_s > SILENCE_LIMIT_S
-        assert passed_s < SILENCE_LIMIT_S + CONNECT_LIMIT_S + SLACK_S
+        passed_s = loop.time() - started_s
+        assert passed_s > SILENCE_TIMEOUT_S
+        assert passed_s < SILENCE_TIMEOUT_S + CONNECT_TIMEOUT_S + SLACK_S
 
     play(scenario)
 
@@ -197,7 +201,7 @@
         future = await scene.ask(target=target)
         inbound = scene.back.node.inbound
         inbound.incarnation = "next"
-        inbound.kept.clear()
+        inbound.received_calls.clear()
         inbound.senders.clear()
         scene.network.reset(scene.place)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 502
@@ -216,9 +220,9 @@
         scene.network.reset(scene.place)
         await anyio.sleep(0.01)
         assert scene.back.node.gate.in_flight == 1
-        await anyio.sleep(JOIN_WAIT_S + 0.05)
+        await anyio.sleep(REJOIN_TIMEOUT_S + 0.05)
         assert scene.back.node.gate.in_flight == 0
-        assert not scene.back.node.inbound.kept
+        assert not scene.back.node.inbound.received_calls
         assert scene.back.node.count_open() == 0
 
     play(scenario)
@@ -377,8 +381,8 @@
         assert not pair.future.done()
         name = pair.back.settings.name
         link = pair.front.node.beliefs.members.by_name[name].link
-        (sequence,) = link.open_calls
-        link._note_reply(
+        (sequence,) = link.pending_calls
+        link._handle_reply(
             ttypes.RelayReply(sequence, fate, "overload", 0, b"", b"", 0, 0)
         )
         assert (await asyncio.wait_for(pair.future, 3)).status == status
@@ -405,12 +409,12 @@
         await (await scene.ask("a1"))
         inbound = scene.back.node.inbound
         assert len(inbound.senders) == 1
-        await anyio.sleep(KEEP_REPLY_S + 2.0)
+        await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert len(inbound.senders) == 1
         scene.front.node.end()
-        await anyio.sleep(KEEP_REPLY_S + 2.0)
+        await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert len(inbound.senders) == 1
-        inbound.clock = lambda: time.monotonic() + KEEP_SENDER_S
+        inbound.clock = lambda: time.monotonic() + SENDER_RETENTION_S
         inbound.expire()
         assert inbound.senders == {}
 
@@ -437,9 +441,9 @@
             link.far.break_off()
         await anyio.sleep(RUN_S + 0.02)
         scene.network.stand_still(scene.place)
-        await anyio.sleep(KEEP_REPLY_S + 2.0)
+        await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert not future.done()
-        assert not scene.back.node.inbound.kept
+        assert not scene.back.node.inbound.received_calls
         scene.network.go_on(scene.place)
         assert (await asyncio.wait_for(future, 2)).status == 502
         assert scene.back.server.runs == ["a1"]
@@ -481,7 +485,7 @@
             link.near.break_off()
         await anyio.sleep(LATENCY_S / 2)
         assert not scene.front.node.beliefs.members.by_name["node-2"].is_connected()
-        asyncio.get_running_loop().now_s += CONNECT_LIMIT_S + 0.1
+        asyncio.get_running_loop().now_s += CONNECT_TIMEOUT_S + 0.1
         assert (await asyncio.wait_for(future, 3)).status == 200
         assert scene.back.server.runs == ["a1"]
 
@@ -516,7 +520,7 @@
         scene.front.node.beliefs.members.remove("node-2")
         scene.network.mute(scene.place)
         scene.network.listeners[scene.place].close()
-        answer = await asyncio.wait_for(future, SILENCE_LIMIT_S + 2 * SLACK_S)
+        answer = await asyncio.wait_for(future, SILENCE_TIMEOUT_S + 2 * SLACK_S)
         assert answer.status == 502
         assert scene.front.node.beliefs.members.list_retired() == []
 
