--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -1,8 +1,7 @@
-"""Checks of what other nodes send and store, made once when it is decoded.
+"""Validation of decoded thrift structs from other nodes and from the log.
 
-A decoder of thrift leaves a field at ``None`` that is missing or came in another type,
-and takes any number that fits. Behind `check_struct`, all fields are there and within
-their range, so that no other part has to ask.
+The thrift decoder sets a field to ``None`` if it is missing or of another type, and
+accepts any number. After `check_struct`, all fields are present and within their range.
 """
 
 from __future__ import annotations
@@ -21,20 +20,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-# characters of the name of a route: a host and the begin of a path, which have room
-# in the headers of a request
+# Characters of a host and a path prefix.
 MAX_ROUTE_NAME_LENGTH = 65536
-# characters of an incarnation or a digest, which have some dozen
+# Characters of an incarnation, a crash id or a digest.
 MAX_ID_LENGTH = 512
-# a call may take an hour, as a client may ask for
+# Deadline of a call.
 MAX_REMAINING_MS = 3_600_000
-# calls at one server; a VM has some thousand descriptors
+# Calls, nodes or quota units in one field.
 MAX_CALLS = 1_000_000
-# load as a part of what is possible, in thousandths
+# Load as a fraction of capacity, in thousandths.
 MAX_LOAD_MILLI = 1_000_000_000
 MAX_PPM = 1_000_000
+# Versions, offsets, log epochs, and sequence and message numbers.
 MAX_COUNTER = 2**62
-# calls that one run makes, and requests or milliseconds of one route
+# Calls per run, and requests, rates or durations of one route.
 MAX_COUNT = 1e9
 
 _REASONS = frozenset(str(reason) for reason in Reason)
@@ -42,7 +41,7 @@
 
 
 def check_struct(struct: Any) -> None:
-    """Raise `BadFrameError`, naming the field, unless all of a struct can be used."""
+    """Raise `BadFrameError`, naming the field, if a struct is incomplete or invalid."""
     values = struct.__dict__
     if None in values.values():
         _require_all(struct)
@@ -62,18 +61,20 @@
     raise BadFrameError(f"{type(struct).__name__}.{name} is {cause}")
 
 
-def _check_ranges(struct: Any, highest: dict[str, int]) -> None:
+def _check_ranges(struct: Any, maxima: dict[str, int]) -> None:
     values = struct.__dict__
-    for name, most in highest.items():
-        if not 0 <= values[name] <= most:
-            _raise_invalid(struct, name, f"not from 0 to {most}")
+    for name, maximum in maxima.items():
+        if not 0 <= values[name] <= maximum:
+            _raise_invalid(struct, name, f"not between 0 and {maximum}")
 
 
-def _check_texts(struct: Any, names: Iterable[str], longest: int) -> None:
+def _check_texts(struct: Any, names: Iterable[str], max_length: int) -> None:
     for name in names:
         text = getattr(struct, name)
-        if not is_printable(text, longest):
-            _raise_invalid(struct, name, f"no plain text of 1 to {longest} characters")
+        if not is_printable(text, max_length):
+            _raise_invalid(
+                struct, name, f"not printable text of 1 to {max_length} characters"
+            )
 
 
 def _check_address(struct: Any) -> None:
@@ -104,10 +105,10 @@
 
 
 def _check_request_lines(call: ttypes.RelayCall) -> None:
-    """Refuse texts that would not stay within their line of a request."""
+    """Reject fields that would break out of their line of the HTTP request."""
     line = f"{call.method}{call.target}{call.request_id}{call.caller_service}"
     if "\r" in line or "\n" in line:
-        _raise_invalid(call, "method, target or a header", "more than a line")
+        _raise_invalid(call, "method, target or a header", "more than one line")
     try:
         line.encode("latin-1")
     except UnicodeEncodeError as error:
@@ -115,19 +116,19 @@
 
 
 def _check_head(struct: ttypes.RelayCall | ttypes.RelayReply) -> None:
-    """Refuse a block of headers that would end before its end, or not with it."""
+    """Reject a header block that is not terminated or contains an empty line."""
     head = struct.head
     if head and (not head.endswith(b"\r\n") or b"\r\n\r\n" in b"\r\n" + head):
-        _raise_invalid(struct, "head", "no block of whole lines")
+        _raise_invalid(struct, "head", "not a block of complete header lines")
 
 
 def _check_reply(reply: ttypes.RelayReply) -> None:
     if reply.outcome not in _OUTCOMES:
-        _raise_invalid(reply, "outcome", "none that is known")
+        _raise_invalid(reply, "outcome", "unknown")
     if reply.reason and reply.reason not in _REASONS:
-        _raise_invalid(reply, "reason", "none that is known")
+        _raise_invalid(reply, "reason", "unknown")
     if reply.outcome == Fate.ANSWERED and not 100 <= reply.status <= 999:
-        _raise_invalid(reply, "status", "no status of an answer")
+        _raise_invalid(reply, "status", "not an HTTP status")
     _check_ranges(reply, _REPLY_RANGES)
     _check_head(reply)
 
@@ -146,7 +147,7 @@
 
 def _check_calls(rows: list[ttypes.RouteCalls]) -> None:
     for row in rows:
-        # a route that calls nothing has one row without a name
+        # A route that makes no calls has one row with an empty ``called_route``.
         names = ("run_route",) if row.called_route == "" else _CALL_NAMES
         _check_row(row, names, "calls_per_run")
 
@@ -156,11 +157,11 @@
     for name in names:
         text = values[name]
         if text is None or not 0 < len(text) <= MAX_ROUTE_NAME_LENGTH:
-            _raise_invalid(row, name, "no name of a route")
+            _raise_invalid(row, name, "not a route name")
     value = values[number]
-    # NaN and infinity lie within no bounds
+    # The comparison is also false for NaN and infinity.
     if value is None or not 0 <= value <= MAX_COUNT:
-        _raise_invalid(row, number, f"not from 0 to {MAX_COUNT:g}")
+        _raise_invalid(row, number, f"not between 0 and {MAX_COUNT:g}")
 
 
 def _check_tally(tally: ttypes.RelayTally) -> None:
@@ -194,7 +195,7 @@
 
 def _check_era(struct: ttypes.RelaySubscribe | ttypes.RelayNews) -> None:
     if not UNKNOWN_ERA <= struct.era <= MAX_COUNTER:
-        _raise_invalid(struct, "era", f"not from {UNKNOWN_ERA} to {MAX_COUNTER}")
+        _raise_invalid(struct, "era", f"not between {UNKNOWN_ERA} and {MAX_COUNTER}")
 
 
 def _check_news(news: ttypes.RelayNews) -> None:
@@ -219,7 +220,7 @@
         _check_texts(use, ("team_name",), MAX_NAME_LENGTH)
         _check_ranges(use, {"wanted": MAX_CALLS})
         if abs(use.used) > MAX_CALLS:
-            _raise_invalid(use, "used", f"not from {-MAX_CALLS} to {MAX_CALLS}")
+            _raise_invalid(use, "used", f"not between {-MAX_CALLS} and {MAX_CALLS}")
 
 
 def _check_quota_grants(struct: ttypes.RelayQuotaGrants) -> None:
@@ -230,7 +231,7 @@
         _check_texts(grant, ("team_name",), MAX_NAME_LENGTH)
         _check_ranges(grant, _GRANT_RANGES)
         if grant.granted > grant.wanted:
-            _raise_invalid(grant, "granted", "more than what was asked for")
+            _raise_invalid(grant, "granted", "more than requested")
 
 
 def _check_quota_borrow(borrow: ttypes.RelayQuotaBorrow) -> None:
@@ -278,7 +279,7 @@
     "lost_ppm": MAX_PPM,
     "config_version": MAX_COUNTER,
 }
-# fields that may be missing: a reply with an answer has no reason
+# Fields that may be missing. A reply with an answer has no reason.
 _OPTIONAL_FIELDS = {ttypes.RelayReply: "reason"}
 _CHECKS: dict[type, Callable[[Any], None]] = {
     ttypes.RelayHello: _check_hello,
--- a/eelgrassmount/relay/frames.py
+++ b/eelgrassmount/relay/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the links between nodes: a length, a kind and a thrift struct."""
+"""Framing of the links between nodes: length, kind and an encoded thrift struct."""
 
 from __future__ import annotations
 
@@ -20,13 +20,12 @@
 LENGTH_BYTES = 4
 HEADER_BYTES = LENGTH_BYTES + 1
 MAX_FRAME_BYTES = 128 * 1024 * 1024
-# entries of one list; reports and records have some hundred. An entry may be written
-# as one byte and takes some hundred once it is decoded
+# Limits the memory for a decoded list, whose entries may be encoded in one byte each.
 MAX_LIST_ENTRIES = 50_000
 
 
 class FrameKind(IntEnum):
-    """What a frame carries."""
+    """Type of the struct in a frame."""
 
     HELLO = 1
     CALL = 2
@@ -72,51 +71,52 @@
 }
 
 
-# used for all structs, one after the other: to make one takes longer than to encode
+# Shared by all structs, as creating a protocol takes longer than encoding a struct.
 _PROTOCOL = TBinaryProtocolAccelerated(
     TMemoryBuffer(),
-    # a body may be as long as a frame; by the library's own limit, a longer one would
-    # be taken for a bad frame and the link dropped
+    # The library's default is shorter than the longest body of a request or reply.
     string_length_limit=MAX_FRAME_BYTES,
     container_length_limit=MAX_LIST_ENTRIES,
 )
 
 
-# handles a frame; the function that it is given sends one back
+# Handles a frame; its last argument is a function that sends a frame back.
 FrameHandler = Callable[[FrameKind, Any, Callable[[FrameKind, Any], None]], None]
 
 
 def encode_struct(struct: Any) -> bytes:
-    """Return a thrift struct as bytes."""
+    """Encode a thrift struct."""
     buffer = _PROTOCOL.trans = TMemoryBuffer()
     struct.write(_PROTOCOL)
     return buffer.getvalue()
 
 
 def decode_struct(struct_type: Any, payload: bytes) -> Any:
-    """Return a thrift struct, raising `BadFrameError` if there is none.
+    """Decode and validate a thrift struct, raising `BadFrameError` if it is invalid.
 
-    All its fields are there and within their range, see `check_struct`.
+    `check_struct` lists what is validated.
     """
     struct = struct_type()
     _PROTOCOL.trans = TMemoryBuffer(payload)
     try:
         struct.read(_PROTOCOL)
-    # the accelerated decoder raises many types on malformed input
+    # The accelerated decoder raises exceptions of many types on malformed input.
     except Exception as error:
-        raise BadFrameError(f"not a {struct_type.__name__}: {error!r}") from error
+        raise BadFrameError(
+            f"can't decode {struct_type.__name__}: {error!r}"
+        ) from error
     check_struct(struct)
     return struct
 
 
 def encode_frame(kind: FrameKind, struct: Any) -> bytes:
-    """Return a whole frame."""
+    """Encode a frame with its length and kind."""
     payload = encode_struct(struct)
     return (len(payload) + 1).to_bytes(LENGTH_BYTES, "big") + bytes((kind,)) + payload
 
 
 class FrameConnection(asyncio.Protocol, ABC):
-    """A connection that carries frames; subclasses say what they mean."""
+    """A connection that splits received bytes into frames; subclasses handle them."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -124,38 +124,38 @@
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport (called by the event loop)."""
+        """Store the transport (called by the event loop)."""
         self.transport = transport
         watch_silence(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that the connection is gone."""
+        """Mark the connection closed (called by the event loop)."""
         self.closed = True
         self.handle_connection_lost()
 
     def send(self, kind: FrameKind, struct: Any) -> None:
-        """Send a frame; nothing is sent on a connection that is gone."""
+        """Send a frame, or drop it if the connection is closed."""
         if not self.closed and self.transport is not None:
             self.transport.write(encode_frame(kind, struct))
 
     def send_encoded(self, frame: bytes) -> None:
-        """Send a frame that is encoded already."""
+        """Send an encoded frame, or drop it if the connection is closed."""
         if not self.closed and self.transport is not None:
             self.transport.write(frame)
 
     def is_sending(self) -> bool:
-        """Tell whether bytes wait for the other end to read."""
+        """Return whether written bytes are still buffered."""
         if self.closed or self.transport is None:
             return False
         return self.transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection without sending buffered bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Cut the bytes into frames and hand each on."""
+        """Split the bytes into frames and dispatch them (called by the event loop)."""
         buffer = self._buffer + data if self._buffer else data
         position = 0
         size = len(buffer)
@@ -163,7 +163,7 @@
             while size - position >= HEADER_BYTES:
                 length = int.from_bytes(buffer[position : position + 4], "big")
                 if not 1 <= length <= MAX_FRAME_BYTES:
-                    raise OverlongFrameError(f"a frame of {length} bytes")
+                    raise OverlongFrameError(f"frame length {length} is out of range")
                 end = position + LENGTH_BYTES + length
                 if end > size:
                     break
@@ -178,26 +178,26 @@
 
     def _dispatch_frame(self, kind: int, payload: bytes) -> None:
         struct_type = _STRUCT_TYPES.get(kind)
-        # kinds of later releases are skipped
+        # Skip kinds that only later releases know.
         if struct_type is None:
             return
         struct = decode_struct(struct_type, payload)
         try:
             self.handle_frame(FrameKind(kind), struct)
         except Exception as error:
-            # what this end believes of the link can't be trusted any more
+            # The state of the link may be inconsistent, so the connection is dropped.
             name = FrameKind(kind).name
             logger.exception("frame handler failed", kind=name)
             raise BadFrameError(f"the handler of {name} failed") from error
 
     @abstractmethod
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Handle a frame."""
+        """Handle a received frame."""
 
     @abstractmethod
     def handle_bad_frame(self, error: BadFrameError) -> None:
-        """Handle bytes that are no frame; the connection is dropped after it."""
+        """Handle an invalid frame; the connection is aborted afterwards."""
 
     @abstractmethod
     def handle_connection_lost(self) -> None:
-        """Handle the end of the connection."""
+        """Handle the loss of the connection."""
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -1,4 +1,4 @@
-"""Calls that other nodes send to the backend server of this one."""
+"""Inbound links: calls from other nodes to the backend server of this node."""
 
 from __future__ import annotations
 
@@ -22,21 +22,20 @@
     from eelgrassmount.relay.gate import Gate
     from eelgrassmount.relay.routes import Route
 
-# replies to calls that must not run twice are kept for a sender that asks again
+# How long a reply is stored for a sender that resumes its call.
 REPLY_RETENTION_S = 6.0
-# the numbers of a sender without a connection are kept as long as one of its calls
-# could be asked for again: longer than the time-outs of routes, which are seconds
+# How long the highest sequence of a disconnected sender is stored. Must exceed the
+# timeout of every route, so that a resumed call is recognized.
 SENDER_RETENTION_S = 600.0
-# runs whose link broke go on so long for a sender that comes again over a new one,
-# well within the half second in which those that nobody waits for are to end
+# How long idempotent runs continue after their link broke, until the sender reconnects.
 REJOIN_TIMEOUT_S = 0.3
-# a sender that has been quiet for longer gets no more reports
+# A sender that has sent no frame for longer gets no reports.
 ACTIVE_WINDOW_S = 3.0
 
 
 @define(eq=False)
 class ReceivedCall:
-    """A call of another node, and its reply where that is kept."""
+    """A call from another node: its running job, or its stored reply."""
 
     key: tuple[str, int]
     connection: InboundConnection
@@ -47,7 +46,7 @@
 
 @define
 class SenderSequence:
-    """The highest sequence of a sender, and when it last had a connection."""
+    """The highest sequence of a sender, and when the sender was last connected."""
 
     latest: int
     last_connected_s: float
@@ -55,12 +54,13 @@
 
 @define(eq=False)
 class InboundLinks:
-    """Takes links of other nodes.
+    """Accepts links from other nodes.
 
-    A call is known by its sender's incarnation and sequence, so that one that comes
-    again, over whichever connection and in whichever order, is joined to the first.
-    Replies are kept for calls that must not run twice, and for those that had no
-    connection when they ended. ``senders`` holds the numbering of each sender.
+    A call is identified by its sender, including the sender's incarnation, and its
+    sequence. A call that is received again, over any connection, is therefore matched
+    with the first one. Replies are stored for calls that are not idempotent, and for
+    calls that finished while their sender was disconnected. ``senders`` holds the
+    highest sequence of each sender.
     """
 
     incarnation: str
@@ -77,21 +77,21 @@
     _server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Bind the address, raising `OSError` when that is not possible."""
+        """Listen on the address, raising `OSError` if it can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: InboundConnection(self), host, port, backlog=512, reuse_address=True
         )
 
     def end(self) -> None:
-        """Take nothing more and drop all links."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
     def broadcast(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
-        """Send a frame to the nodes that send calls here."""
+        """Send a frame to all connected senders, or only to the active ones."""
         frame = encode_frame(kind, struct)
         for connection in (
             self._list_active_connections() if only_active else self.connections
@@ -99,7 +99,7 @@
             connection.send_encoded(frame)
 
     def count_active_senders(self) -> int:
-        """Return how many nodes have lately sent calls here."""
+        """Return the number of connections that received a frame recently."""
         return len(self._list_active_connections())
 
     def _list_active_connections(self) -> list[InboundConnection]:
@@ -107,7 +107,7 @@
         return [one for one in self.connections if one.last_received_s > oldest_s]
 
     def record_sequence(self, sender: str, sequence: int) -> None:
-        """Take up the number of a call that a sender has made."""
+        """Record the sequence of a received call."""
         sender_sequence = self.senders.get(sender)
         if sender_sequence is None:
             self.senders[sender] = SenderSequence(sequence, self.clock())
@@ -115,12 +115,12 @@
             sender_sequence.latest = max(sequence, sender_sequence.latest)
 
     def find_latest_sequence(self, sender: str) -> int:
-        """Return the highest sequence of a sender, 0 when it is not known."""
+        """Return the highest sequence of a sender, or 0 if the sender is unknown."""
         sender_sequence = self.senders.get(sender)
         return 0 if sender_sequence is None else sender_sequence.latest
 
     def expire(self) -> None:
-        """Forget replies and senders that nobody will ask for any more."""
+        """Delete replies and senders whose retention time has passed."""
         now_s = self.clock()
         self._expire_senders(now_s)
         old = [
@@ -141,7 +141,7 @@
                 del self.senders[sender]
 
     def count_open(self) -> int:
-        """Return how many calls of other nodes have no reply yet, or not all of it."""
+        """Return the number of open calls, plus connections with unsent bytes."""
         return sum(
             len(connection.jobs) + connection.is_sending()
             for connection in self.connections
@@ -149,7 +149,7 @@
 
 
 class InboundConnection(FrameConnection):
-    """One link of another node."""
+    """A connection that another node has opened."""
 
     def __init__(self, inbound: InboundLinks):
         super().__init__()
@@ -159,13 +159,13 @@
         self.last_received_s = inbound.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Say who this node is."""
+        """Send a hello (called by the event loop)."""
         super().connection_made(transport)
         self.inbound.connections.add(self)
         self.send(FrameKind.HELLO, self.inbound.make_hello())
 
     def handle_connection_lost(self) -> None:
-        """Give up soon what the sender doesn't ask for again."""
+        """Cancel idempotent runs unless the sender resumes them in time."""
         if self.jobs:
             self._schedule_drop(self.inbound.clock())
         else:
@@ -176,7 +176,7 @@
         loop.call_later(REJOIN_TIMEOUT_S, self._drop_unless_paused, waiting_since_s)
 
     def _drop_unless_paused(self, waiting_since_s: float) -> None:
-        """Drop what was not joined, unless this node paused and heard nobody."""
+        """Drop the remaining jobs, or wait again if this process was paused."""
         now_s = self.inbound.clock()
         if now_s - waiting_since_s > 2 * REJOIN_TIMEOUT_S:
             self._schedule_drop(now_s)
@@ -191,11 +191,11 @@
         self.jobs.clear()
 
     def handle_bad_frame(self, error: BadFrameError) -> None:
-        """Say that the other node sent what is no frame."""
+        """Log that the peer sent an invalid frame."""
         logger.warning("bad frame", peer=self.sender, cause=str(error))
 
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Handle a frame of the other node."""
+        """Handle a frame from the peer."""
         self.last_received_s = self.inbound.clock()
         if kind is FrameKind.CALL:
             self._handle_call(struct)
@@ -227,7 +227,7 @@
             job.done(Reply(Fate.NOT_RUN, Reason.DRAINING))
 
     def _resume_call(self, frame: ttypes.RelayCall) -> bool:
-        """Join a call that has come before; tell whether that settles it."""
+        """Match a call with an earlier one; return whether it needs no new run."""
         received = self.inbound.received_calls.get((self.sender, frame.sequence))
         if received is not None:
             self._reattach(received, frame)
@@ -242,16 +242,17 @@
         if received.reply is not None:
             self._send_reply(frame.sequence, received.reply)
         elif frame.resumed:
-            # one that is not marked comes late from a connection that is given up
+            # A duplicate that is not marked comes late from an abandoned connection.
             received.connection.jobs.pop(frame.sequence, None)
             received.connection = self
             self.jobs[frame.sequence] = received.job
 
     def _may_have_run(self, frame: ttypes.RelayCall) -> bool:
-        """Tell whether a call that is not known has come before, here or elsewhere.
+        """Return whether an unknown call may have run before.
 
-        A sender numbers its calls in the order in which it sends them, also those whose
-        replies have been forgotten.
+        A resumed call for another incarnation of this node may have run there. A sender
+        numbers its calls in increasing order, so that a call whose reply has expired is
+        recognized by its sequence.
         """
         if frame.resumed and frame.incarnation != self.inbound.incarnation:
             return True
@@ -277,7 +278,7 @@
 
     def _finish(self, received: ReceivedCall, reply: Reply) -> None:
         idempotent = received.job.call.route.idempotent
-        # only the reply is asked for again
+        # The job is no longer needed: a sender that resumes the call needs the reply.
         received.job = None
         sequence = received.key[1]
         connection = received.connection
@@ -297,7 +298,7 @@
         self.inbound.gate.cancel(job)
         received = self.inbound.received_calls.get((self.sender, sequence))
         if received is not None and received.job is job and job.ended:
-            # it waited at the gate, which tells of it no more
+            # The dispatcher does not call back for a job cancelled in its queue.
             received.job = None
             del self.inbound.received_calls[received.key]
 
--- a/eelgrassmount/relay/link.py
+++ b/eelgrassmount/relay/link.py
@@ -1,4 +1,4 @@
-"""The link to another node, which carries calls there and replies back."""
+"""A link to another node: sends calls to it and receives their replies."""
 
 from __future__ import annotations
 
@@ -23,35 +23,31 @@
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.messages import Call
 
-# within a region a connection takes a few milliseconds
 CONNECT_TIMEOUT_S = 0.4
-# it is waited out in so many looks, the last of them without a pause of this node: the
-# limit may have passed when a paused node goes on, whose system has the connection
+# The wait for a connection is split into polls, so that a pause of this process is not
+# taken for an unreachable node.
 CONNECT_POLLS = 4
 CONNECT_POLL_INTERVAL_S = CONNECT_TIMEOUT_S / CONNECT_POLLS
-# a link with open calls is asked for a sign of life after so long, gets no further
-# calls when it stays silent, and in the end a second connection shows whether the node
-# still lives, so that a VM without power keeps no call for long
+# Silence of a peer with pending calls before it is pinged, before it gets no further
+# calls, and before a second connection is tried.
 PING_AFTER_S = 0.15
 SUSPECT_AFTER_S = 0.3
 SILENCE_TIMEOUT_S = 0.5
-# a node that goes on after a pause reads both connections within milliseconds; calls
-# move only if the first stays silent for this long after a word on the second
+# How long the first connection may stay silent once the second has received a frame. A
+# peer that resumes after a pause reads both within milliseconds.
 SWITCH_AFTER_S = 0.1
-# after a longer pause between looks this node has stood still itself, and the others
-# have had no chance to be heard
+# A longer time between two checks means that this process was paused, so that silence
+# of its peers says nothing.
 LOCAL_PAUSE_S = 0.25
-# calls are asked for again over new connections at most so often: a reset of several
-# connections in a row must not give up reads while a server is at work
+# How often a call is sent again over a new connection before it fails.
 MAX_RESUMES = 5
-# a node that stands still again and again is told of once in this time, since many
-# others tell of it
+# Minimum time between log lines on the silence of one peer.
 SILENCE_LOG_INTERVAL_S = 5.0
 
 
 @define(eq=False)
 class PendingCall:
-    """A call without a reply, as it went out."""
+    """A call that has no reply yet, and the frame that carries it."""
 
     frame: Any
     call: Call
@@ -62,10 +58,10 @@
 
 @define(eq=False)
 class LinkHandlers:
-    """What a node does with the frames that are not replies.
+    """Handlers for the frames of a link that are not replies.
 
-    ``sequence_numbers`` gives each call of the node its own, since other nodes know a call by
-    its sender and number, over whichever link it comes.
+    ``sequence_numbers`` is shared by all links of the node: peers identify a call by
+    its sender and sequence number, whichever link carries it.
     """
 
     make_hello: Callable[[], ttypes.RelayHello]
@@ -77,18 +73,19 @@
 
 @define(eq=False)
 class PeerLink:
-    """Calls that go to one other node, over one connection at a time.
-
-    A connection that breaks is replaced. One that falls silent is kept, as the node
-    may only stand still, while a second is opened beside it: whichever is heard first
-    goes on. Calls without a reply are sent over the new one, marked as resumed: the
-    same incarnation of the node knows whether it has them already. They are given up
-    when the node takes no connection.
+    """Sends calls to one other node, over one connection at a time.
+
+    A broken connection is replaced. A silent connection stays open, since the peer may
+    only be paused, and a second connection is pending beside it. If the second receives
+    a frame and the first stays silent, the link switches to the second. Pending calls
+    are then sent again, marked as resumed, so that the same incarnation of the peer
+    can match them with the calls it already has. They fail when the peer accepts no
+    connection.
     """
 
     member: Member
     clock: Callable[[], float]
-    events: LinkHandlers
+    handlers: LinkHandlers
     pending_calls: dict[int, PendingCall] = field(factory=dict)
     incarnation: str = ""
     last_received_s: float = 0.0
@@ -102,8 +99,11 @@
     _last_silence_log_s: float = -SILENCE_LOG_INTERVAL_S
 
     def call(self, call: Call, done: Callable[[Reply], None]) -> int:
-        """Send a call; ``done`` is called once with its reply."""
-        sequence = next(self.events.sequence_numbers)
+        """Send a call and return its sequence number.
+
+        ``done`` is called once, with the reply.
+        """
+        sequence = next(self.handlers.sequence_numbers)
         frame = ttypes.RelayCall(
             sequence,
             call.request_id,
@@ -125,29 +125,29 @@
             call.asked_before,
             call.again,
         )
-        opened = PendingCall(frame, call, done)
-        self.pending_calls[sequence] = opened
+        pending = PendingCall(frame, call, done)
+        self.pending_calls[sequence] = pending
         if len(self.pending_calls) == 1 and self._second_connection is None:
             self.last_received_s = self.clock()
         if self._connection is not None:
-            self._write(opened)
+            self._write(pending)
         else:
             self.connect()
         return sequence
 
     def cancel(self, sequence: int) -> None:
-        """Tell the other node that nobody waits for a call any more."""
-        opened = self.pending_calls.pop(sequence, None)
-        if opened is not None and opened.written and self._connection is not None:
+        """Drop a pending call and ask the peer to cancel it."""
+        pending = self.pending_calls.pop(sequence, None)
+        if pending is not None and pending.written and self._connection is not None:
             self._connection.send(FrameKind.CANCEL, ttypes.RelayCancel(sequence))
         self._close_retired()
 
     def is_up(self) -> bool:
-        """Tell whether there is a connection."""
+        """Return whether the link is connected."""
         return self._connection is not None
 
     def is_suspect(self, now_s: float) -> bool:
-        """Tell whether calls wait and the other node does not even answer a ping."""
+        """Return whether a peer with pending calls is silent and ignores pings."""
         if not self.pending_calls and self._second_connection is None:
             return False
         if now_s - self._last_check_s > LOCAL_PAUSE_S:
@@ -155,12 +155,12 @@
         return now_s - self.last_received_s > SUSPECT_AFTER_S
 
     def send(self, kind: FrameKind, struct: Any) -> None:
-        """Send a frame that needs no reply, if there is a connection."""
+        """Send a frame that needs no reply; drop the frame if the link is down."""
         if self._connection is not None:
             self._connection.send(kind, struct)
 
     def connect(self) -> None:
-        """Open the connection unless there is one."""
+        """Start connecting unless the link is connected."""
         if self._connection is None:
             self._start_connecting()
 
@@ -170,20 +170,20 @@
             self._connecting = loop.create_task(self._connect())
 
     def retire(self) -> None:
-        """Close the link once the calls that have gone out have ended.
+        """Fail the calls not yet sent, and close the link after the last other reply.
 
-        A server may be at work on them, whatever is now known of its node.
+        The backend server of a removed node may still be running the calls sent to it.
         """
         self.retired = True
-        waiting = [
+        unsent = [
             sequence
-            for sequence, opened in self.pending_calls.items()
-            if not opened.written
+            for sequence, pending in self.pending_calls.items()
+            if not pending.written
         ]
-        for sequence in waiting:
-            opened = self.pending_calls.pop(sequence, None)
-            if opened is not None:
-                opened.done(Reply(Fate.NOT_RUN, Reason.PEER_LOST))
+        for sequence in unsent:
+            pending = self.pending_calls.pop(sequence, None)
+            if pending is not None:
+                pending.done(Reply(Fate.NOT_RUN, Reason.PEER_LOST))
         self._close_retired()
 
     def _close_retired(self) -> None:
@@ -191,13 +191,13 @@
             self.close()
 
     def close(self) -> None:
-        """Drop the link and fail its calls."""
+        """Close the link and fail its pending calls."""
         self.closed = True
         self._drop_connections()
         self._fail_all()
 
     def check_silence(self, now_s: float) -> None:
-        """Try a second connection when calls wait and nothing is heard."""
+        """Ping a silent peer, then try a second connection and switch to it."""
         if now_s - self._last_check_s > LOCAL_PAUSE_S:
             self._restart_silence_timers(now_s)
         self._last_check_s = now_s
@@ -226,7 +226,7 @@
             self._connection.send(FrameKind.PING, ttypes.RelayConfigRequest(0))
 
     def _restart_silence_timers(self, now_s: float) -> None:
-        """Ask at once, and count the silence from there."""
+        """Ping the peer after a pause of this node, and measure silence from now."""
         self.last_received_s = max(self.last_received_s, now_s - PING_AFTER_S)
         if self.pending_calls and self._connection is not None:
             self._ping()
@@ -272,18 +272,21 @@
         self._handle_connected(connection)
 
     async def _wait_until_connected(self, opening: asyncio.Task[Any]) -> None:
-        """Wait for a connection, raising `TimeoutError` when it takes too long."""
-        for look in itertools.count(1):
+        """Wait until ``opening`` is done; raise `TimeoutError` if it takes too long.
+
+        A poll during which this process was paused does not count as the last one.
+        """
+        for poll in itertools.count(1):
             started_s = self.clock()
             await asyncio.wait({opening}, timeout=CONNECT_POLL_INTERVAL_S)
             paused = self.clock() - started_s > 2 * CONNECT_POLL_INTERVAL_S
             if opening.done():
                 return
-            if look >= CONNECT_POLLS and not paused:
-                raise TimeoutError(f"no connection in {CONNECT_TIMEOUT_S} s")
+            if poll >= CONNECT_POLLS and not paused:
+                raise TimeoutError(f"connecting took more than {CONNECT_TIMEOUT_S} s")
 
     def _handle_connect_failure(self, error: OSError) -> None:
-        """Give up the node, unless it was heard on the first connection meanwhile."""
+        """Fail all calls, unless the first connection has received a frame since."""
         now_s = self.clock()
         if self._connection is not None:
             if now_s - self.last_received_s <= SILENCE_TIMEOUT_S:
@@ -308,24 +311,24 @@
             if connection.closed:
                 self._fail_all()
                 return
-            connection.send(FrameKind.HELLO, self.events.make_hello())
+            connection.send(FrameKind.HELLO, self.handlers.make_hello())
             self._activate(connection)
         elif self.clock() - self.last_received_s <= SILENCE_TIMEOUT_S:
             connection.abort()
         elif not connection.closed:
-            connection.send(FrameKind.HELLO, self.events.make_hello())
+            connection.send(FrameKind.HELLO, self.handlers.make_hello())
             self._second_connection = connection
 
     def _activate(self, connection: LinkConnection) -> None:
-        """Send all open calls over a connection, and what follows."""
+        """Make a connection the current one and send all pending calls over it."""
         self._connection = connection
         self.last_received_s = self.clock()
         self.ping_sent = False
-        for opened in list(self.pending_calls.values()):
-            self._write(opened)
+        for pending in list(self.pending_calls.values()):
+            self._write(pending)
 
     def _switch_to_second(self) -> None:
-        """Go on with the second connection in place of the first."""
+        """Replace the silent first connection by the second."""
         self._log_silence("moved", self.clock())
         second = self._second_connection
         self._second_connection = None
@@ -340,16 +343,18 @@
         self._connection = None
         self._second_connection = None
 
-    def _write(self, opened: PendingCall) -> None:
-        frame = opened.frame
-        frame.remaining_ms = max(0, int((opened.call.deadline_s - self.clock()) * 1000))
-        if not opened.resumes:
+    def _write(self, pending: PendingCall) -> None:
+        frame = pending.frame
+        frame.remaining_ms = max(
+            0, int((pending.call.deadline_s - self.clock()) * 1000)
+        )
+        if not pending.resumes:
             frame.incarnation = self.incarnation
-        opened.written = True
+        pending.written = True
         self._connection.send(FrameKind.CALL, frame)
 
     def handle_connection_lost(self, connection: LinkConnection) -> None:
-        """Replace a connection that has ended."""
+        """Replace a lost connection if calls are pending."""
         if connection is self._second_connection:
             self._second_connection = None
         if connection is not self._connection:
@@ -366,23 +371,23 @@
             self.connect()
 
     def _mark_resumed(self) -> None:
-        for sequence, opened in list(self.pending_calls.items()):
-            if opened.resumes < MAX_RESUMES:
-                opened.resumes += 1
-                opened.frame.resumed = True
+        for sequence, pending in list(self.pending_calls.items()):
+            if pending.resumes < MAX_RESUMES:
+                pending.resumes += 1
+                pending.frame.resumed = True
             elif self.pending_calls.pop(sequence, None) is not None:
-                opened.done(Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST))
+                pending.done(Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST))
 
     def _fail_all(self) -> None:
         calls = list(self.pending_calls.values())
         self.pending_calls.clear()
-        for opened in calls:
-            fate = Fate.MAY_HAVE_RUN if opened.written else Fate.NOT_RUN
-            opened.done(Reply(fate, Reason.PEER_LOST))
+        for pending in calls:
+            fate = Fate.MAY_HAVE_RUN if pending.written else Fate.NOT_RUN
+            pending.done(Reply(fate, Reason.PEER_LOST))
         self._close_retired()
 
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Handle a frame of the other node, which shows that it goes on."""
+        """Handle a frame from the first connection and close the second one."""
         self.last_received_s = self.clock()
         self.ping_sent = False
         second = self._second_connection
@@ -394,7 +399,7 @@
     def handle_second_frame(
         self, second: LinkConnection, kind: FrameKind, struct: Any
     ) -> None:
-        """Handle a frame that came over the second connection."""
+        """Handle a frame from the second connection."""
         if second.first_received_s is None:
             second.first_received_s = self.clock()
         self._dispatch_frame(kind, struct)
@@ -403,37 +408,37 @@
         if kind is FrameKind.REPLY:
             self._handle_reply(struct)
         elif kind is FrameKind.REPORT:
-            self.events.handle_report(self.member, struct)
+            self.handlers.handle_report(self.member, struct)
         elif kind is FrameKind.HELLO:
             self._handle_hello(struct)
         else:
-            self.events.handle_frame(kind, struct, self.send)
+            self.handlers.handle_frame(kind, struct, self.send)
 
     def _handle_reply(self, reply: ttypes.RelayReply) -> None:
         load = self.member.load
         load.in_flight = reply.in_flight
         load.queued = reply.queued
         self.member.sent_since = 0
-        opened = self.pending_calls.pop(reply.sequence, None)
-        if opened is not None:
+        pending = self.pending_calls.pop(reply.sequence, None)
+        if pending is not None:
             reason = Reason(reply.reason) if reply.reason else None
             fate = Fate(reply.outcome)
-            opened.done(Reply(fate, reason, reply.status, reply.head, reply.body))
+            pending.done(Reply(fate, reason, reply.status, reply.head, reply.body))
         self._close_retired()
 
     def _handle_hello(self, hello: ttypes.RelayHello) -> None:
         self.member.note_reachable()
         self.incarnation = hello.incarnation
         if not self.retired:
-            self.events.handle_hello(self.member, hello)
+            self.handlers.handle_hello(self.member, hello)
 
     def handle_bad_frame(self, error: BadFrameError) -> None:
-        """Say that the other node sent what is no frame."""
+        """Log that the peer sent an invalid frame."""
         logger.warning("bad frame", peer=self.member.name, cause=str(error))
 
 
 class LinkConnection(FrameConnection):
-    """One connection of a link."""
+    """A connection of a `PeerLink`."""
 
     def __init__(self, link: PeerLink):
         super().__init__()
@@ -441,14 +446,14 @@
         self.first_received_s: float | None = None
 
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Hand a frame to the link."""
+        """Pass a frame to the link."""
         if self is self.link._second_connection:
             self.link.handle_second_frame(self, kind, struct)
         else:
             self.link.handle_frame(kind, struct)
 
     def handle_bad_frame(self, error: BadFrameError) -> None:
-        """Hand the error to the link."""
+        """Pass the error to the link."""
         self.link.handle_bad_frame(error)
 
     def handle_connection_lost(self) -> None:
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -1,4 +1,4 @@
-"""Which other nodes a node keeps links to."""
+"""Selection and upkeep of the links to other nodes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,14 @@
     from eelgrassmount.relay.link import LinkHandlers
     from eelgrassmount.relay.members import Member
 
-# links kept to the nodes of one service, those of the own failure domain first
 MAX_LINKS_PER_SERVICE = 16
-# with so few services, links to all of them are opened before they are needed; with
-# more, a node would keep links to thousands of nodes that it never calls
+# Up to this number, links to all services are opened before they are needed.
 MAX_EAGER_SERVICES = 8
 
 
 @frozen
 class LinkSelection:
-    """The nodes of a service that links are kept to, while no node has changed."""
+    """The members of a service that get links, valid until the member table changes."""
 
     changes: int
     members: list[Member]
@@ -30,65 +28,66 @@
 
 @define(eq=False)
 class LinkManager:
-    """Opens the links that are wanted, and finds those that are silent."""
+    """Opens links to the nodes of the services in use and checks them for silence."""
 
-    beliefs: Beliefs
-    events: LinkHandlers
+    node_state: Beliefs
+    handlers: LinkHandlers
     _selections: dict[str, LinkSelection] = field(factory=dict)
 
     def maintain_links(self) -> None:
-        """Find silent links, and open those that are wanted and missing."""
-        beliefs = self.beliefs
-        now_s = beliefs.clock()
-        for member in beliefs.members.by_name.values():
+        """Check all links for silence and open the missing ones."""
+        node_state = self.node_state
+        now_s = node_state.clock()
+        for member in node_state.members.by_name.values():
             if member.link is not None:
                 member.link.check_silence(now_s)
-        for link in beliefs.members.list_retired():
+        for link in node_state.members.list_retired():
             link.check_silence(now_s)
         for service in self._find_needed_services():
             for member in self._select_members(service):
-                if member.name != beliefs.name and now_s >= member.retry_s:
+                if member.name != node_state.name and now_s >= member.retry_s:
                     self.open_link(member)
 
     def open_link(self, member: Member) -> None:
-        """Open the link to a node unless it is open."""
+        """Connect the link to a node, creating the link if there is none."""
         if member.link is None:
-            member.link = PeerLink(member, self.beliefs.clock, self.events)
+            member.link = PeerLink(member, self.node_state.clock, self.handlers)
         member.link.connect()
 
     def _find_needed_services(self) -> set[str]:
-        """Return the services that requests of this VM need, directly or not."""
-        beliefs = self.beliefs
-        routes = beliefs.table.routes
-        if len(beliefs.members.by_service) <= MAX_EAGER_SERVICES:
+        """Return the services that requests of this VM call, directly or indirectly."""
+        node_state = self.node_state
+        routes = node_state.table.routes
+        if len(node_state.members.by_service) <= MAX_EAGER_SERVICES:
             return {
                 target.service for route in routes.values() for target in route.targets
             }
         return {
             service
-            for name in beliefs.called_before
+            for name in node_state.called_before
             if name in routes
-            for service in beliefs.graph.count_calls(routes[name], beliefs.table)
+            for service in node_state.graph.count_calls(routes[name], node_state.table)
         }
 
     def _select_members(self, service: str) -> list[Member]:
-        members = self.beliefs.members
-        chosen = self._selections.get(service)
-        if chosen is None or chosen.changes != members.changes:
-            chosen = LinkSelection(members.changes, self._rank_members(service))
-            self._selections[service] = chosen
-        return chosen.members
+        members = self.node_state.members
+        selection = self._selections.get(service)
+        if selection is None or selection.changes != members.changes:
+            selection = LinkSelection(members.changes, self._rank_members(service))
+            self._selections[service] = selection
+        return selection.members
 
     def _rank_members(self, service: str) -> list[Member]:
-        found = list(self.beliefs.members.list_service(service))
+        found = list(self.node_state.members.list_service(service))
         if len(found) <= MAX_LINKS_PER_SERVICE:
             return found
-        # nodes choose differently, and each stays with its choice
-        own = self.beliefs.name
+        # Members of the local failure domain come first. The hash spreads the links of
+        # different nodes over all members; the order is stable within a process.
+        local_name = self.node_state.name
         found.sort(
             key=lambda member: (
-                member.failure_domain != self.beliefs.failure_domain,
-                hash((own, member.name)),
+                member.failure_domain != self.node_state.failure_domain,
+                hash((local_name, member.name)),
             )
         )
         return found[:MAX_LINKS_PER_SERVICE]
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -1,4 +1,4 @@
-"""What a node takes up from other nodes, and what it tells them at once."""
+"""Handling of hellos, reports, configurations and crash reports of other nodes."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     from eelgrassmount.topics.readers import LogReaders
 
 
-# a node that was asked for a configuration and does not send it is given so long
+# Time before the same configuration version is requested from another node.
 CONFIG_REQUEST_TIMEOUT_S = 0.3
 
 
 @define(eq=False)
 class PeerUpdates:
-    """What a node takes up from other nodes."""
+    """Applies updates from other nodes, and reports crashes to them."""
 
-    beliefs: Beliefs
+    node_state: Beliefs
     quarantine: Quarantine
     apply_document: Callable[[bytes], None]
     broadcast: Callable[[FrameKind, object], None]
@@ -44,7 +44,7 @@
     _requested_s: float = -math.inf
 
     def handle_hello(self, member: Member, hello: ttypes.RelayHello) -> None:
-        """Take up who is at the other end of a link."""
+        """Check which node accepted a link; replace the member if it is another one."""
         if hello.node_name != member.name or hello.service_name != member.service:
             logger.info(
                 "another node at the address",
@@ -54,9 +54,9 @@
             )
             address = member.address
             domain = member.failure_domain
-            self.beliefs.members.remove(member.name)
-            if hello.node_name != self.beliefs.name:
-                self.beliefs.members.put(
+            self.node_state.members.remove(member.name)
+            if hello.node_name != self.node_state.name:
+                self.node_state.members.put(
                     hello.node_name, address, domain, hello.service_name
                 )
             return
@@ -64,27 +64,26 @@
         self.readers.note_linked(member)
 
     def register_caller(self, hello: ttypes.RelayHello) -> bool:
-        """Take up a node that has opened a link; tell whether it knows more.
+        """Add the node that opened a link; return whether its configuration is newer.
 
-        A node that starts while the log is away learns of the others in this way.
+        This is how a node that starts while the log is unavailable finds its peers.
         """
-        beliefs = self.beliefs
-        if hello.address and hello.node_name != beliefs.name:
-            beliefs.members.put(
+        node_state = self.node_state
+        if hello.address and hello.node_name != node_state.name:
+            node_state.members.put(
                 hello.node_name,
                 hello.address,
                 hello.failure_domain,
                 hello.service_name,
             )
-        return (hello.config_version or 0) > beliefs.table.version
+        return (hello.config_version or 0) > node_state.table.version
 
     def handle_report(self, member: Member, report: ttypes.RelayReport) -> None:
-        """Take up the load of another node's server.
+        """Store the load of another node's backend server.
 
-        What describes one start of the server is replaced by each report, and one is
-        sent as soon as it has started again. Counts and vectors come with few reports
-        and stay in between: they tell of the VM's calls and of what the service's
-        program does, which a restart doesn't change.
+        Each report replaces the values of the current incarnation of the server. Only
+        some reports carry call counts and vectors; the last ones are retained, also
+        when the server restarts, since they don't depend on its incarnation.
         """
         load = member.load
         load.accepting = report.accepting
@@ -96,7 +95,7 @@
         load.failure_share = report.failures_ppm / PPM
         load.lost_share = report.lost_ppm / PPM
         load.run_s = {time.route_name: time.run_ms / MS for time in report.times}
-        load.reported_s = self.beliefs.clock()
+        load.reported_s = self.node_state.clock()
         if report.counts:
             load.called = {one.route_name: one.count for one in report.counts}
         member.sent_since = 0
@@ -111,12 +110,12 @@
     def _request_config(
         self, version: int, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Ask for a later configuration, of one node at a time.
+        """Request a newer configuration, from one node at a time.
 
-        Several tell of it within milliseconds, and with a thousand routes it is long.
+        Several nodes announce a new version at once, and the document can be large.
         """
-        known = self.beliefs.table.version
-        now_s = self.beliefs.clock()
+        known = self.node_state.table.version
+        now_s = self.node_state.clock()
         requested = (
             version <= self._requested_version
             and now_s - self._requested_s < CONFIG_REQUEST_TIMEOUT_S
@@ -130,7 +129,7 @@
     def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Handle a frame that either end of a link may send; ``send`` answers it."""
+        """Handle a frame that either end of a link may send; reply with ``send``."""
         if kind in QUOTA_KINDS:
             self.handle_quota_frame(kind, struct, send)
         elif kind is FrameKind.SUSPECTS:
@@ -148,25 +147,25 @@
                 send(FrameKind.CONFIG, config)
 
     def handle_config(self, config: ttypes.RelayConfig) -> None:
-        """Take up a configuration that another node has sooner."""
-        if config.version > self.beliefs.table.version:
+        """Apply the configuration of another node if it is newer."""
+        if config.version > self.node_state.table.version:
             self.apply_document(config.document)
 
     def find_newer_config(self, known_version: int) -> ttypes.RelayConfig | None:
-        """Return the configuration for a node that has an older one."""
-        beliefs = self.beliefs
-        if beliefs.table.version <= known_version:
+        """Return the configuration if it is newer than ``known_version``."""
+        node_state = self.node_state
+        if node_state.table.version <= known_version:
             return None
-        return ttypes.RelayConfig(beliefs.table.version, beliefs.document)
+        return ttypes.RelayConfig(node_state.table.version, node_state.document)
 
     def handle_crash(self, ended: ServerIncarnation, jobs: list[Job]) -> None:
-        """Suspect what ran when the server crashed, and tell the other nodes.
+        """Suspect the requests that ran when the server crashed, and notify all peers.
 
-        A crash that is found in two ways counts once, and those of two starts under
-        one identity count twice. What is suspected outlives the start: the content
-        may crash the next one too.
+        A crash is identified by the server's incarnation: one crash detected twice
+        counts once, and crashes of two incarnations count twice. Suspects outlive the
+        incarnation, since their content may crash the next one too.
         """
-        crash_id = f"{self.beliefs.name}/{ended}"
+        crash_id = f"{self.node_state.name}/{ended}"
         digests = [job.call.find_digest() for job in jobs]
         logger.warning(
             "server crashed",
@@ -179,8 +178,8 @@
         self.broadcast(FrameKind.SUSPECTS, suspects)
 
     def record_suspects(self, suspects: ttypes.RelaySuspects) -> None:
-        """Count a crash against the contents that ran when it came."""
-        now_s = self.beliefs.clock()
+        """Count a crash against the request contents that ran at the time."""
+        now_s = self.node_state.clock()
         calls = frozenset([suspects.crash_id])
         self.quarantine.merge(
             [
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -1,4 +1,4 @@
-"""The one answer of each request: a server's, a refusal or a failure."""
+"""Final answers to requests: the reply of a backend server, a refusal or a failure."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaVerdict
 
-# parts of the objective after which a refused client is to come back: soon enough
-# for the objective to hold, and spread so that they don't all come at once
+# Retry-After of refused requests, as a random share of the route's objective. The
+# spread keeps clients from retrying all at once.
 MIN_RETRY_AFTER_SHARE = 0.25
 MAX_RETRY_AFTER_SHARE = 0.6
-# a client is told to come back after so long to a node that knows too little to judge
+# Retry-After of a node that lacks the data for an admission decision.
 UNINFORMED_RETRY_AFTER_S = 0.5
-# clients that wait for the same quota come back over a time up to so many times as long
+# Upper end of the random factor that spreads the retries of clients refused by quota.
 MAX_QUOTA_RETRY_FACTOR = 1.2
 
 UNAUTHORIZED = 401
@@ -43,31 +43,31 @@
 
 @define(eq=False)
 class Responder:
-    """Gives each request its answer, counts it and writes a line on what went wrong.
+    """Sends each request its final answer, counts it and logs refusals and failures.
 
-    ``return_quota`` hears of requests that count for a quota and have not run, and
-    ``open_flows`` counts those that were begun and have no answer.
+    ``return_quota`` is called for requests that were charged to a quota and did not
+    run. ``open_flows`` is the number of requests that were started and have no answer.
     """
 
-    dialect: Dialect
+    header_codec: Dialect
     sender: Sender
     admission: Admission
     decisions: DecisionLog
     metrics: RelayMetrics
     clock: Callable[[], float]
     rng: random.Random
-    lineage: Lineage
+    call_attribution: Lineage
     return_quota: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
     def start(self, flow: Flow) -> None:
-        """Have a request sent to a server."""
+        """Start sending a request to a backend server."""
         self.open_flows += 1
         flow.exchange.on_abandon = lambda: self._abandon(flow)
         self.sender.begin(flow)
 
     def deliver(self, flow: Flow, reply: Reply) -> None:
-        """Hand the answer of a server on."""
+        """Forward the reply of a backend server to the client."""
         self._finish(flow)
         call = flow.call
         seconds = self.clock() - call.arrived_s
@@ -85,7 +85,7 @@
         self._respond(flow, reply.status, reply.head, reply.body)
 
     def give_up(self, flow: Flow) -> None:
-        """Give the final answer of a request that no server answers."""
+        """Answer a request for which no further attempt is made."""
         last = flow.last
         if last is not None and last.fate is Fate.ANSWERED:
             self.deliver(flow, last)
@@ -109,7 +109,7 @@
             self.refuse(flow, Reason.DEADLINE)
 
     def refuse(self, flow: Flow, reason: Reason | None) -> None:
-        """Say that a request has not run, and when to come back."""
+        """Refuse a request that has not run, with a Retry-After delay."""
         call = flow.call
         if flow.team is not None:
             self.return_quota(flow.team)
@@ -127,13 +127,13 @@
             share=round(share, 3),
             retry_after_s=round(delay_s, 3),
         )
-        head = self.dialect.write_refusal(call.request_id, delay_s)
+        head = self.header_codec.write_refusal(call.request_id, delay_s)
         self._respond(flow, SERVICE_UNAVAILABLE, head)
 
     def refuse_uninformed(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
-        """Refuse what this node knows too little to judge."""
+        """Refuse a request that this node lacks the data to decide on."""
         self._answer_early(
             exchange,
             head,
@@ -146,7 +146,7 @@
     def refuse_unauthorized(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
-        """Refuse a request whose key is missing or wrong, for good."""
+        """Refuse a request whose key is missing or wrong; a retry would be futile."""
         self._answer_early(exchange, head, route_name, reason, UNAUTHORIZED)
 
     def refuse_quota(
@@ -156,7 +156,7 @@
         route_name: str,
         verdict: QuotaVerdict,
     ) -> None:
-        """Refuse a request for the quota of its team, until some of it is there."""
+        """Refuse a request that the quota of its team does not admit now."""
         status = SERVICE_UNAVAILABLE
         if verdict.refusal is Reason.QUOTA_SPENT:
             status = TOO_MANY_REQUESTS
@@ -164,7 +164,7 @@
         self._answer_early(exchange, head, route_name, verdict.refusal, status, delay_s)
 
     def answer_unknown_route(self, exchange: Exchange, head: RequestHead) -> None:
-        """Say that there is no such route."""
+        """Answer a request that matches no route with 404."""
         self._answer_early(exchange, head, "", Reason.NO_ROUTE, NOT_FOUND)
 
     def _answer_early(
@@ -176,7 +176,7 @@
         status: int,
         delay_s: float = 0.0,
     ) -> None:
-        """Answer a request of which nothing was begun."""
+        """Answer a request that was not started."""
         self.metrics.count_refusal(route_name, reason)
         inputs = {"route": route_name} if route_name else {"host": head.host}
         self.decisions.note(
@@ -187,7 +187,9 @@
             retry_after_s=round(delay_s, 3),
             **inputs,
         )
-        exchange.respond(status, self.dialect.write_refusal(head.request_id, delay_s))
+        exchange.respond(
+            status, self.header_codec.write_refusal(head.request_id, delay_s)
+        )
 
     def _abandon(self, flow: Flow) -> None:
         if not flow.ended:
@@ -216,10 +218,12 @@
             tried=flow.tried,
             seconds=round(self.clock() - call.arrived_s, 3),
         )
-        self._respond(flow, status, self.dialect.write_refusal(call.request_id, 0.0))
+        self._respond(
+            flow, status, self.header_codec.write_refusal(call.request_id, 0.0)
+        )
 
     def _respond(self, flow: Flow, status: int, head: bytes, body: bytes = b"") -> None:
         if flow.made is not None:
-            # before the answer goes out, as the next call follows it at once
-            self.lineage.note_answer(flow.made, status < 300)
+            # Recorded before the answer is sent, as the next call may follow at once.
+            self.call_attribution.note_answer(flow.made, status < 300)
         flow.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -1,4 +1,4 @@
-"""The planned end of a node: it answers what it has taken and takes no more."""
+"""Graceful shutdown of a node: it finishes accepted requests and accepts no more."""
 
 from __future__ import annotations
 
@@ -15,23 +15,21 @@
     from eelgrassmount.relay.beliefs import Beliefs
     from eelgrassmount.relay.inbound import InboundLinks
 
-# clients are sent elsewhere once two questions a second apart had no "ready"
+# Time for clients to leave; covers two failed readiness probes at a 1 s interval.
 CLIENT_DRAIN_S = 2.6
-# other nodes are told so long before that to send no more calls: until then the
-# server goes on with them, since it is out for all the time that its node takes to
-# come back. A service of three servers whose nodes were restarted a second apart
-# had none for two seconds when calls ended with the signal
+# Last part of the client drain, in which other nodes stop sending calls. Until then the
+# backend server still serves them.
 PEER_DRAIN_S = 0.5
-# the end comes so much before the process would be killed
+# Margin before the process is killed.
 EXIT_MARGIN_S = 0.5
 POLL_INTERVAL_S = 0.05
 
 
 @define(eq=False)
 class Shutdown:
-    """Stops a node in steps, all within ``grace_s``."""
+    """Drains clients, then peers, and waits for open requests, within ``grace_s``."""
 
-    beliefs: Beliefs
+    node_state: Beliefs
     callers: HttpListener
     inbound: InboundLinks
     grace_s: float
@@ -39,16 +37,16 @@
     count_open: Callable[[], int]
 
     async def run(self) -> None:
-        """Take the node out of service and return when it may exit."""
+        """Drain the node and return when the process may exit."""
         loop = asyncio.get_running_loop()
         exit_deadline_s = loop.time() + self.grace_s - EXIT_MARGIN_S
-        self.beliefs.stopping = True
+        self.node_state.stopping = True
         logger.info("stopping", open=self.count_open())
-        # clients go on using their connections until they are gone
+        # Clients may still send requests over their connections during the drain.
         self.callers.ending = True
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
-        self.beliefs.closing = True
+        self.node_state.closing = True
         self.inbound.accepting = False
         self.report_now()
         await asyncio.sleep(min(drain_s, PEER_DRAIN_S))
