--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -37,7 +37,7 @@
 MAX_COUNT = 1e9
 
 _REASONS = frozenset(str(reason) for reason in Reason)
-_OUTCOMES = frozenset(int(fate) for fate in Fate)
+_OUTCOMES = frozenset(int(outcome) for outcome in Fate)
 
 
 def check_struct(struct: Any) -> None:
--- a/eelgrassmount/relay/frames.py
+++ b/eelgrassmount/relay/frames.py
@@ -92,10 +92,7 @@
 
 
 def decode_struct(struct_type: Any, payload: bytes) -> Any:
-    """Decode and validate a thrift struct, raising `BadFrameError` if it is invalid.
-
-    `check_struct` lists what is validated.
-    """
+    """Decode a thrift struct, raising `BadFrameError` unless it passes `check_struct`."""
     struct = struct_type()
     _PROTOCOL.trans = TMemoryBuffer(payload)
     try:
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -91,7 +91,7 @@
             connection.abort()
 
     def broadcast(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
-        """Send a frame to all connected senders, or only to the active ones."""
+        """Send a frame to the active senders, or to all connected ones."""
         frame = encode_frame(kind, struct)
         for connection in (
             self._list_active_connections() if only_active else self.connections
@@ -123,13 +123,13 @@
         """Delete replies and senders whose retention time has passed."""
         now_s = self.clock()
         self._expire_senders(now_s)
-        old = [
+        expired = [
             key
             for key, received in self.received_calls.items()
             if received.reply is not None
             and now_s - received.finished_s > REPLY_RETENTION_S
         ]
-        for key in old:
+        for key in expired:
             del self.received_calls[key]
 
     def _expire_senders(self, now_s: float) -> None:
@@ -282,13 +282,13 @@
         received.job = None
         sequence = received.key[1]
         connection = received.connection
-        wanted = connection.jobs.pop(sequence, None) is not None
-        if idempotent and not (wanted and connection.closed):
+        awaited = connection.jobs.pop(sequence, None) is not None
+        if idempotent and not (awaited and connection.closed):
             self.inbound.received_calls.pop(received.key, None)
         else:
             received.reply = reply
             received.finished_s = self.inbound.clock()
-        if wanted:
+        if awaited:
             connection._send_reply(sequence, reply)
 
     def _cancel(self, sequence: int) -> None:
--- a/eelgrassmount/relay/link.py
+++ b/eelgrassmount/relay/link.py
@@ -33,8 +33,8 @@
 PING_AFTER_S = 0.15
 SUSPECT_AFTER_S = 0.3
 SILENCE_TIMEOUT_S = 0.5
-# How long the first connection may stay silent once the second has received a frame. A
-# peer that resumes after a pause reads both within milliseconds.
+# How long the first connection may stay silent once the second has received a frame: a
+# peer that resumes after a pause answers on both at nearly the same time.
 SWITCH_AFTER_S = 0.1
 # A longer time between two checks means that this process was paused, so that silence
 # of its peers says nothing.
@@ -76,7 +76,7 @@
     """Sends calls to one other node, over one connection at a time.
 
     A broken connection is replaced. A silent connection stays open, since the peer may
-    only be paused, and a second connection is pending beside it. If the second receives
+    only be paused, and a second connection is opened beside it. If the second receives
     a frame and the first stays silent, the link switches to the second. Pending calls
     are then sent again, marked as resumed, so that the same incarnation of the peer
     can match them with the calls it already has. They fail when the peer accepts no
@@ -382,8 +382,8 @@
         calls = list(self.pending_calls.values())
         self.pending_calls.clear()
         for pending in calls:
-            fate = Fate.MAY_HAVE_RUN if pending.written else Fate.NOT_RUN
-            pending.done(Reply(fate, Reason.PEER_LOST))
+            outcome = Fate.MAY_HAVE_RUN if pending.written else Fate.NOT_RUN
+            pending.done(Reply(outcome, Reason.PEER_LOST))
         self._close_retired()
 
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
@@ -422,8 +422,8 @@
         pending = self.pending_calls.pop(reply.sequence, None)
         if pending is not None:
             reason = Reason(reply.reason) if reply.reason else None
-            fate = Fate(reply.outcome)
-            pending.done(Reply(fate, reason, reply.status, reply.head, reply.body))
+            outcome = Fate(reply.outcome)
+            pending.done(Reply(outcome, reason, reply.status, reply.head, reply.body))
         self._close_retired()
 
     def _handle_hello(self, hello: ttypes.RelayHello) -> None:
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -114,17 +114,17 @@
 
         Several nodes announce a new version at once, and the document can be large.
         """
-        known = self.node_state.table.version
+        local_version = self.node_state.table.version
         now_s = self.node_state.clock()
         requested = (
             version <= self._requested_version
             and now_s - self._requested_s < CONFIG_REQUEST_TIMEOUT_S
         )
-        if version <= known or requested:
+        if version <= local_version or requested:
             return
         self._requested_version = version
         self._requested_s = now_s
-        send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(known))
+        send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(local_version))
 
     def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
@@ -158,18 +158,18 @@
             return None
         return ttypes.RelayConfig(node_state.table.version, node_state.document)
 
-    def handle_crash(self, ended: ServerIncarnation, jobs: list[Job]) -> None:
+    def handle_crash(self, incarnation: ServerIncarnation, jobs: list[Job]) -> None:
         """Suspect the requests that ran when the server crashed, and notify all peers.
 
         A crash is identified by the server's incarnation: one crash detected twice
         counts once, and crashes of two incarnations count twice. Suspects outlive the
         incarnation, since their content may crash the next one too.
         """
-        crash_id = f"{self.node_state.name}/{ended}"
+        crash_id = f"{self.node_state.name}/{incarnation}"
         digests = [job.call.find_digest() for job in jobs]
         logger.warning(
             "server crashed",
-            incarnation=str(ended),
+            incarnation=str(incarnation),
             running=len(jobs),
             requests=[job.call.request_id for job in jobs[:4]],
         )
@@ -180,10 +180,10 @@
     def record_suspects(self, suspects: ttypes.RelaySuspects) -> None:
         """Count a crash against the request contents that ran at the time."""
         now_s = self.node_state.clock()
-        calls = frozenset([suspects.crash_id])
+        crash_ids = frozenset([suspects.crash_id])
         self.quarantine.merge(
             [
-                Suspect(digest, calls, now_s + QUARANTINE_S)
+                Suspect(digest, crash_ids, now_s + QUARANTINE_S)
                 for digest in suspects.digests
             ],
             now_s,
--- a/tests/relay/test_checks.py
+++ b/tests/relay/test_checks.py
@@ -1,4 +1,4 @@
-"""Frames and records of other writers, as decoded from bytes."""
+"""Tests of the validation of frames and records from other nodes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     *(1, "r1", "shop/list/", "desk", "front", 900, 1, True, False),
     *("GET", "/list/1", b"host: shop\r\n", b"", "", False, False, 0, False, False),
 )
-ANSWER = ttypes.RelayReply(1, 0, None, 200, b"a: b\r\n", b"x", 3, 0)
+REPLY = ttypes.RelayReply(1, 0, None, 200, b"a: b\r\n", b"x", 3, 0)
 REFUSAL = ttypes.RelayReply(1, 1, "overload", 0, b"", b"", 3, 0)
 REPORT = ttypes.RelayReport(
     *(True, 3, 0, 9, 500, 3, [ttypes.RouteTime("shop/list/", 30.0)]),
@@ -43,18 +43,20 @@
 SUBSCRIBE = ttypes.RelaySubscribe("n1", "a", 4, TALLY, True, 2)
 RECORDS = [ttypes.RelayRecord("n2", b"value", 3)]
 NEWS = ttypes.RelayNews("n1", True, False, 3, 4, RECORDS, TALLY, -1)
-ASK = ttypes.RelayQuotaAsk("n1", 7, ["n1", "n2"], [ttypes.QuotaUse("press", -2, 3)])
+QUOTA_REQUEST = ttypes.RelayQuotaAsk(
+    "n1", 7, ["n1", "n2"], [ttypes.QuotaUse("press", -2, 3)]
+)
 GRANT = ttypes.QuotaGrant("press", 3, 2, False, 0.5, 0.1)
-GRANTS = ttypes.RelayQuotaGrants("n1", 7, [GRANT])
-BORROW = ttypes.RelayQuotaBorrow("n1", 7, "press", 2.5)
-LOAN = ttypes.RelayQuotaLoan("n1", 7, 1.5)
+QUOTA_GRANTS = ttypes.RelayQuotaGrants("n1", 7, [GRANT])
+QUOTA_BORROW = ttypes.RelayQuotaBorrow("n1", 7, "press", 2.5)
+QUOTA_LOAN = ttypes.RelayQuotaLoan("n1", 7, 1.5)
 STRUCTS = (
-    *(HELLO, CALL, ANSWER, REFUSAL, REPORT, SUSPECTS, NODE, LEARNED),
-    *(SUBSCRIBE, NEWS, ASK, GRANTS, BORROW, LOAN),
+    *(HELLO, CALL, REPLY, REFUSAL, REPORT, SUSPECTS, NODE, LEARNED),
+    *(SUBSCRIBE, NEWS, QUOTA_REQUEST, QUOTA_GRANTS, QUOTA_BORROW, QUOTA_LOAN),
     *(ttypes.RelayCancel(1), ttypes.RelayConfigRequest(0)),
     ttypes.RelayConfig(3, b"{}"),
 )
-LONG = "x" * 70_000
+LONG_TEXT = "x" * 70_000
 
 
 def copy(one: Any, **changes: Any) -> Any:
@@ -70,24 +72,22 @@
         (one, name)
         for one in STRUCTS
         for name in vars(one)
-        if not (one in (ANSWER, REFUSAL) and name == "reason")
+        if not (one in (REPLY, REFUSAL) and name == "reason")
     ]
 
 
 @pytest.mark.parametrize("one", STRUCTS, ids=lambda one: type(one).__name__)
-def test_frames_as_nodes_send_them(one):
+def test_valid_structs_are_decoded(one):
     assert decode(one) == one
 
 
-# A decoder of thrift leaves a field that is missing, or that came in another type, at
-# None. A record without a name made a member called None, and a report without numbers
-# ended the connection by an exception.
+# The thrift decoder sets a field to None if it is missing or of another type.
 @pytest.mark.parametrize(
     ("one", "name"),
     list_fields(),
     ids=lambda value: value if isinstance(value, str) else type(value).__name__,
 )
-def test_missing_field_is_named(one, name):
+def test_error_names_the_missing_field(one, name):
     with pytest.raises(BadFrameError) as caught:
         decode(copy(one, **{name: None}))
     assert name in str(caught.value)
@@ -97,7 +97,7 @@
     ("one", "changes"),
     [
         (NODE, {"node_name": ""}),
-        (NODE, {"node_name": LONG}),
+        (NODE, {"node_name": LONG_TEXT}),
         (NODE, {"node_name": "a\nb"}),
         (NODE, {"node_name": "\ufffd"}),
         (NODE, {"address": "n1"}),
@@ -108,13 +108,13 @@
         (NODE, {"address": "host:7620"}),
         (NODE, {"failure_domain": ""}),
         (NODE, {"service_name": ""}),
-        (NODE, {"service_name": LONG}),
+        (NODE, {"service_name": LONG_TEXT}),
         (HELLO, {"node_name": ""}),
         (HELLO, {"address": "n1"}),
         (HELLO, {"address": "127.0.0.1:70000"}),
         (HELLO, {"service_name": ""}),
         (HELLO, {"config_version": -1}),
-        (HELLO, {"incarnation": LONG}),
+        (HELLO, {"incarnation": LONG_TEXT}),
         (CALL, {"remaining_ms": -1}),
         (CALL, {"remaining_ms": 2**31 - 1}),
         (CALL, {"sequence": -1}),
@@ -129,13 +129,13 @@
         (CALL, {"head": b"a: b"}),
         (CALL, {"head": b"a: b\r\n\r\nGET / HTTP/1.1\r\n"}),
         (CALL, {"head": b"\r\n"}),
-        (ANSWER, {"outcome": 3}),
-        (ANSWER, {"outcome": -1}),
-        (ANSWER, {"status": 0}),
-        (ANSWER, {"status": 1000}),
-        (ANSWER, {"head": b"a: b\r\n\r\n"}),
-        (ANSWER, {"in_flight": -1}),
-        (ANSWER, {"queued": -1}),
+        (REPLY, {"outcome": 3}),
+        (REPLY, {"outcome": -1}),
+        (REPLY, {"status": 0}),
+        (REPLY, {"status": 1000}),
+        (REPLY, {"head": b"a: b\r\n\r\n"}),
+        (REPLY, {"in_flight": -1}),
+        (REPLY, {"queued": -1}),
         (REFUSAL, {"reason": "because"}),
         (REPORT, {"in_flight": -1}),
         (REPORT, {"queued": -1}),
@@ -159,10 +159,10 @@
         (LEARNED, {"calls": [ttypes.RouteCalls("", "s", 1.0)]}),
         (LEARNED, {"calls": [ttypes.RouteCalls(None, "s", 1.0)]}),
         (LEARNED, {"calls": [ttypes.RouteCalls("r", None, 1.0)]}),
-        (LEARNED, {"calls": [ttypes.RouteCalls("r", LONG, 1.0)]}),
+        (LEARNED, {"calls": [ttypes.RouteCalls("r", LONG_TEXT, 1.0)]}),
         (LEARNED, {"calls": [ttypes.RouteCalls("r", "s", None)]}),
         (SUBSCRIBE, {"node_name": ""}),
-        (SUBSCRIBE, {"failure_domain": LONG}),
+        (SUBSCRIBE, {"failure_domain": LONG_TEXT}),
         (SUBSCRIBE, {"next_offset": -1}),
         (SUBSCRIBE, {"tally": ttypes.RelayTally()}),
         (SUBSCRIBE, {"tally": copy(TALLY, nodes=-1)}),
@@ -173,41 +173,41 @@
         (SUBSCRIBE, {"tally": copy(TALLY, asked=[ttypes.ServiceCounts("d", 1)])}),
         (SUBSCRIBE, {"tally": copy(TALLY, asked=[ttypes.ServiceCounts("", 1, [])])}),
         (SUBSCRIBE, {"tally": copy(TALLY, calls=[ttypes.RouteCalls("r", "", 1.0)])}),
-        (ASK, {"node_name": ""}),
-        (ASK, {"number": -1}),
-        (ASK, {"holders": ["n1", ""]}),
-        (ASK, {"uses": [ttypes.QuotaUse("", 0, 0)]}),
-        (ASK, {"uses": [ttypes.QuotaUse("press", None, 0)]}),
-        (ASK, {"uses": [ttypes.QuotaUse("press", 2_000_000, 0)]}),
-        (ASK, {"uses": [ttypes.QuotaUse("press", -2_000_000, 0)]}),
-        (ASK, {"uses": [ttypes.QuotaUse("press", 0, -1)]}),
-        (GRANTS, {"number": -1}),
-        (GRANTS, {"grants": [copy(GRANT, granted=4)]}),
-        (GRANTS, {"grants": [copy(GRANT, granted=-1)]}),
-        (GRANTS, {"grants": [copy(GRANT, wait_s=math.nan)]}),
-        (GRANTS, {"grants": [copy(GRANT, gap_s=-1.0)]}),
-        (GRANTS, {"grants": [copy(GRANT, free=None)]}),
-        (BORROW, {"team_name": ""}),
-        (BORROW, {"wanted": math.inf}),
-        (BORROW, {"wanted": -0.5}),
-        (LOAN, {"amount": -0.5}),
-        (LOAN, {"amount": math.nan}),
+        (QUOTA_REQUEST, {"node_name": ""}),
+        (QUOTA_REQUEST, {"number": -1}),
+        (QUOTA_REQUEST, {"holders": ["n1", ""]}),
+        (QUOTA_REQUEST, {"uses": [ttypes.QuotaUse("", 0, 0)]}),
+        (QUOTA_REQUEST, {"uses": [ttypes.QuotaUse("press", None, 0)]}),
+        (QUOTA_REQUEST, {"uses": [ttypes.QuotaUse("press", 2_000_000, 0)]}),
+        (QUOTA_REQUEST, {"uses": [ttypes.QuotaUse("press", -2_000_000, 0)]}),
+        (QUOTA_REQUEST, {"uses": [ttypes.QuotaUse("press", 0, -1)]}),
+        (QUOTA_GRANTS, {"number": -1}),
+        (QUOTA_GRANTS, {"grants": [copy(GRANT, granted=4)]}),
+        (QUOTA_GRANTS, {"grants": [copy(GRANT, granted=-1)]}),
+        (QUOTA_GRANTS, {"grants": [copy(GRANT, wait_s=math.nan)]}),
+        (QUOTA_GRANTS, {"grants": [copy(GRANT, gap_s=-1.0)]}),
+        (QUOTA_GRANTS, {"grants": [copy(GRANT, free=None)]}),
+        (QUOTA_BORROW, {"team_name": ""}),
+        (QUOTA_BORROW, {"wanted": math.inf}),
+        (QUOTA_BORROW, {"wanted": -0.5}),
+        (QUOTA_LOAN, {"amount": -0.5}),
+        (QUOTA_LOAN, {"amount": math.nan}),
         (SUBSCRIBE, {"era": -2}),
         (NEWS, {"era": 2**62 + 1}),
-        (NEWS, {"node_name": LONG}),
+        (NEWS, {"node_name": LONG_TEXT}),
         (NEWS, {"config_version": -1}),
         (NEWS, {"next_offset": -1}),
         (NEWS, {"records": [ttypes.RelayRecord("n2", None, 3)]}),
         (NEWS, {"records": [ttypes.RelayRecord("n2", b"", -1)]}),
         (NEWS, {"tally": copy(TALLY, calls=[ttypes.RouteCalls("r", "s", 1e300)])}),
         (SUSPECTS, {"crash_id": ""}),
-        (SUSPECTS, {"crash_id": LONG}),
-        (SUSPECTS, {"digests": ["d", LONG]}),
+        (SUSPECTS, {"crash_id": LONG_TEXT}),
+        (SUSPECTS, {"digests": ["d", LONG_TEXT]}),
         (SUSPECTS, {"digests": [""]}),
     ],
     ids=lambda value: repr(value)[:60] if isinstance(value, dict) else "",
 )
-def test_value_out_of_range_is_refused(one, changes):
+def test_value_out_of_range_is_rejected(one, changes):
     with pytest.raises(BadFrameError):
         decode(copy(one, **changes))
 
@@ -219,41 +219,41 @@
         b"{}",
         b"\xff" * 100,
         b"\x00garbage",
-        # lists that say that they have two thousand million entries, or are deep
+        # lists with a declared length of 2^31 - 1 entries, and deeply nested structs
         b"\x0f\x00\x01\x0c" + struct.pack(">i", 2**31 - 1),
         b"\x0f\x00\x63\x02" + struct.pack(">i", 2**31 - 1),
         b"\x0c\x00\x63" * 100_000,
-        # a text that says that it is as long, or less than empty
+        # strings with a declared length of 2^31 - 1 and of -5 bytes
         b"\x0b\x00\x01" + struct.pack(">i", 2**31 - 1),
         b"\x0b\x00\x01" + struct.pack(">i", -5),
-        # a whole number where a text is due
+        # an integer in place of a string
         b"\x08\x00\x01" + struct.pack(">i", 7) + b"\x00",
     ],
     ids=lambda payload: repr(payload[:8]),
 )
 @pytest.mark.parametrize("make", sorted({type(one) for one in STRUCTS}, key=str))
-def test_bytes_that_are_no_struct_are_refused(make, payload):
+def test_malformed_bytes_are_rejected(make, payload):
     with pytest.raises(BadFrameError):
         decode_struct(make, payload)
 
 
-# 200,000 empty rows, a byte each, took 23 MB once they were decoded.
-def test_list_with_very_many_entries_is_refused():
+# Empty rows take one byte each, but far more memory once they are decoded.
+def test_list_with_too_many_entries_is_rejected():
     payload = b"\x0f\x00\x01\x0c" + struct.pack(">i", 200_000) + b"\x00" * 200_001
     with pytest.raises(BadFrameError):
         decode_struct(ttypes.LearnedRecord, payload)
 
 
-# The decoder's own limit of 16,384,000 bytes was below that of a body, so that the
-# link to a node was dropped, with all calls on it, whenever it carried a longer one.
-def test_long_bodies_are_carried():
+# The default limit of the thrift decoder is shorter than the longest body. A body over
+# the limit would drop the link with all its calls.
+def test_body_longer_than_the_default_limit_of_thrift_is_decoded():
     body = bytes(17 * 1024 * 1024)
     assert len(body) < MAX_FRAME_BYTES
-    assert decode(copy(ANSWER, body=body)).body == body
+    assert decode(copy(REPLY, body=body)).body == body
 
 
-class Failing(FrameConnection):
-    """A connection whose handler fails."""
+class FailingConnection(FrameConnection):
+    """A connection whose frame handler raises an exception."""
 
     def __init__(self):
         super().__init__()
@@ -273,10 +273,9 @@
         self.aborted = True
 
 
-# An exception in the handler of a frame left the protocol, without a line that told
-# which frame it was.
+# The error must name the kind of the frame whose handler failed.
 def test_connection_is_dropped_when_its_handler_fails():
-    connection = Failing()
+    connection = FailingConnection()
     frame = encode_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
     connection.data_received(frame)
     assert connection.aborted
@@ -284,8 +283,8 @@
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x00", b"\xff\xff", b"{}"])
-def test_connection_is_dropped_behind_a_bad_frame(payload):
-    connection = Failing()
+def test_connection_is_dropped_after_a_bad_frame(payload):
+    connection = FailingConnection()
     frame = bytes([FrameKind.REPORT]) + payload
     connection.data_received(len(frame).to_bytes(4, "big") + frame)
     assert connection.aborted
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever others write: it is sound once it is decoded, or it changes nothing."""
+"""Fuzz tests: input of other writers is rejected, or valid once it is decoded."""
 
 from __future__ import annotations
 
@@ -30,79 +30,82 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-PLAIN = re.compile(r"[A-Za-z0-9._:~-]{1,128}")
-PATHS = (
+PLAIN_NAME = re.compile(r"[A-Za-z0-9._:~-]{1,128}")
+FIELD_PATHS = (
     *("address", "info.service", "info.version", "info.zone", "info.slots"),
     *("status.state", "status.sequence", "status.coldRemainingMs", "born"),
 )
-WHOLE = ("info.slots", "status.sequence", "born")
-# a body is wrong in one field with a value that no field may have, so that a decoder
-# that lets one of them pass is seen
-ODD = (
+INTEGER_FIELDS = ("info.slots", "status.sequence", "born")
+# Values that are invalid in most fields; `is_invalid` knows the exceptions.
+INVALID_VALUES = (
     *(None, True, False, [], {}, "", " ", "7", "7.5", "true", "napping", "\ud800"),
     *(-1, -5, 7.5, 7.0, 10**20, 10**400, float("nan"), float("inf"), [7], {"a": 1}),
 )
-GONE = object()
+MISSING = object()
 IDENTITIES = st.one_of(
     st.just("i-1"), st.text(max_size=140), st.sampled_from(["", "/"])
 )
 
 
-def is_odd(path: str, value: Any) -> bool:
-    """Tell whether a value can't be that of a field."""
+def is_invalid(path: str, value: Any) -> bool:
+    """Return whether a value is invalid for a field."""
     if path in ("info.service", "info.version", "info.zone"):
         return value not in ("7", "7.5", "true", "napping", " ")
     if path == "status.coldRemainingMs":
         return value not in (7.5, 7.0) or isinstance(value, bool)
     if path == "born":
-        return value is not GONE
+        return value is not MISSING
     return True
 
 
 @st.composite
-def odd_bodies(draw) -> bytes:
-    """Return a heartbeat with one field that is wrong or missing."""
-    path = draw(st.sampled_from(PATHS))
-    value = draw(st.sampled_from((GONE, *ODD)).filter(lambda one: is_odd(path, one)))
+def invalid_bodies(draw) -> bytes:
+    """Draw a heartbeat with one invalid or missing field."""
+    path = draw(st.sampled_from(FIELD_PATHS))
+    value = draw(
+        st.sampled_from((MISSING, *INVALID_VALUES)).filter(
+            lambda one: is_invalid(path, one)
+        )
+    )
     content = json.loads(make_heartbeat(9))
-    holder = content
-    *above, name = path.split(".")
-    for one in above:
-        holder = holder[one]
-    if value is GONE:
-        del holder[name]
+    parent = content
+    *parents, name = path.split(".")
+    for one in parents:
+        parent = parent[one]
+    if value is MISSING:
+        del parent[name]
     else:
-        holder[name] = value
+        parent[name] = value
     return json.dumps(content).encode()
 
 
-def cut(bodies: st.SearchStrategy[bytes]) -> st.SearchStrategy[bytes]:
-    """Return the begins of bodies, which are no JSON."""
+def truncate(bodies: st.SearchStrategy[bytes]) -> st.SearchStrategy[bytes]:
+    """Return a strategy of the first halves of bodies, which are invalid JSON."""
     return bodies.map(lambda body: body[: len(body) // 2])
 
 
-bad_bodies = st.one_of(
-    odd_bodies(),
-    cut(odd_bodies()),
+malformed_bodies = st.one_of(
+    invalid_bodies(),
+    truncate(invalid_bodies()),
     st.binary(max_size=200),
     st.integers(1, 4000).map(lambda depth: b"[" * depth),
 )
 
 
-def read(body: bytes, identity: str = "i-1") -> Any:
+def read_heartbeat(body: bytes, identity: str = "i-1") -> Any:
     return read_announcement("POST", f"/instances/{identity}/heartbeat", body)
 
 
 def check_heartbeat(body: bytes, identity: str = "i-1") -> None:
-    """Check that a body is refused, or says just what was decoded from it."""
+    """Check that a body is rejected, or that it has exactly the decoded values."""
     try:
-        found = read(body, identity)
+        found = read_heartbeat(body, identity)
     except PlatformDocumentError as error:
         assert error.part
         return
-    assert PLAIN.fullmatch(identity)
+    assert PLAIN_NAME.fullmatch(identity)
     content = json.loads(body)
-    raw = [find_field(content, path) for path in WHOLE]
+    raw = [find_field(content, path) for path in INTEGER_FIELDS]
     assert [type(one) for one in raw if one is not None] == [int] * (
         len(raw) - raw.count(None)
     )
@@ -124,15 +127,15 @@
         assert 0 < len(text) <= 128
 
 
-@given(bad_bodies, IDENTITIES)
-def test_heartbeat(body, identity):
+@given(malformed_bodies, IDENTITIES)
+def test_heartbeat_is_rejected_or_decoded_exactly(body, identity):
     check_heartbeat(body, identity)
 
 
-@given(odd_bodies())
-def test_heartbeat_that_is_odd_in_one_field_is_refused(body):
+@given(invalid_bodies())
+def test_heartbeat_with_one_invalid_field_is_rejected(body):
     with pytest.raises(PlatformDocumentError):
-        read(body)
+        read_heartbeat(body)
 
 
 json_values = st.recursive(
@@ -152,7 +155,7 @@
         json_values.map(lambda one: json.dumps({"born": one}).encode()),
     )
 )
-def test_leave(body):
+def test_leave_is_rejected_or_decoded_exactly(body):
     try:
         found = read_announcement("POST", "/instances/i-1/leave", body)
     except PlatformDocumentError:
@@ -163,8 +166,8 @@
     assert found.incarnation.started_ms == start
 
 
-def coerce(convert: Callable[[Any], Any], wrong_path: str) -> Callable:
-    """Return a reader that converts one field in passing, as a mutant does."""
+def make_lenient_reader(convert: Callable[[Any], Any], lenient_path: str) -> Callable:
+    """Return a field reader that converts one field instead of checking its type."""
     strict = {
         int: heartbeats.read_whole,
         float: heartbeats.read_number,
@@ -172,7 +175,7 @@
     }[convert]
 
     def read_field(content: Any, path: str, *args: Any) -> Any:
-        if path == wrong_path:
+        if path == lenient_path:
             try:
                 return convert(find_field(content, path) or 0)
             except (ValueError, TypeError, OverflowError) as error:
@@ -182,7 +185,7 @@
     return read_field
 
 
-MUTANTS = [
+LENIENT_READERS = [
     ("read_whole", int, "info.slots"),
     ("read_whole", int, "status.sequence"),
     ("read_whole", int, "born"),
@@ -192,14 +195,12 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "convert", "path"), MUTANTS)
-def test_decoder_that_converts_a_field_in_passing_is_seen(
-    monkeypatch, name, convert, path
-):
-    monkeypatch.setattr(heartbeats, name, coerce(convert, path))
+@pytest.mark.parametrize(("name", "convert", "path"), LENIENT_READERS)
+def test_check_detects_decoder_that_converts_a_field(monkeypatch, name, convert, path):
+    monkeypatch.setattr(heartbeats, name, make_lenient_reader(convert, path))
 
     @settings(max_examples=400, phases=[Phase.generate])
-    @given(odd_bodies())
+    @given(invalid_bodies())
     def check(body: bytes) -> None:
         check_heartbeat(body)
 
@@ -208,11 +209,11 @@
 
 
 @pytest.mark.parametrize("name", ["read_choice", "read_address"])
-def test_decoder_that_takes_any_state_or_address_is_seen(monkeypatch, name):
+def test_check_detects_decoder_that_accepts_any_state_or_address(monkeypatch, name):
     monkeypatch.setattr(heartbeats, name, lambda content, path, *rest: "ready")
 
     @settings(max_examples=400, phases=[Phase.generate])
-    @given(odd_bodies())
+    @given(invalid_bodies())
     def check(body: bytes) -> None:
         try:
             check_heartbeat(body)
@@ -227,9 +228,9 @@
 
 
 @given(st.lists(st.tuples(names, st.binary(max_size=140)), max_size=4))
-def test_health_answer(found):
+def test_headers_of_health_answer_are_validated(found):
     head = headers.read_answer(found)
-    assert head.instance == "" or PLAIN.fullmatch(head.instance)
+    assert head.instance == "" or PLAIN_NAME.fullmatch(head.instance)
     limit_s = headers.read_idle_limit(found)
     assert limit_s is None or 0 <= limit_s < 1e9
 
@@ -242,7 +243,7 @@
     return pack("i", len(value)) + value
 
 
-# types of thrift, with a value of each
+# Thrift field types, each with a value.
 texts = st.text("abc\u00e9\x00\ufffd", max_size=20) | st.sampled_from(
     ["n2", "127.0.0.1:7620", "desk", ""]
 )
@@ -258,8 +259,8 @@
 
 
 @st.composite
-def odd_structs(draw) -> bytes:
-    """Return a struct of thrift with fields of any type."""
+def random_structs(draw) -> bytes:
+    """Draw an encoded thrift struct with fields of any type."""
     found = [
         bytes([kind]) + pack("h", draw(st.integers(1, 5))) + value
         for kind, value in draw(st.lists(fields, max_size=5))
@@ -268,8 +269,8 @@
 
 
 @st.composite
-def odd_learned(draw) -> bytes:
-    """Return a record of learned calls in which rows may be odd."""
+def random_learned_records(draw) -> bytes:
+    """Draw a record of learned calls whose rows may be invalid."""
     names = st.sampled_from(["shop/a/", "shop/b/", "", None])
     rows = st.builds(ttypes.RouteCalls, names, names, st.floats() | st.none())
     calls = draw(st.lists(rows, max_size=4))
@@ -277,15 +278,15 @@
 
 
 @st.composite
-def odd_nodes(draw) -> bytes:
-    """Return a record of a node in which fields may be odd."""
+def random_node_records(draw) -> bytes:
+    """Draw a node record whose fields may be invalid."""
     return encode_struct(
         ttypes.NodeRecord(*[draw(st.none() | texts) for _ in range(4)])
     )
 
 
 def check_node(payload: bytes) -> None:
-    """Check that a record of a node is refused, or can be used as it is."""
+    """Check that a node record is rejected, or is valid once it is decoded."""
     try:
         found = decode_struct(ttypes.NodeRecord, payload)
     except BadFrameError:
@@ -300,7 +301,7 @@
 
 
 def check_learned(payload: bytes) -> None:
-    """Check that learned calls are refused, or can be used as they are."""
+    """Check that learned calls are rejected, or are valid once they are decoded."""
     try:
         found = decode_struct(ttypes.LearnedRecord, payload)
     except BadFrameError:
@@ -313,22 +314,22 @@
         assert 0 <= row.calls_per_run < math.inf
 
 
-@given(st.one_of(st.binary(max_size=100), odd_structs(), odd_nodes()))
-def test_record_of_a_node(payload):
+@given(st.one_of(st.binary(max_size=100), random_structs(), random_node_records()))
+def test_node_record_is_rejected_or_valid(payload):
     check_node(payload)
 
 
-@given(st.one_of(st.binary(max_size=100), odd_structs(), odd_learned()))
-def test_record_of_learned_calls(payload):
+@given(st.one_of(st.binary(max_size=100), random_structs(), random_learned_records()))
+def test_record_of_learned_calls_is_rejected_or_valid(payload):
     check_learned(payload)
 
 
 @pytest.mark.parametrize(
     ("check", "payloads"),
-    [(check_node, odd_nodes()), (check_learned, odd_learned())],
+    [(check_node, random_node_records()), (check_learned, random_learned_records())],
     ids=["node", "learned"],
 )
-def test_decoder_of_records_that_checks_nothing_is_seen(monkeypatch, check, payloads):
+def test_check_detects_decoder_without_validation(monkeypatch, check, payloads):
     monkeypatch.setattr(frames, "check_struct", lambda struct: None)
 
     @settings(max_examples=400, phases=[Phase.generate])
@@ -341,21 +342,26 @@
 
 
 @st.composite
-def odd_records(draw) -> StoredRecord:
-    """Return a record under a key that a node looks at."""
+def random_records(draw) -> StoredRecord:
+    """Draw a record with a key that nodes read, or a random one."""
     key = draw(
         st.sampled_from([SETTINGS.name, "n2", LEARNED_KEY, CONFIGURATION_KEY, ""])
         | st.text(max_size=9)
     )
     value = draw(
-        st.one_of(st.binary(max_size=60), odd_structs(), odd_nodes(), odd_learned())
+        st.one_of(
+            st.binary(max_size=60),
+            random_structs(),
+            random_node_records(),
+            random_learned_records(),
+        )
     )
     return StoredRecord(key, value)
 
 
 @settings(max_examples=60)
-@given(st.lists(odd_records(), max_size=8))
-def test_records_change_nothing_of_others(records):
+@given(st.lists(random_records(), max_size=8))
+def test_invalid_records_change_no_other_state(records):
     node = build_relay(SETTINGS)
     node.put_own()
     good = ttypes.NodeRecord("n3", "127.0.0.3:7620", "a", "list")
@@ -383,15 +389,15 @@
         "/instances/i%2d1/heartbeat",
     ]
 )
-noise = st.binary(min_size=1, max_size=60)
+random_bytes = st.binary(min_size=1, max_size=60)
 
 
 @settings(max_examples=40, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(
-    st.lists(st.tuples(targets, bad_bodies), min_size=1, max_size=12),
-    st.lists(noise, max_size=3),
+    st.lists(st.tuples(targets, malformed_bodies), min_size=1, max_size=12),
+    st.lists(random_bytes, max_size=3),
 )
-def test_listener_over_its_socket(calls, lines):
+def test_listener_rejects_invalid_requests_without_state_change(calls, lines):
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
         before = lone.read_belief()
@@ -400,7 +406,7 @@
             assert 400 <= answer.status < 500
             assert lone.read_belief() == before
         for line in lines:
-            await send_noise(line)
+            await send_invalid_request(line)
         assert lone.read_belief() == before
         assert (await lone.announce(sequence=2)).status == 200
         refused = lone.node.refused
@@ -410,8 +416,8 @@
     run(scenario)
 
 
-async def send_noise(line: bytes) -> None:
-    """Send bytes that are no request and read on until the node closes."""
+async def send_invalid_request(line: bytes) -> None:
+    """Send bytes that are no HTTP request, and read until the node closes."""
     address = SETTINGS.announce_address
     async with await anyio.connect_tcp(address.host, address.port) as stream:
         try:
--- a/tests/relay/test_link.py
+++ b/tests/relay/test_link.py
@@ -1,4 +1,4 @@
-"""A link to a node that falls silent, without sockets."""
+"""Tests of a link to a silent peer, without sockets."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.relay.samples import make_call, make_route
 
 
-class UnconnectedLink(PeerLink):
-    """Counts the connections that it would open."""
+class CountingLink(PeerLink):
+    """A link that counts attempts to connect instead of connecting."""
 
     connects = 0
 
@@ -34,7 +34,7 @@
 
 
 def read_calls(transport):
-    """Return the calls among the frames that were written."""
+    """Return the calls among the written frames."""
     data = transport.written
     calls = []
     while data:
@@ -45,20 +45,20 @@
     return calls
 
 
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
-class Setup:
+class LinkFixture:
     def __init__(self):
         self.now_s = 100.0
         self.member = Member("peer", "127.0.0.1:1", "near", "list")
-        events = LinkHandlers(
+        handlers = LinkHandlers(
             ttypes.RelayHello,
             lambda member, hello: None,
             lambda member, report: None,
             lambda kind, struct, send: None,
         )
-        self.link = UnconnectedLink(self.member, lambda: self.now_s, events)
+        self.link = CountingLink(self.member, lambda: self.now_s, handlers)
         self.member.link = self.link
         self.open()
         self.replies = []
@@ -71,17 +71,17 @@
         self.link.last_received_s = self.now_s
 
     def open_second(self):
-        """Let the other node's system accept a second connection."""
+        """Let the peer's operating system accept a second connection."""
         connection = LinkConnection(self.link)
         connection.transport = MemoryTransport(connection)
         self.link._handle_connected(connection)
         return connection
 
     def fall_silent(self):
-        """Wait until a second connection is tried, looking as a node does."""
+        """Check for silence at intervals until a second connection is tried."""
         connects = self.link.connects
         while self.link.connects == connects:
-            self.wait(LOOK_S)
+            self.wait(CHECK_INTERVAL_S)
 
     def call(self, idempotent=True):
         route = make_route(idempotent=idempotent)
@@ -93,16 +93,16 @@
 
 
 @pytest.fixture
-def setup() -> Setup:
-    return Setup()
+def setup() -> LinkFixture:
+    return LinkFixture()
 
 
-def test_idle_link_may_be_silent(setup):
+def test_idle_link_is_not_closed_for_silence(setup):
     setup.wait(60.0)
     assert not setup.transport.closing
 
 
-def test_silent_link_is_pinged_suspected_and_tried_anew(setup):
+def test_silent_link_is_pinged_then_suspected_then_connected_again(setup):
     setup.call()
     sent = len(setup.transport.written)
     setup.wait(PING_AFTER_S + 0.01)
@@ -117,7 +117,7 @@
     assert setup.replies == []
 
 
-def test_silent_node_that_takes_no_connection_is_given_up(setup):
+def test_calls_fail_when_silent_peer_accepts_no_connection(setup):
     setup.call()
     setup.call(idempotent=False)
     setup.fall_silent()
@@ -128,7 +128,7 @@
     assert not setup.member.can_take(setup.now_s)
 
 
-def test_node_that_was_heard_meanwhile_is_not_given_up(setup):
+def test_calls_continue_when_peer_sends_a_frame_before_connect_fails(setup):
     setup.call()
     setup.fall_silent()
     setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
@@ -138,7 +138,7 @@
     assert setup.member.can_take(setup.now_s)
 
 
-def test_calls_move_to_a_second_connection_when_only_that_is_heard(setup):
+def test_calls_switch_to_second_connection_when_only_that_receives_frames(setup):
     sequences = [setup.call(), setup.call(idempotent=False)]
     setup.link.incarnation = "first"
     setup.fall_silent()
@@ -159,7 +159,7 @@
     assert [reply.status for reply in setup.replies] == [200]
 
 
-def test_nothing_moves_when_the_first_connection_is_heard_again(setup):
+def test_calls_stay_when_first_connection_receives_a_frame_again(setup):
     setup.call()
     setup.fall_silent()
     second = setup.open_second()
@@ -172,24 +172,24 @@
     assert setup.member.can_take(setup.now_s)
 
 
-def test_node_that_accepts_and_says_nothing_is_waited_for(setup):
+def test_calls_wait_for_peer_that_accepts_connections_but_sends_nothing(setup):
     sequence = setup.call()
     setup.fall_silent()
     second = setup.open_second()
     for _ in range(50):
-        setup.wait(LOOK_S)
+        setup.wait(CHECK_INTERVAL_S)
     assert setup.replies == []
     assert setup.link.connects == 1
     assert not setup.transport.closing
     assert not second.transport.closing
-    # it gets no new call, also once the old ones are given up
+    # The silent peer gets no new calls, even after the pending call is cancelled.
     setup.link.cancel(sequence)
     assert not setup.member.can_take(setup.now_s)
     setup.call()
     assert not setup.member.can_take(setup.now_s)
 
 
-def test_calls_move_at_once_when_the_first_connection_breaks(setup):
+def test_calls_switch_at_once_when_first_connection_breaks(setup):
     setup.call()
     setup.fall_silent()
     second = setup.open_second()
@@ -197,17 +197,17 @@
     assert [call.resumed for call in read_calls(second.transport)] == [True]
 
 
-def test_second_connection_that_breaks_is_tried_again(setup):
+def test_second_connection_is_opened_again_after_it_breaks(setup):
     setup.call()
     setup.fall_silent()
     setup.open_second().connection_lost(None)
-    setup.wait(LOOK_S)
+    setup.wait(CHECK_INTERVAL_S)
     assert setup.link.connects == 2
     assert setup.replies == []
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_call_is_asked_for_again_a_few_times_at_most(setup, idempotent):
+def test_call_is_resumed_a_limited_number_of_times(setup, idempotent):
     setup.call(idempotent)
     for _ in range(MAX_RESUMES):
         setup.link._connection.connection_lost(None)
@@ -217,7 +217,7 @@
     assert setup.replies[0].fate is Fate.MAY_HAVE_RUN
 
 
-def test_node_that_often_stands_still_is_told_of_now_and_then(setup):
+def test_repeated_silence_of_a_peer_is_logged_at_most_once_per_interval(setup):
     lines = []
     sink = logger.add(lines.append, filter="eelgrassmount.relay.link")
     started_s = setup.now_s
@@ -232,7 +232,7 @@
     assert lines[0].record["extra"]["action"] == "waits"
 
 
-def test_any_frame_is_a_sign_of_life(setup):
+def test_any_frame_ends_the_suspicion(setup):
     setup.call()
     setup.wait(SUSPECT_AFTER_S + 0.01)
     setup.link.handle_frame(FrameKind.PING, ttypes.RelayConfigRequest(0))
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_call_is_asked_for_again_when_its_connection_breaks(setup, idempotent):
+def test_call_is_resumed_when_its_connection_breaks(setup, idempotent):
     sequence = setup.call(idempotent)
     setup.link._connection.connection_lost(None)
     assert setup.replies == []
@@ -250,14 +250,14 @@
     assert setup.link.pending_calls[sequence].frame.resumed
 
 
-def test_call_that_never_left_has_not_run(setup):
+def test_unsent_call_has_not_run(setup):
     setup.link._connection = None
     setup.call()
     setup.link._fail_all()
     assert setup.replies[0].fate is Fate.NOT_RUN
 
 
-def test_cancelled_call_is_told_to_the_other_node_and_not_answered(setup):
+def test_cancelled_call_is_announced_to_peer_and_gets_no_reply(setup):
     sequence = setup.call()
     sent = len(setup.transport.written)
     setup.link.cancel(sequence)
@@ -266,14 +266,13 @@
     assert setup.replies == []
 
 
-def test_own_pause_is_not_the_silence_of_the_other_node(setup):
-    """A node stood still itself, and then found all other nodes silent at once.
+def test_local_pause_is_not_taken_for_silence_of_the_peer(setup):
+    """After a local pause, timers run before received bytes are read.
 
-    The lines "link silent" of a node came in the same millisecond for all its links,
-    with ``silent_s`` 0.5 to 1.4: its timers run before it reads what has come.
+    Without a check, all peers would seem silent at once.
     """
     setup.call()
-    setup.wait(LOOK_S)
+    setup.wait(CHECK_INTERVAL_S)
     sent = len(setup.transport.written)
     setup.now_s += SILENCE_TIMEOUT_S * 2
     assert setup.member.can_take(setup.now_s)
@@ -281,15 +280,15 @@
     assert setup.member.can_take(setup.now_s)
     assert setup.link.connects == 0
     assert len(setup.transport.written) > sent
-    # if nothing has come, it is silent from there on
-    setup.wait(LOOK_S)
-    setup.wait(LOOK_S)
+    # Silence is measured from the end of the pause.
+    setup.wait(CHECK_INTERVAL_S)
+    setup.wait(CHECK_INTERVAL_S)
     assert not setup.member.can_take(setup.now_s)
-    # nor does what has come over a second connection move the calls
+    # A frame on the second connection before a pause doesn't switch the calls at once.
     setup.fall_silent()
     setup.open_second().handle_frame(FrameKind.HELLO, ttypes.RelayHello())
     setup.wait(SILENCE_TIMEOUT_S * 2)
     assert not setup.transport.closing
-    setup.wait(LOOK_S)
-    setup.wait(LOOK_S)
+    setup.wait(CHECK_INTERVAL_S)
+    setup.wait(CHECK_INTERVAL_S)
     assert setup.transport.closing
--- a/tests/relay/test_peer_updates.py
+++ b/tests/relay/test_peer_updates.py
@@ -1,4 +1,4 @@
-"""What a node tells others of the server beside it, and takes up from them."""
+"""Tests of crash reports, load reports and restarts of the backend server."""
 
 from __future__ import annotations
 
@@ -21,12 +21,9 @@
     return build_relay(evolve(SETTINGS, service="list"))
 
 
-# A crash was named by the identity of the server. The crash of one that had started
-# again under its identity was taken for the first one told once more, so that a content
-# that crashed one server at each start was never held.
-
-
-def test_crashes_of_two_starts_of_one_identity_are_two(node):
+# A crash that is identified without the start time would count once for all restarts of
+# a server, and the content that crashes the server would never be quarantined.
+def test_crashes_of_two_incarnations_with_one_identity_count_twice(node):
     job = Job(make_call(), lambda reply: None)
     for started_ms in (STARTED_MS, STARTED_MS, STARTED_MS + 1):
         node.news.handle_crash(ServerIncarnation("i1", started_ms), [job])
@@ -34,7 +31,7 @@
     assert suspect.crashes == 2
 
 
-def test_report_replaces_what_was_told_of_an_earlier_start(node):
+def test_report_replaces_values_of_an_earlier_incarnation(node):
     member = node.beliefs.members.put("node-2", "127.77.4.2:7620", "a", "list")
     times = [ttypes.RouteTime("shop/list/", 900.0)]
     load = (False, 7, 3, 90, 2000, 1, times, [], 500_000, [], 1000, 250_000)
@@ -52,7 +49,7 @@
     assert load.run_s == {}
 
 
-def test_node_is_wired_to_begin_anew_with_its_server(node):
+def test_measurements_are_reset_when_the_server_restarts(node):
     server = node.beliefs.server
     server.note_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=5))
     node.gate.measures.failure_share = 0.5
@@ -60,11 +57,8 @@
     assert node.gate.measures.failure_share == 0.0
 
 
-# A restart under the same identity left no line: the heartbeat of the later start was
-# dropped like any late one.
-
-
-def test_restart_of_the_server_is_said_with_both_starts(node):
+# A restart under the same identity must not be taken for a late heartbeat.
+def test_log_line_of_a_server_restart_names_both_incarnations(node):
     lines = []
     handler = logger.add(lambda line: lines.append(line.record))
     server = node.beliefs.server
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -1,4 +1,4 @@
-"""Requests whose node beside the server falls silent, on a virtual network."""
+"""Requests to a server whose node is silent or disconnected, on a virtual network."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 LIST = make_rule("/list/", "list", action={"timeoutMs": 5000})
 BOOK = make_rule("/book/", "list", kind="non_idempotent", action={"timeoutMs": 5000})
 RUN_S = 0.2
-STALL_S = 1.0
-# what the steps of a request and of the node's timers take at most
+PAUSE_S = 1.0
+# Upper bound for the processing time of a request and the delay of timers.
 SLACK_S = 0.3
 
 
-class Scene:
-    """A node, and the only server of a service elsewhere, without a retry budget."""
+class SingleServerScenario:
+    """An entry node and the only server of a service, without a retry budget."""
 
     def __init__(self, network: Network, deployment: Deployment):
         self.network = network
@@ -44,53 +44,55 @@
 
     async def build(self) -> None:
         add = self.deployment.add
-        self.front: Vm = await add("front")
-        self.back: Vm = await add("list", retry_ratio=0.0, retry_slack=0.0)
+        self.entry_vm: Vm = await add("front")
+        self.server_vm: Vm = await add("list", retry_ratio=0.0, retry_slack=0.0)
         await self.deployment.settle()
-        self.back.server.work_s = RUN_S
-        address = self.back.settings.peer_address
+        self.server_vm.server.work_s = RUN_S
+        address = self.server_vm.settings.peer_address
         self.place: Place = (address.host, address.port)
 
     async def send(
         self, request_id: str = "a1", target: str = "/list/1"
     ) -> asyncio.Future:
-        """Send a request."""
-        self.client = await connect(self.front.settings.caller_address)
+        """Send a request and return a future of its answer."""
+        self.client = await connect(self.entry_vm.settings.caller_address)
         future = asyncio.get_running_loop().create_future()
         data = make_request("GET", target, request_id=request_id)
         self.client.send(data, future.set_result)
         return future
 
-    async def ask(
+    async def send_and_wait_for_run(
         self, request_id: str = "a1", target: str = "/list/1"
     ) -> asyncio.Future:
-        """Send a request and return when the server is at work on it."""
+        """Send a request, and return its future once the server runs it."""
         future = await self.send(request_id, target)
-        runs = self.back.server.runs
+        runs = self.server_vm.server.runs
         with anyio.fail_after(1):
             while request_id not in runs:
                 await anyio.sleep(0.001)
-        # the node that has sent it goes on with other things
+        # Let the sending node finish its current event handlers.
         await anyio.sleep(0.01)
         return future
 
-    async def stall(self) -> None:
-        """Let the node beside the server stand still for a second."""
+    async def pause_server_node(self) -> None:
+        """Pause the node of the server."""
         self.network.stand_still(self.place)
-        await anyio.sleep(STALL_S)
+        await anyio.sleep(PAUSE_S)
         self.network.go_on(self.place)
 
 
-def play(scenario, make: type[Scene] = Scene) -> None:
+def run_scenario(
+    scenario, setup_type: type[SingleServerScenario] = SingleServerScenario
+) -> None:
     async def main(network: Network) -> None:
         async with anyio.create_task_group() as group:
             deployment = Deployment(group)
             await deployment.start(LIST, BOOK)
-            scene = make(network, deployment)
+            setup = setup_type(network, deployment)
             try:
-                await scene.build()
+                await setup.build()
                 with anyio.fail_after(20):
-                    await scenario(scene)
+                    await scenario(setup)
             finally:
                 await deployment.end()
                 group.cancel_scope.cancel()
@@ -98,467 +100,432 @@
     run_virtually(main)
 
 
-def test_read_is_answered_by_a_peer_that_stood_still():
-    """A stopping node sent a read to a peer whose event loop then stood still.
+def test_read_is_answered_by_a_peer_that_was_paused():
+    """A node must not answer 502 for a read that the paused peer's server still runs.
 
-    The peer's server ran the read. The stopping node dropped the connection after
-    half a second without a byte ("link silent", ``silent_s`` 0.514) and, as its retry
-    budget allowed no repeat, answered 502 ("failed", ``peer-lost``) while the server
-    was at work and seconds were left.
+    The second read is sent by a node that shuts down during the pause.
     """
 
-    async def scenario(scene: Scene) -> None:
-        first = await scene.ask("a1")
-        scene.deployment.group.start_soon(scene.stall)
-        await anyio.sleep(STALL_S + SLACK_S)
+    async def scenario(setup: SingleServerScenario) -> None:
+        first = await setup.send_and_wait_for_run("a1")
+        setup.deployment.group.start_soon(setup.pause_server_node)
+        await anyio.sleep(PAUSE_S + SLACK_S)
         assert (await first).status == 200
-        second = await scene.ask("a2")
-        scene.deployment.group.start_soon(stop_relay, scene.front.node)
-        await scene.stall()
+        second = await setup.send_and_wait_for_run("a2")
+        setup.deployment.group.start_soon(stop_relay, setup.entry_vm.node)
+        await setup.pause_server_node()
         answer = await asyncio.wait_for(second, SLACK_S)
         assert answer.status == 200
-        assert scene.back.server.runs == ["a1", "a2"]
+        assert setup.server_vm.server.runs == ["a1", "a2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_read_is_joined_over_a_new_connection():
-    """Connections may go silent for good, or be reset, while both nodes live.
+def test_read_is_resumed_over_a_new_connection():
+    """A connection that is silent for good, or reset, must not fail a running read."""
 
-    A read at which a server was at work ended with 502 then, without a try over a
-    new connection.
-    """
-
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 2.0
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 2.0
         for fault, request_id in (("mute", "a1"), ("reset", "a2")):
-            future = await scene.ask(request_id)
-            getattr(scene.network, fault)(scene.place)
+            future = await setup.send_and_wait_for_run(request_id)
+            getattr(setup.network, fault)(setup.place)
             answer = await asyncio.wait_for(future, 3)
             assert answer.status == 200
-        assert scene.back.server.runs == ["a1", "a2"]
+        assert setup.server_vm.server.runs == ["a1", "a2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_read_at_a_node_that_is_gone_ends_soon():
-    async def scenario(scene: Scene) -> None:
-        future = await scene.ask()
+def test_read_fails_soon_when_its_node_is_unreachable():
+    async def scenario(setup: SingleServerScenario) -> None:
+        future = await setup.send_and_wait_for_run()
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        scene.network.mute(scene.place)
-        scene.network.listeners[scene.place].close()
+        setup.network.mute(setup.place)
+        setup.network.listeners[setup.place].close()
         answer = await asyncio.wait_for(future, 5)
         assert answer.status == 502
         passed_s = loop.time() - started_s
         assert passed_s > SILENCE_TIMEOUT_S
         assert passed_s < SILENCE_TIMEOUT_S + CONNECT_TIMEOUT_S + SLACK_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("fault", ["mute", "reset", "stand still"])
-def test_work_that_must_not_run_twice_survives_a_silent_or_broken_link(fault):
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 2.0
-        future = await scene.ask(target="/book/1")
+def test_non_idempotent_call_survives_a_silent_or_broken_link(fault):
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 2.0
+        future = await setup.send_and_wait_for_run(target="/book/1")
         if fault == "stand still":
-            await scene.stall()
+            await setup.pause_server_node()
         else:
-            getattr(scene.network, fault)(scene.place)
+            getattr(setup.network, fault)(setup.place)
         assert (await asyncio.wait_for(future, 3)).status == 200
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
-def test_call_that_never_arrived_runs_over_the_new_connection(target):
-    async def scenario(scene: Scene) -> None:
-        assert (await (await scene.ask("a1", target))).status == 200
-        scene.network.mute(scene.place)
-        future = await scene.send("a2", target)
+def test_call_lost_on_the_way_runs_over_the_new_connection(target):
+    async def scenario(setup: SingleServerScenario) -> None:
+        assert (await (await setup.send_and_wait_for_run("a1", target))).status == 200
+        setup.network.mute(setup.place)
+        future = await setup.send("a2", target)
         assert (await asyncio.wait_for(future, 3)).status == 200
-        assert scene.back.server.runs == ["a1", "a2"]
+        assert setup.server_vm.server.runs == ["a1", "a2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_read_that_ran_while_its_reply_was_lost_is_not_run_again_by_itself():
-    async def scenario(scene: Scene) -> None:
-        future = await scene.ask()
-        scene.network.mute(scene.place)
+def test_read_whose_reply_was_lost_is_not_run_again_without_a_retry():
+    async def scenario(setup: SingleServerScenario) -> None:
+        future = await setup.send_and_wait_for_run()
+        setup.network.mute(setup.place)
         assert (await asyncio.wait_for(future, 3)).status == 502
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
 def test_call_to_an_earlier_incarnation_may_have_run(target):
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 3.0
-        future = await scene.ask(target=target)
-        inbound = scene.back.node.inbound
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 3.0
+        future = await setup.send_and_wait_for_run(target=target)
+        inbound = setup.server_vm.node.inbound
         inbound.incarnation = "next"
         inbound.received_calls.clear()
         inbound.senders.clear()
-        scene.network.reset(scene.place)
+        setup.network.reset(setup.place)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 502
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_run_whose_client_left_while_the_link_was_broken_is_cut():
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 3.0
-        await scene.ask()
-        # the client's end arrives between the reset and the new connection
-        scene.client.close()
+def test_run_is_cancelled_when_its_client_left_while_the_link_was_broken():
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 3.0
+        await setup.send_and_wait_for_run()
+        # The client's disconnect arrives between the reset and the new connection.
+        setup.client.close()
         await anyio.sleep(LATENCY_S / 2)
-        scene.network.reset(scene.place)
+        setup.network.reset(setup.place)
         await anyio.sleep(0.01)
-        assert scene.back.node.gate.in_flight == 1
+        assert setup.server_vm.node.gate.in_flight == 1
         await anyio.sleep(REJOIN_TIMEOUT_S + 0.05)
-        assert scene.back.node.gate.in_flight == 0
-        assert not scene.back.node.inbound.received_calls
-        assert scene.back.node.count_open() == 0
+        assert setup.server_vm.node.gate.in_flight == 0
+        assert not setup.server_vm.node.inbound.received_calls
+        assert setup.server_vm.node.count_open() == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_reply_without_a_connection_is_kept_for_the_next_one():
-    async def scenario(scene: Scene) -> None:
-        future = await scene.ask()
-        # the other end is told of it first, and the run ends before the new one
-        for link in scene.network.list_open(scene.place):
+def test_reply_without_a_connection_is_sent_over_the_next_one():
+    async def scenario(setup: SingleServerScenario) -> None:
+        future = await setup.send_and_wait_for_run()
+        # The server's node notices the lost connection first. The run ends before the
+        # new connection is made.
+        for link in setup.network.list_open(setup.place):
             link.far.break_off()
         await anyio.sleep(RUN_S + 0.02)
-        assert scene.back.node.gate.in_flight == 0
-        scene.network.reset(scene.place)
+        assert setup.server_vm.node.gate.in_flight == 0
+        setup.network.reset(setup.place)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 200
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_request_over_a_replaced_link_is_not_taken_for_an_earlier_one():
-    """A node forgot another and took it up again, and so began a new link to it.
+def test_replaced_link_does_not_reuse_sequence_numbers():
+    """A reused sequence number would get the stored reply of an earlier call."""
 
-    The new link numbered its calls from one again. The other node knew these numbers
-    of the same sender, and answered with what it had kept for an earlier request.
-    """
-
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 0.0
-        member = scene.front.node.beliefs.members.by_name["node-2"]
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 0.0
+        member = setup.entry_vm.node.beliefs.members.by_name["node-2"]
         ids = []
         for target in ("/book/1", "/list/1"):
             for _ in range(2):
                 ids.append(f"a{len(ids)}")
-                future = await scene.send(ids[-1], target)
+                future = await setup.send(ids[-1], target)
                 assert (await asyncio.wait_for(future, 3)).status == 200
-                assert scene.back.server.runs == ids
+                assert setup.server_vm.server.runs == ids
                 member.link.close()
                 member.link = None
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-class Pair(Scene):
-    """A node that may repeat, and two servers, of which the first is slow."""
+class TwoServerScenario(SingleServerScenario):
+    """An entry node and two slow servers with a retry budget."""
 
     async def build(self) -> None:
         add = self.deployment.add
-        self.front: Vm = await add("front")
+        self.entry_vm: Vm = await add("front")
         vms = [await add("list", retry_slack=100.0) for _ in range(2)]
         await self.deployment.settle()
         for vm in vms:
             vm.server.work_s = 1.5
-        # whichever is asked is the first
+        # The server that runs the request is the first one.
         self.future = await self.send()
         while not any(vm.server.runs for vm in vms):
             await anyio.sleep(0.001)
         vms.sort(key=lambda vm: not vm.server.runs)
-        self.back, self.other = vms
+        self.server_vm, self.second_vm = vms
 
 
-def test_read_is_answered_by_its_first_server_when_the_next_refuses_it():
-    """A read was taken from a silent server before another had taken it.
+def test_read_is_answered_by_its_first_server_when_the_second_refuses_it():
+    """The run on a silent server must not be cancelled before another one starts."""
 
-    The other refused it, and the read ended with 502 while its first server, cut by
-    then, had been at work.
-    """
-
-    async def scenario(pair: Pair) -> None:
-        pair.other.node.inbound.accepting = False
-        answer = await asyncio.wait_for(pair.future, 3)
+    async def scenario(setup: TwoServerScenario) -> None:
+        setup.second_vm.node.inbound.accepting = False
+        answer = await asyncio.wait_for(setup.future, 3)
         assert answer.status == 200
-        assert pair.back.server.runs == ["a1"]
-        assert pair.other.server.runs == []
+        assert setup.server_vm.server.runs == ["a1"]
+        assert setup.second_vm.server.runs == []
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
-async def wait_for_both(pair: Pair) -> None:
-    """Wait until both servers are at work on the read."""
-    while not pair.other.server.runs:
+async def wait_for_both(setup: TwoServerScenario) -> None:
+    """Wait until both servers run the read."""
+    while not setup.second_vm.server.runs:
         await anyio.sleep(0.001)
 
 
-def count_repeats(pair: Pair) -> int:
+def count_retries(setup: TwoServerScenario) -> int:
     return sum(
-        repeats
-        for vm in (pair.back, pair.other)
-        for _, _, repeats in vm.node.gate.budget.list_services()
+        retries
+        for vm in (setup.server_vm, setup.second_vm)
+        for _, _, retries in vm.node.gate.budget.list_services()
     )
 
 
-def test_first_server_may_answer_first_and_the_other_is_cut():
-    async def scenario(pair: Pair) -> None:
-        await wait_for_both(pair)
-        answer = await asyncio.wait_for(pair.future, 3)
+def test_second_run_is_cancelled_when_the_first_server_answers_first():
+    async def scenario(setup: TwoServerScenario) -> None:
+        await wait_for_both(setup)
+        answer = await asyncio.wait_for(setup.future, 3)
         assert answer.status == 200
-        assert count_repeats(pair) == 1
+        assert count_retries(setup) == 1
         await anyio.sleep(0.01)
-        assert pair.other.node.gate.in_flight == 0
+        assert setup.second_vm.node.gate.in_flight == 0
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
-def test_other_server_may_answer_first_and_the_first_is_cut():
-    async def scenario(pair: Pair) -> None:
-        pair.other.server.work_s = 0.1
-        await wait_for_both(pair)
-        assert pair.back.node.gate.in_flight == 1
-        answer = await asyncio.wait_for(pair.future, 0.2)
+def test_first_run_is_cancelled_when_the_second_server_answers_first():
+    async def scenario(setup: TwoServerScenario) -> None:
+        setup.second_vm.server.work_s = 0.1
+        await wait_for_both(setup)
+        assert setup.server_vm.node.gate.in_flight == 1
+        answer = await asyncio.wait_for(setup.future, 0.2)
         assert answer.status == 200
         await anyio.sleep(0.01)
-        assert pair.back.node.gate.in_flight == 0
+        assert setup.server_vm.node.gate.in_flight == 0
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
 @pytest.mark.parametrize("failure", ["lost", "500"])
-def test_read_is_answered_by_its_first_server_when_the_next_fails_it(failure):
-    async def scenario(pair: Pair) -> None:
-        pair.other.server.work_s = 0.1
-        drop = pair.other.server.listener.end
+def test_read_is_answered_by_its_first_server_when_the_second_fails(failure):
+    async def scenario(setup: TwoServerScenario) -> None:
+        setup.second_vm.server.work_s = 0.1
+        drop = setup.second_vm.server.listener.end
         if failure == "lost":
-            pair.other.server.answer = lambda exchange: drop()
+            setup.second_vm.server.answer = lambda exchange: drop()
         else:
-            pair.other.server.answer = lambda exchange: exchange.respond(500)
-        answer = await asyncio.wait_for(pair.future, 3)
+            setup.second_vm.server.answer = lambda exchange: exchange.respond(500)
+        answer = await asyncio.wait_for(setup.future, 3)
         assert answer.status == 200
-        assert len(pair.back.server.runs + pair.other.server.runs) == 2
-        assert count_repeats(pair) == 1
+        assert len(setup.server_vm.server.runs + setup.second_vm.server.runs) == 2
+        assert count_retries(setup) == 1
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
-def test_failure_of_one_server_is_answered_once_the_other_has_failed_too():
-    async def scenario(pair: Pair) -> None:
-        for vm in (pair.back, pair.other):
+def test_failure_is_answered_only_after_both_servers_have_failed():
+    async def scenario(setup: TwoServerScenario) -> None:
+        for vm in (setup.server_vm, setup.second_vm):
             vm.server.answer = lambda exchange: exchange.respond(500)
-        pair.other.server.work_s = 0.1
-        await wait_for_both(pair)
+        setup.second_vm.server.work_s = 0.1
+        await wait_for_both(setup)
         await anyio.sleep(0.2)
-        assert not pair.future.done()
-        assert (await asyncio.wait_for(pair.future, 3)).status == 500
-        assert count_repeats(pair) == 1
+        assert not setup.future.done()
+        assert (await asyncio.wait_for(setup.future, 3)).status == 500
+        assert count_retries(setup) == 1
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
 @pytest.mark.parametrize(
     ("fate", "status"), [(Fate.NOT_RUN, 503), (Fate.MAY_HAVE_RUN, 502)]
 )
-def test_read_that_all_refuse_has_run_only_if_its_first_server_says_so(fate, status):
-    async def scenario(pair: Pair) -> None:
-        pair.other.node.inbound.accepting = False
+def test_refused_read_may_have_run_only_if_its_first_server_reports_it(fate, status):
+    async def scenario(setup: TwoServerScenario) -> None:
+        setup.second_vm.node.inbound.accepting = False
         await anyio.sleep(0.5)
-        assert not pair.future.done()
-        name = pair.back.settings.name
-        link = pair.front.node.beliefs.members.by_name[name].link
+        assert not setup.future.done()
+        name = setup.server_vm.settings.name
+        link = setup.entry_vm.node.beliefs.members.by_name[name].link
         (sequence,) = link.pending_calls
         link._handle_reply(
             ttypes.RelayReply(sequence, fate, "overload", 0, b"", b"", 0, 0)
         )
-        assert (await asyncio.wait_for(pair.future, 3)).status == status
+        assert (await asyncio.wait_for(setup.future, 3)).status == status
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
-def test_read_that_waits_for_its_first_server_ends_at_its_deadline():
-    async def scenario(pair: Pair) -> None:
-        pair.other.node.inbound.accepting = False
-        pair.back.server.answer = lambda exchange: None
-        answer = await asyncio.wait_for(pair.future, 6)
+def test_read_that_waits_for_its_first_server_times_out_at_its_deadline():
+    async def scenario(setup: TwoServerScenario) -> None:
+        setup.second_vm.node.inbound.accepting = False
+        setup.server_vm.server.answer = lambda exchange: None
+        answer = await asyncio.wait_for(setup.future, 6)
         assert answer.status == 504
         await anyio.sleep(0.01)
-        assert pair.back.node.gate.in_flight == 0
+        assert setup.server_vm.node.gate.in_flight == 0
 
-    play(scenario, Pair)
+    run_scenario(scenario, TwoServerScenario)
 
 
-def test_sender_that_is_gone_is_forgotten():
-    """The highest sequence of each node that ever called was kept for good."""
+def test_sequence_of_a_disconnected_sender_expires():
+    """Sequences of all senders ever seen would otherwise accumulate."""
 
-    async def scenario(scene: Scene) -> None:
-        await (await scene.ask("a1"))
-        inbound = scene.back.node.inbound
+    async def scenario(setup: SingleServerScenario) -> None:
+        await (await setup.send_and_wait_for_run("a1"))
+        inbound = setup.server_vm.node.inbound
         assert len(inbound.senders) == 1
         await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert len(inbound.senders) == 1
-        scene.front.node.end()
+        setup.entry_vm.node.end()
         await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert len(inbound.senders) == 1
         inbound.clock = lambda: time.monotonic() + SENDER_RETENTION_S
         inbound.expire()
         assert inbound.senders == {}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 LONG = make_rule("/long/", "list", kind="non_idempotent", action={"timeoutMs": 30000})
 
 
-def test_work_that_must_not_run_twice_is_known_after_its_reply_is_forgotten():
-    """A node asked again for a call whose reply the other node no longer kept.
-
-    It had lost the connection on which the reply came, and got no word over the next
-    one for longer than replies are kept. The other node took the call for one that
-    had never arrived and ran it a second time.
-    """
+def test_non_idempotent_call_does_not_run_again_after_its_reply_expired():
+    """A call resumed after its reply has expired must not be taken for a new call."""
 
-    async def scenario(scene: Scene) -> None:
-        scene.deployment.configure(2, LIST, BOOK, LONG)
-        while scene.front.node.beliefs.table.version < 2:
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.deployment.configure(2, LIST, BOOK, LONG)
+        while setup.entry_vm.node.beliefs.table.version < 2:
             await anyio.sleep(0.01)
-        future = await scene.ask(target="/long/1")
-        for link in scene.network.list_open(scene.place):
+        future = await setup.send_and_wait_for_run(target="/long/1")
+        for link in setup.network.list_open(setup.place):
             link.far.break_off()
         await anyio.sleep(RUN_S + 0.02)
-        scene.network.stand_still(scene.place)
+        setup.network.stand_still(setup.place)
         await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert not future.done()
-        assert not scene.back.node.inbound.received_calls
-        scene.network.go_on(scene.place)
+        assert not setup.server_vm.node.inbound.received_calls
+        setup.network.go_on(setup.place)
         assert (await asyncio.wait_for(future, 2)).status == 502
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_line_of_a_lost_read_names_the_node_that_had_it():
-    """Lines said "tried": [] of reads that one node had had and lost."""
+def test_log_line_of_a_failed_read_names_the_node_that_was_tried():
+    """The field ``tried`` must include the node that lost the read."""
     lines = []
     handle = logger.add(lambda message: lines.append(message.record))
 
-    async def scenario(scene: Scene) -> None:
-        future = await scene.ask()
-        scene.network.mute(scene.place)
-        scene.network.listeners[scene.place].close()
+    async def scenario(setup: SingleServerScenario) -> None:
+        future = await setup.send_and_wait_for_run()
+        setup.network.mute(setup.place)
+        setup.network.listeners[setup.place].close()
         await asyncio.wait_for(future, 5)
 
-    play(scenario)
+    run_scenario(scenario)
     logger.remove(handle)
     failed = [one["extra"] for one in lines if one["message"] == "failed"]
     assert [one["tried"] for one in failed] == [["node-2"]]
 
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
-def test_own_pause_while_connecting_is_not_taken_for_a_node_that_is_gone(target):
-    """A node stood still itself while it opened a connection in place of a lost one.
-
-    The other node had taken the connection within a millisecond, but the limit for
-    it had passed when the node went on, so that it gave up the other node and
-    answered 502 for a call that a server had not finished.
-    """
-
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 2.0
-        future = await scene.ask(target=target)
-        # the other end learns of it after the pause, as if it had run all the while
-        for link in scene.network.list_open(scene.place):
+def test_local_pause_while_connecting_is_not_taken_for_an_unreachable_node(target):
+    """The connect timeout may pass during a pause although the peer has accepted."""
+
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 2.0
+        future = await setup.send_and_wait_for_run(target=target)
+        # Only the entry node's end breaks now; the peer notices after the pause.
+        for link in setup.network.list_open(setup.place):
             link.near.break_off()
         await anyio.sleep(LATENCY_S / 2)
-        assert not scene.front.node.beliefs.members.by_name["node-2"].is_connected()
+        assert not setup.entry_vm.node.beliefs.members.by_name["node-2"].is_connected()
         asyncio.get_running_loop().now_s += CONNECT_TIMEOUT_S + 0.1
         assert (await asyncio.wait_for(future, 3)).status == 200
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
-def test_call_is_answered_though_its_node_is_known_by_another_record(target):
-    """A node's record changed while a server was at work on a call sent there.
-
-    The member was replaced and its link closed, so that the call ended with 502
-    half a second before the server's answer.
-    """
+def test_call_is_answered_after_the_record_of_its_node_changed(target):
+    """The link of a replaced member must stay open until its calls have replies."""
 
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 0.5
-        future = await scene.ask(target=target)
-        members = scene.front.node.beliefs.members
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 0.5
+        future = await setup.send_and_wait_for_run(target=target)
+        members = setup.entry_vm.node.beliefs.members
         known = members.by_name["node-2"]
         members.put(known.name, known.address, known.failure_domain, "other")
         assert (await asyncio.wait_for(future, 1)).status == 200
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
         await anyio.sleep(0.01)
         assert known.link.closed
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_call_to_a_forgotten_node_that_is_gone_ends_soon():
-    async def scenario(scene: Scene) -> None:
-        future = await scene.ask()
-        scene.front.node.beliefs.members.remove("node-2")
-        scene.network.mute(scene.place)
-        scene.network.listeners[scene.place].close()
+def test_call_to_a_removed_and_unreachable_node_fails_soon():
+    async def scenario(setup: SingleServerScenario) -> None:
+        future = await setup.send_and_wait_for_run()
+        setup.entry_vm.node.beliefs.members.remove("node-2")
+        setup.network.mute(setup.place)
+        setup.network.listeners[setup.place].close()
         answer = await asyncio.wait_for(future, SILENCE_TIMEOUT_S + 2 * SLACK_S)
         assert answer.status == 502
-        assert scene.front.node.beliefs.members.list_retired() == []
+        assert setup.entry_vm.node.beliefs.members.list_retired() == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_reply_to_another_node_is_open_until_its_last_byte_is_sent():
-    """A node ended as soon as each call of other nodes had its reply.
+def test_reply_counts_as_open_until_its_last_byte_is_sent():
+    """A node that exits earlier would drop the unsent rest of a long reply."""
 
-    What still waited to be sent of a long reply was dropped with the link.
-    """
-
-    async def scenario(scene: Scene) -> None:
-        assert (await (await scene.ask())).status == 200
-        (connection,) = scene.back.node.inbound.connections
+    async def scenario(setup: SingleServerScenario) -> None:
+        assert (await (await setup.send_and_wait_for_run())).status == 200
+        (connection,) = setup.server_vm.node.inbound.connections
         connection.transport.get_write_buffer_size = lambda: 100_000
-        assert scene.back.node.count_open() == 1
+        assert setup.server_vm.node.count_open() == 1
         connection.transport.get_write_buffer_size = lambda: 0
-        assert scene.back.node.count_open() == 0
+        assert setup.server_vm.node.count_open() == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
-def test_run_is_joined_after_a_pause_of_its_own_node(target):
-    """A node stood still after it had lost a link over which reads had come.
-
-    When it went on, the time in which the sender may join its runs had passed, and
-    they were cut before the sender, which had connected at once, was heard.
-    """
+def test_run_is_resumed_after_a_pause_of_its_node(target):
+    """The rejoin timeout may pass during a pause, before the sender is heard again."""
 
-    async def scenario(scene: Scene) -> None:
-        scene.back.server.work_s = 2.0
-        future = await scene.ask(target=target)
-        scene.network.reset(scene.place)
+    async def scenario(setup: SingleServerScenario) -> None:
+        setup.server_vm.server.work_s = 2.0
+        future = await setup.send_and_wait_for_run(target=target)
+        setup.network.reset(setup.place)
         await anyio.sleep(LATENCY_S / 2)
-        asyncio.get_running_loop().now_s += STALL_S
+        asyncio.get_running_loop().now_s += PAUSE_S
         assert (await asyncio.wait_for(future, 3)).status == 200
-        assert scene.back.server.runs == ["a1"]
+        assert setup.server_vm.server.runs == ["a1"]
 
-    play(scenario)
+    run_scenario(scenario)
