--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -49,7 +49,7 @@
     "headers": ("platform",),
     "frames": ("frames.py", "checks.py", "TBinary", "fastbinary", "TTransport"),
     "links": ("link.py", "links.py", "inbound.py"),
-    "entry and answers": ("entry.py", "answers.py", "sender.py", "messages.py"),
+    "entry and answers": ("entry.py", "responder.py", "sender.py", "messages.py"),
     "teams and quotas": ("teams", "quotas.py"),
     "lineage": ("lineage.py",),
     "choice of a server": ("routing.py", "placement.py", "members.py"),
--- a/eelgrassmount/relay/frames.py
+++ b/eelgrassmount/relay/frames.py
@@ -92,7 +92,10 @@
 
 
 def decode_struct(struct_type: Any, payload: bytes) -> Any:
-    """Decode a thrift struct, raising `BadFrameError` unless it passes `check_struct`."""
+    """Decode a thrift struct and validate it with `check_struct`.
+
+    Raises `BadFrameError`.
+    """
     struct = struct_type()
     _PROTOCOL.trans = TMemoryBuffer(payload)
     try:
