--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -24,7 +24,6 @@
 MAX_ROUTE_NAME_LENGTH = 65536
 # Characters of an incarnation, a crash id or a digest.
 MAX_ID_LENGTH = 512
-# Deadline of a call.
 MAX_REMAINING_MS = 3_600_000
 # Calls, nodes or quota units in one field.
 MAX_CALLS = 1_000_000
