--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -61,7 +61,7 @@
         settings.service,
         settings.server_address,
         on_restart=lambda ended, begun: gate.restart(
-            ended, begun.find_begin(clock(), time.time())
+            ended, begun.compute_start_s(clock(), time.time())
         ),
     )
     members = MemberTable()
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -86,7 +86,7 @@
         for listener in self.listeners:
             listener.end()
         self.inbound.end()
-        self.gate.pool.drop_idle()
+        self.gate.pool.close_idle_connections()
         for member in list(self.beliefs.members.by_name.values()):
             if member.link is not None:
                 member.link.close()
@@ -221,9 +221,9 @@
         """Answer with all metrics as text, or with the state of the node as JSON."""
         if exchange.target == STATE_PATH:
             # only people ask for it, and most nodes are never asked
-            from eelgrassmount.relay.state import read_state
+            from eelgrassmount.relay.status import collect_status
 
-            state = json.dumps(asdict(read_state(self))).encode()
+            state = json.dumps(asdict(collect_status(self))).encode()
             exchange.respond(200, JSON_TYPE, state)
             return
         self.update_gauges()
@@ -235,7 +235,7 @@
         state.labels("configuration_version").set(self.beliefs.table.version)
         state.labels("in_flight").set(self.gate.in_flight)
         state.labels("queued").set(self.gate.queued)
-        state.labels("limit").set(self.beliefs.server.compute_limit())
+        state.labels("limit").set(self.beliefs.server.compute_concurrency_limit())
         state.labels("demand").set(self.gate.measures.load.demand)
         for service, control in self.beliefs.levels.items():
             self.metrics.levels.labels(service).set(control.level)
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -25,7 +25,7 @@
 from eelgrassmount.relay.announcements import AnnouncementListener
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.learning import apply_vectors, count_calls
-from eelgrassmount.relay.reload import WATCH_PERIOD_S, SettingsWatch
+from eelgrassmount.relay.reload import RELOAD_CHECK_INTERVAL_S, SettingsWatch
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
 from eelgrassmount.relay.stopping import Stopping
 from eelgrassmount.relay.vectors import INTERVAL_S
@@ -70,7 +70,7 @@
         ends = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*ends, signal.SIGHUP) as signals:
             await start_relay(node, group)
-            node.timers.subscribe(WATCH_PERIOD_S, watch.check)
+            node.timers.subscribe(RELOAD_CHECK_INTERVAL_S, watch.check)
             async for received in signals:
                 if received != signal.SIGHUP:
                     break
--- a/eelgrassmount/platform/headers.py
+++ b/eelgrassmount/platform/headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eelgrassmount.relay.dialect import AnswerHead, Dialect, RequestHead
+from eelgrassmount.relay.header_codec import AnswerHead, HeaderCodec, RequestHead
 from eelgrassmount.util.fields import is_identity
 
 REQUEST_ID = b"eelgrassmount-attempt-id"
@@ -61,7 +61,7 @@
             lines.append(b"%s: %s\r\n" % (name, value))
     if named:
         lines = _list_lines(headers, _DROPPED_FROM_REQUEST | named)
-    head.passed_on = b"".join(lines)
+    head.forwarded_headers = b"".join(lines)
     return head
 
 
@@ -137,7 +137,7 @@
             head.instance = named if is_identity(named) else ""
         if name not in _OF_ONE_CONNECTION:
             lines.append(b"%s: %s\r\n" % (name, value))
-    head.passed_on = b"".join(lines)
+    head.forwarded_headers = b"".join(lines)
     return head
 
 
@@ -179,7 +179,7 @@
     return None
 
 
-DIALECT = Dialect(
+DIALECT = HeaderCodec(
     read_request,
     write_team,
     write_request,
--- a/eelgrassmount/platform/settings.py
+++ b/eelgrassmount/platform/settings.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from eelgrassmount.errors import AddressError, FileError, SettingError
-from eelgrassmount.relay.settings import RANGES, RelaySettings
+from eelgrassmount.relay.settings import OPTIONAL_SETTING_RANGES, RelaySettings
 from eelgrassmount.util.addresses import MAX_PORT, Address, parse_address
 from eelgrassmount.util.fields import (
     MAX_NAME_LENGTH,
@@ -71,7 +71,7 @@
         log_address=_read_address(content, "platform.address"),
         **bounds,
     )
-    settings.tell_defaults(bounds)
+    settings.log_defaults(bounds)
     return settings
 
 
@@ -120,7 +120,7 @@
         if setting in bounds:
             raise SettingError("bounds", text, f"{name} once")
         bounds[setting] = parse_number(value)
-        lowest, highest = RANGES[setting]
+        lowest, highest = OPTIONAL_SETTING_RANGES[setting]
         # what is no number lies within no range
         if not lowest <= bounds[setting] <= highest:
             allowed = f"a number from {lowest:g} to {highest:g}"
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -51,7 +51,7 @@
         if heartbeat is None:
             exchange.respond(404)
             return
-        if self.server.note_heartbeat(heartbeat):
+        if self.server.apply_heartbeat(heartbeat):
             logger.info(
                 "server changed",
                 incarnation=str(heartbeat.incarnation),
--- a/eelgrassmount/relay/answers.py
+++ b/eelgrassmount/relay/answers.py
@@ -16,7 +16,7 @@
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.dialect import Dialect, RequestHead
+    from eelgrassmount.relay.header_codec import HeaderCodec, RequestHead
     from eelgrassmount.relay.lineage import Lineage
     from eelgrassmount.relay.messages import Reply
     from eelgrassmount.relay.metrics import RelayMetrics
@@ -49,7 +49,7 @@
     ``open_flows`` counts those that were begun and have no answer.
     """
 
-    dialect: Dialect
+    dialect: HeaderCodec
     sender: Sender
     admission: Admission
     decisions: DecisionLog
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -36,7 +36,7 @@
 
 
 @define(eq=False)
-class Sending:
+class PendingRequest:
     """One request on its way; ``cancel`` gives it up."""
 
     done: Callable[[ClientAnswer | Break], None]
@@ -83,13 +83,13 @@
         accepts: Callable[[ClientAnswer], bool],
         done: Callable[[ClientAnswer | Break], None],
         head_only: bool = False,
-    ) -> Sending:
+    ) -> PendingRequest:
         """Send a whole request; ``fresh`` asks for a connection in recent use.
 
         The answer to a request for the head alone (``head_only``) has no body,
         whatever length it announces.
         """
-        sending = Sending(done, head_only=head_only)
+        sending = PendingRequest(done, head_only=head_only)
         connection = self._take(fresh)
         if connection is not None:
             self._send_on(connection, sending, data, accepts)
@@ -101,19 +101,19 @@
         task.add_done_callback(self._tasks.discard)
         return sending
 
-    def drop_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the idle connections, as when the node ends."""
         for connection in list(self._idle):
             connection.close()
         self._idle.clear()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin anew with a server that has started again.
 
         Connections that are idle lead to the earlier start, and so does what was
         learned of how long it keeps them.
         """
-        self.drop_idle()
+        self.close_idle_connections()
         self._trusted_idle_s = DEFAULT_IDLE_LIMIT_S
 
     def sweep(self) -> None:
@@ -148,7 +148,7 @@
     def _send_on(
         self,
         connection: ClientConnection,
-        sending: Sending,
+        sending: PendingRequest,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
@@ -171,7 +171,7 @@
     async def _connect_and_send(
         self,
         address: Address,
-        sending: Sending,
+        sending: PendingRequest,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -104,7 +104,7 @@
             self._accepts(),
             self.gate.in_flight,
             self.gate.queued,
-            beliefs.server.compute_limit(),
+            beliefs.server.compute_concurrency_limit(),
             round(self.gate.measures.load.demand * SCALE),
             beliefs.table.version,
             [
@@ -120,7 +120,7 @@
 
     def _accepts(self) -> bool:
         beliefs = self.beliefs
-        refusal = beliefs.server.find_refusal(beliefs.clock())
+        refusal = beliefs.server.find_refusal_reason(beliefs.clock())
         return refusal is None and not beliefs.closing
 
     def _note_own_load(self) -> None:
@@ -131,7 +131,7 @@
         load.accepting = self._accepts()
         load.in_flight = self.gate.in_flight
         load.queued = self.gate.queued
-        load.limit = self.beliefs.server.compute_limit()
+        load.limit = self.beliefs.server.compute_concurrency_limit()
         load.demand = self.gate.measures.load.demand
         load.wait = self.gate.measures.load.wait
         load.failure_share = self.gate.measures.failure_share
--- a/eelgrassmount/relay/entry.py
+++ b/eelgrassmount/relay/entry.py
@@ -19,7 +19,7 @@
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.answers import Answering
-    from eelgrassmount.relay.dialect import Dialect, RequestHead
+    from eelgrassmount.relay.header_codec import HeaderCodec, RequestHead
     from eelgrassmount.relay.lineage import Lineage, MadeCall
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
@@ -42,7 +42,7 @@
     """
 
     own_service: Callable[[], str]
-    dialect: Dialect
+    dialect: HeaderCodec
     answers: Answering
     admission: Admission
     quarantine: Quarantine
@@ -176,7 +176,7 @@
         deadline_s: float,
         origin: Origin,
     ) -> Call:
-        lines = head.passed_on
+        lines = head.forwarded_headers
         if team is not None:
             lines += self.dialect.write_team(team.name)
         return Call(
--- a/eelgrassmount/relay/gate.py
+++ b/eelgrassmount/relay/gate.py
@@ -20,9 +20,9 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from eelgrassmount.relay.backend import BackendPool, Sending
+    from eelgrassmount.relay.backend import BackendPool, PendingRequest
     from eelgrassmount.relay.budget import RetryBudget
-    from eelgrassmount.relay.dialect import Dialect
+    from eelgrassmount.relay.header_codec import HeaderCodec
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.messages import Call
     from eelgrassmount.relay.routes import Route
@@ -62,7 +62,7 @@
 
     call: Call
     done: Callable[[Reply], None]
-    sending: Sending | None = None
+    sending: PendingRequest | None = None
     started_s: float = 0.0
     given_s: float = 0.0
     ended: bool = False
@@ -89,7 +89,7 @@
 
     server: LocalServer
     pool: BackendPool
-    dialect: Dialect
+    dialect: HeaderCodec
     quarantine: Quarantine
     clock: Callable[[], float]
     budget: RetryBudget
@@ -129,7 +129,7 @@
         if not job.call.asked_before:
             self.measures.arrivals += 1
             self.budget.note_request(job.call.service)
-        has_room = self.in_flight < self.server.compute_limit()
+        has_room = self.in_flight < self.server.compute_concurrency_limit()
         if not has_room and self._expect_wait(job.call) > self._allow_wait(job.call):
             self._refuse(job, Reason.OVERLOAD)
             return
@@ -188,7 +188,7 @@
             if isinstance(outcome, ClientAnswer) and outcome.status == 200:
                 head = self.dialect.read_answer(outcome.headers)
                 if self.server.incarnation is None:
-                    self.server.note_named(head.instance)
+                    self.server.apply_answer_identity(head.instance)
                     known = str(self.server.incarnation)
                     logger.info("server identified", incarnation=known)
                     self.on_change()
@@ -240,7 +240,7 @@
         if suspects:
             self.on_crash(ended, suspects)
         # before anything is sent to the new start, as the ends below do
-        self.pool.forget()
+        self.pool.reset()
         self.measures.begin_anew()
         for job in running:
             job.outlived = True
@@ -253,7 +253,7 @@
         """Take what arrived and waited since the last time into the mean load."""
         now_s = self.clock()
         self._integrate(now_s)
-        self.measures.update_load(self.server.compute_limit(), now_s)
+        self.measures.update_load(self.server.compute_concurrency_limit(), now_s)
 
     def forget_routes(self, known: Collection[str]) -> None:
         """Forget the routes that have left the configuration, once none runs."""
@@ -275,7 +275,7 @@
     def _find_refusal(self, call: Call, now_s: float) -> Reason | None:
         if call.service != self.server.service:
             return Reason.NO_SERVER
-        reason = self.server.find_refusal(now_s)
+        reason = self.server.find_refusal_reason(now_s)
         if reason is not None:
             return reason
         if call.deadline_s - now_s < MIN_REMAINING_S:
@@ -293,7 +293,7 @@
         """Return the seconds until a call would start, behind those of its priority."""
         own = call.origin.priority
         ahead = sum(count for one, count in self._waiting.items() if one <= own)
-        return self.measures.mean_run_s * (ahead + 1) / self.server.compute_limit()
+        return self.measures.mean_run_s * (ahead + 1) / self.server.compute_concurrency_limit()
 
     def _allow_wait(self, call: Call) -> float:
         run_s = self.measures.find_usual(call.route.name)
@@ -373,14 +373,14 @@
     def _judge_answer(self, answer: ClientAnswer) -> Reply:
         head = self.dialect.read_answer(answer.headers)
         if answer.status == 421:
-            self.server.note_named(head.instance)
+            self.server.apply_answer_identity(head.instance)
             return Reply(Fate.NOT_RUN, Reason.NO_SERVER)
         if head.not_run:
             self._note_shed()
             return Reply(Fate.NOT_RUN, Reason.SERVER_SHED)
         if 200 <= answer.status < 300 and not head.signed:
             return Reply(Fate.MAY_HAVE_RUN, Reason.BAD_ANSWER)
-        return Reply(Fate.ANSWERED, None, answer.status, head.passed_on, answer.body)
+        return Reply(Fate.ANSWERED, None, answer.status, head.forwarded_headers, answer.body)
 
     def _note_shed(self) -> None:
         now_s = self.clock()
@@ -388,13 +388,13 @@
             logger.info(
                 "server rejects calls",
                 in_flight=self.in_flight,
-                limit=self.server.compute_limit(),
+                limit=self.server.compute_concurrency_limit(),
             )
             self._shed_s = now_s
 
     def _note_unreachable(self, now_s: float) -> None:
         """Suspect what ran when connections broke, now that the server is gone."""
-        self.server.note_unreachable(now_s)
+        self.server.mark_unreachable(now_s)
         self.on_change()
         suspects = self._take_broken()
         if suspects:
@@ -432,7 +432,7 @@
     def _fill(self) -> None:
         """Start or refuse queued jobs now that there may be room."""
         now_s = self.clock()
-        limit = self.server.compute_limit()
+        limit = self.server.compute_concurrency_limit()
         while self._queue and self.in_flight < limit:
             job = heapq.heappop(self._queue)[-1]
             if job.ended:
--- a/eelgrassmount/relay/dialect.py
+++ b/eelgrassmount/relay/header_codec.py
@@ -15,7 +15,7 @@
     """What a node needs from the headers of a request.
 
     ``remaining_ms`` is how long the client will wait, ``None`` when it doesn't
-    say; ``passed_on`` are the header lines that go on to the server. ``api_key`` is
+    say; ``forwarded_headers`` are the header lines that go on to the server. ``api_key`` is
     ``None`` without a key, and empty if there are several.
     """
 
@@ -23,7 +23,7 @@
     request_id: str = ""
     remaining_ms: int | None = None
     api_key: bytes | None = field(default=None, repr=False)
-    passed_on: bytes = b""
+    forwarded_headers: bytes = b""
 
 
 @define(eq=False)
@@ -37,11 +37,11 @@
     signed: bool = False
     not_run: bool = False
     instance: str = ""
-    passed_on: bytes = b""
+    forwarded_headers: bytes = b""
 
 
 @frozen
-class Dialect:
+class HeaderCodec:
     """The functions that read and write headers, which an adapter supplies."""
 
     read_request: Callable[[list[tuple[bytes, bytes]]], RequestHead]
--- a/eelgrassmount/relay/heartbeats.py
+++ b/eelgrassmount/relay/heartbeats.py
@@ -35,7 +35,7 @@
             and self.started_ms > other.started_ms
         )
 
-    def find_begin(self, now_s: float, unix_s: float) -> float:
+    def compute_start_s(self, now_s: float, unix_s: float) -> float:
         """Return when it was started by the clock that says ``now_s``.
 
         The server is on the same VM and so by the same Unix time. A start that seems
--- a/eelgrassmount/relay/reload.py
+++ b/eelgrassmount/relay/reload.py
@@ -16,7 +16,7 @@
     from eelgrassmount.relay.settings import RelaySettings
 
 # the file may change without a signal, so it is looked at this often
-WATCH_PERIOD_S = 2.0
+RELOAD_CHECK_INTERVAL_S = 2.0
 
 
 @define(eq=False)
--- a/eelgrassmount/relay/server.py
+++ b/eelgrassmount/relay/server.py
@@ -60,7 +60,7 @@
     unreachable_until_s: float = 0.0
     _ended: dict[str, float] = field(factory=dict)
 
-    def note_heartbeat(self, heartbeat: Heartbeat) -> bool:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> bool:
         """Take up a heartbeat or a leave; tell whether anything has changed."""
         told = heartbeat.incarnation
         present = self.incarnation
@@ -76,7 +76,7 @@
             return True
         return self._note_present(heartbeat)
 
-    def note_named(self, identity: str) -> None:
+    def apply_answer_identity(self, identity: str) -> None:
         """Take up the identity that answered in place of the expected one."""
         present = self.incarnation
         if not identity or (present is not None and present.identity == identity):
@@ -90,11 +90,11 @@
         self.draining = False
         self.left = False
 
-    def note_unreachable(self, now_s: float) -> None:
+    def mark_unreachable(self, now_s: float) -> None:
         """Note that the server does not accept connections."""
         self.unreachable_until_s = now_s + RETRY_S
 
-    def find_refusal(self, now_s: float) -> Reason | None:
+    def find_refusal_reason(self, now_s: float) -> Reason | None:
         """Return why the server can't be given work, ``None`` when it can."""
         if self.incarnation is None:
             return Reason.SERVER_STARTING
@@ -104,7 +104,7 @@
             return Reason.DRAINING
         return None
 
-    def compute_limit(self) -> int:
+    def compute_concurrency_limit(self) -> int:
         """Return how many calls the server is given at once."""
         return max(1, int(self.slots * SLOT_SHARE))
 
--- a/eelgrassmount/relay/settings.py
+++ b/eelgrassmount/relay/settings.py
@@ -11,7 +11,7 @@
 from eelgrassmount.util.addresses import Address
 
 # settings that may be left out, and their ranges: times of up to a day
-RANGES = {
+OPTIONAL_SETTING_RANGES = {
     "retry_ratio": (0.0, 100.0),
     "retry_window_s": (0.1, 86400.0),
     "retry_slack": (0.0, 1e6),
@@ -54,14 +54,14 @@
         """Return how far teams may exceed their quotas."""
         return QuotaBounds(self.quota_window_s, self.quota_overage, self.quota_slack)
 
-    def tell_defaults(self, given: Container[str]) -> None:
+    def log_defaults(self, given: Container[str]) -> None:
         """Write down which defaults are in force for what was not given.
 
         Those of quotas are told once a configuration has some.
         """
         defaults = {
             name: getattr(self, name)
-            for name in RANGES
+            for name in OPTIONAL_SETTING_RANGES
             if name not in given and not name.startswith("quota_")
         }
         if defaults:
--- a/eelgrassmount/relay/state.py
+++ b/eelgrassmount/relay/status.py
@@ -164,7 +164,7 @@
     members: list[MemberState]
 
 
-def read_state(node: RelayNode) -> NodeState:
+def collect_status(node: RelayNode) -> NodeState:
     """Return what a node believes now."""
     beliefs = node.beliefs
     now_s = beliefs.clock()
@@ -255,9 +255,9 @@
     return ServerState(
         known.identity,
         known.started_ms,
-        str(server.find_refusal(now_s) or ""),
+        str(server.find_refusal_reason(now_s) or ""),
         server.slots,
-        server.compute_limit(),
+        server.compute_concurrency_limit(),
         gate.in_flight,
         gate.queued,
         round(gate.measures.load.demand, 3),
--- a/tests/cmd/test_status.py
+++ b/tests/cmd/test_status.py
@@ -7,7 +7,7 @@
 from eelgrassmount.cmd.status import _format_relay
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.relay.refused import MessageKind
-from eelgrassmount.relay.state import read_state
+from eelgrassmount.relay.status import collect_status
 from tests.relay.lone_node import SETTINGS
 
 
@@ -20,4 +20,4 @@
 
 
 def print_state(node) -> list[str]:
-    return _format_relay(asdict(read_state(node)))
+    return _format_relay(asdict(collect_status(node)))
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -23,7 +23,7 @@
     )
     assert (head.host, head.request_id) == ("shop.example", "a1")
     assert head.remaining_ms == 900
-    assert head.passed_on == (
+    assert head.forwarded_headers == (
         b"host: Shop.Example:80\r\neelgrassmount-attempt-id: a1\r\nx-kept: yes\r\n"
     )
 
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("name", [b"eelgrassmount-tenant", b"x-api-key"])
 def test_team_and_key_of_a_client_go_no_further(name):
     lines = [(name, b"one"), (b"accept", b"a"), (name, b"two")]
-    assert headers.read_request(lines).passed_on == b"accept: a\r\n"
+    assert headers.read_request(lines).forwarded_headers == b"accept: a\r\n"
 
 
 @pytest.mark.parametrize(
@@ -82,9 +82,9 @@
     assert head.signed
     assert not head.not_run
     assert headers.read_idle_limit(lines) == 10.0
-    assert b"connection" not in head.passed_on
-    assert b"eelgrassmount-response-signature: s\r\n" in head.passed_on
-    assert b"content-type: text/plain\r\n" in head.passed_on
+    assert b"connection" not in head.forwarded_headers
+    assert b"eelgrassmount-response-signature: s\r\n" in head.forwarded_headers
+    assert b"content-type: text/plain\r\n" in head.forwarded_headers
 
 
 def test_refusal_says_when_to_come_back():
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -89,7 +89,7 @@
         try:
             await scenario(setup)
         finally:
-            setup.pool.drop_idle()
+            setup.pool.close_idle_connections()
             setup.server.end()
 
     asyncio.run(main())
@@ -184,7 +184,7 @@
         assert await setup.send(False) is Break.CLOSED
         await setup.send(False)
         opened = setup.server.opened
-        setup.pool.forget()
+        setup.pool.reset()
         await setup.send(False)
         assert setup.server.opened == opened + 1
         # idle connections are trusted again for longer than the earlier start did
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -570,7 +570,7 @@
         await anyio.sleep(0.05)
         again = build_relay(late.settings)
         await start_relay(again, deployment.group)
-        again.beliefs.server.note_named(late.server.incarnation)
+        again.beliefs.server.apply_answer_identity(late.server.incarnation)
         with anyio.fail_after(5):
             while not again.is_ready():
                 await anyio.sleep(0.02)
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -44,7 +44,7 @@
         self.pool.sweep = lambda: None
         server = self.node.beliefs.server
         incarnation = ServerIncarnation("i1")
-        server.note_heartbeat(Heartbeat(incarnation, service="list", slots=8))
+        server.apply_heartbeat(Heartbeat(incarnation, service="list", slots=8))
         self.configure(1, LIST, PART)
         names = {route.prefix: route.name for route in self.routes}
         self.list_name = names["/list/"]
--- a/tests/relay/test_gate.py
+++ b/tests/relay/test_gate.py
@@ -63,7 +63,7 @@
         self.fresh.append(fresh)
         return sending
 
-    def forget(self):
+    def reset(self):
         self.forgotten.append(len(self.sent))
 
 
@@ -71,7 +71,7 @@
     def __init__(self, slots: int = 2, slack: float = 0.0):
         self.now_s = 100.0
         self.server = LocalServer("list", Address("127.0.0.1", 80))
-        self.server.note_heartbeat(Heartbeat(I1, service="list", slots=slots))
+        self.server.apply_heartbeat(Heartbeat(I1, service="list", slots=slots))
         self.pool = FakePool()
         self.crashes: list[tuple[ServerIncarnation, list[Job]]] = []
         self.gate = Gate(
@@ -93,7 +93,7 @@
 
     def restart(self, age_s: float = 0.0):
         """Let the server have started again so long ago."""
-        self.server.note_heartbeat(
+        self.server.apply_heartbeat(
             Heartbeat(I1_AGAIN, service="list", slots=self.server.slots, sequence=1)
         )
         self.gate.restart(I1, self.now_s - age_s)
@@ -202,7 +202,7 @@
     setup = Setup(slots=1)
     setup.offer()
     setup.offer()
-    setup.server.note_heartbeat(
+    setup.server.apply_heartbeat(
         Heartbeat(I1, service="list", slots=1, sequence=2, draining=True)
     )
     setup.offer()
--- a/tests/relay/test_news.py
+++ b/tests/relay/test_news.py
@@ -54,9 +54,9 @@
 
 def test_node_is_wired_to_begin_anew_with_its_server(node):
     server = node.beliefs.server
-    server.note_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=5))
+    server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=5))
     node.gate.measures.failure_share = 0.5
-    server.note_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS + 1)))
+    server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS + 1)))
     assert node.gate.measures.failure_share == 0.0
 
 
@@ -69,7 +69,7 @@
     handler = logger.add(lambda line: lines.append(line.record))
     server = node.beliefs.server
     for started_ms in (STARTED_MS, STARTED_MS + 1, STARTED_MS):
-        server.note_heartbeat(Heartbeat(ServerIncarnation("i1", started_ms)))
+        server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", started_ms)))
     logger.remove(handler)
     (line,) = [one for one in lines if one["message"] == "server restarted"]
     assert line["extra"] == {
--- a/tests/relay/test_server.py
+++ b/tests/relay/test_server.py
@@ -47,65 +47,65 @@
 
 
 def test_nothing_goes_to_a_server_before_it_is_known(server):
-    assert server.find_refusal(NOW_S) is Reason.SERVER_STARTING
-    assert server.note_heartbeat(beat())
-    assert server.find_refusal(NOW_S) is None
+    assert server.find_refusal_reason(NOW_S) is Reason.SERVER_STARTING
+    assert server.apply_heartbeat(beat())
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_draining_closes_for_good(server):
-    server.note_heartbeat(beat())
-    assert server.note_heartbeat(beat(sequence=2, draining=True))
-    server.note_heartbeat(beat(sequence=3))
-    assert server.find_refusal(NOW_S) is Reason.DRAINING
+    server.apply_heartbeat(beat())
+    assert server.apply_heartbeat(beat(sequence=2, draining=True))
+    server.apply_heartbeat(beat(sequence=3))
+    assert server.find_refusal_reason(NOW_S) is Reason.DRAINING
 
 
 def test_late_heartbeat_of_the_same_incarnation_is_ignored(server):
-    server.note_heartbeat(beat(sequence=5))
-    assert not server.note_heartbeat(beat(sequence=4, draining=True))
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat(sequence=5))
+    assert not server.apply_heartbeat(beat(sequence=4, draining=True))
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_late_heartbeat_of_an_ended_incarnation_is_ignored(server):
-    server.note_heartbeat(beat("i1", 7))
-    server.note_heartbeat(beat("i2", 1))
-    assert not server.note_heartbeat(beat("i1", 9, draining=True))
+    server.apply_heartbeat(beat("i1", 7))
+    server.apply_heartbeat(beat("i2", 1))
+    assert not server.apply_heartbeat(beat("i1", 9, draining=True))
     assert server.incarnation.identity == "i2"
-    assert server.find_refusal(NOW_S) is None
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_leave_closes_and_a_new_incarnation_opens(server):
-    server.note_heartbeat(beat("i1"))
-    server.note_heartbeat(leave("i1"))
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
-    server.note_heartbeat(beat("i2"))
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat("i1"))
+    server.apply_heartbeat(leave("i1"))
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
+    server.apply_heartbeat(beat("i2"))
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_leave_of_another_incarnation_does_not_close(server):
-    server.note_heartbeat(beat("i2"))
-    assert not server.note_heartbeat(leave("i1"))
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat("i2"))
+    assert not server.apply_heartbeat(leave("i1"))
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_server_that_names_itself_is_believed(server):
-    server.note_heartbeat(beat("old", 3))
-    server.note_named("new")
+    server.apply_heartbeat(beat("old", 3))
+    server.apply_answer_identity("new")
     assert server.incarnation.identity == "new"
-    server.note_heartbeat(beat("old", 4))
+    server.apply_heartbeat(beat("old", 4))
     assert server.incarnation.identity == "new"
 
 
 def test_unreachable_server_is_tried_again_when_it_is_heard(server):
-    server.note_heartbeat(beat())
-    server.note_unreachable(NOW_S)
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
-    server.note_heartbeat(beat(sequence=2))
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat())
+    server.mark_unreachable(NOW_S)
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
+    server.apply_heartbeat(beat(sequence=2))
+    assert server.find_refusal_reason(NOW_S) is None
 
 
 def test_limit_stays_below_the_slots(server):
-    server.note_heartbeat(beat())
-    assert server.compute_limit() == 93
+    server.apply_heartbeat(beat())
+    assert server.compute_concurrency_limit() == 93
 
 
 # Servers were known by their identity alone. One that started again under the
@@ -118,27 +118,27 @@
 def test_server_that_starts_again_under_its_identity_begins_anew(
     server, restarts, last
 ):
-    server.note_heartbeat(beat(sequence=8))
-    server.note_heartbeat(last)
-    server.note_unreachable(NOW_S)
-    assert server.find_refusal(NOW_S) is not None
-    assert server.note_heartbeat(beat(started_ms=SECOND_MS, slots=7))
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat(sequence=8))
+    server.apply_heartbeat(last)
+    server.mark_unreachable(NOW_S)
+    assert server.find_refusal_reason(NOW_S) is not None
+    assert server.apply_heartbeat(beat(started_ms=SECOND_MS, slots=7))
+    assert server.find_refusal_reason(NOW_S) is None
     assert (server.sequence, server.slots) == (1, 7)
     ends = [(ended.started_ms, begun.started_ms) for ended, begun in restarts]
     assert ends == [(FIRST_MS, SECOND_MS)]
 
 
 def test_slots_of_the_earlier_start_are_not_those_of_the_later(server):
-    server.note_heartbeat(beat())
-    server.note_heartbeat(beat(started_ms=SECOND_MS, slots=0))
+    server.apply_heartbeat(beat())
+    server.apply_heartbeat(beat(started_ms=SECOND_MS, slots=0))
     assert server.slots == DEFAULT_SLOTS
 
 
 def test_later_start_that_drains_is_draining(server):
-    server.note_heartbeat(beat(sequence=4))
-    server.note_heartbeat(beat(started_ms=SECOND_MS, draining=True))
-    assert server.find_refusal(NOW_S) is Reason.DRAINING
+    server.apply_heartbeat(beat(sequence=4))
+    server.apply_heartbeat(beat(started_ms=SECOND_MS, draining=True))
+    assert server.find_refusal_reason(NOW_S) is Reason.DRAINING
 
 
 @pytest.mark.parametrize(
@@ -151,10 +151,10 @@
     ],
 )
 def test_what_comes_late_changes_nothing(server, restarts, late):
-    server.note_heartbeat(beat(sequence=8))
-    server.note_heartbeat(beat(sequence=2, started_ms=SECOND_MS))
-    assert not server.note_heartbeat(late)
-    assert server.find_refusal(NOW_S) is None
+    server.apply_heartbeat(beat(sequence=8))
+    server.apply_heartbeat(beat(sequence=2, started_ms=SECOND_MS))
+    assert not server.apply_heartbeat(late)
+    assert server.find_refusal_reason(NOW_S) is None
     assert server.incarnation == ServerIncarnation("i1", SECOND_MS)
     assert (server.sequence, server.slots) == (2, 100)
     assert len(restarts) == 1
@@ -162,59 +162,59 @@
 
 @pytest.mark.parametrize("started_ms", [UNKNOWN_START, FIRST_MS])
 def test_leave_of_the_present_start_closes(server, started_ms):
-    server.note_heartbeat(beat())
-    assert server.note_heartbeat(leave("i1", started_ms))
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
+    server.apply_heartbeat(beat())
+    assert server.apply_heartbeat(leave("i1", started_ms))
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
     # heartbeats from before the leave don't open it again
-    server.note_heartbeat(beat(sequence=2))
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
+    server.apply_heartbeat(beat(sequence=2))
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
 
 
 def test_leave_of_a_later_start_ends_the_earlier_one(server, restarts):
-    server.note_heartbeat(beat())
-    assert server.note_heartbeat(leave("i1", SECOND_MS))
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
-    assert not server.note_heartbeat(beat(sequence=2))
+    server.apply_heartbeat(beat())
+    assert server.apply_heartbeat(leave("i1", SECOND_MS))
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
+    assert not server.apply_heartbeat(beat(sequence=2))
     assert len(restarts) == 1
 
 
 def test_two_restarts_within_one_heartbeat_are_one(server, restarts):
-    server.note_heartbeat(beat(sequence=5))
-    server.note_heartbeat(beat(started_ms=THIRD_MS))
+    server.apply_heartbeat(beat(sequence=5))
+    server.apply_heartbeat(beat(started_ms=THIRD_MS))
     for late in (
         beat(sequence=3, started_ms=SECOND_MS, draining=True),
         leave("i1", SECOND_MS),
     ):
-        assert not server.note_heartbeat(late)
-    assert server.find_refusal(NOW_S) is None
+        assert not server.apply_heartbeat(late)
+    assert server.find_refusal_reason(NOW_S) is None
     assert len(restarts) == 1
 
 
 def test_start_that_an_answer_did_not_say_is_taken_from_the_heartbeat(server, restarts):
-    server.note_named("i1")
+    server.apply_answer_identity("i1")
     assert server.incarnation == ServerIncarnation("i1", UNKNOWN_START)
-    assert server.find_refusal(NOW_S) is None
-    assert server.note_heartbeat(beat(sequence=4))
+    assert server.find_refusal_reason(NOW_S) is None
+    assert server.apply_heartbeat(beat(sequence=4))
     assert server.incarnation == ServerIncarnation("i1", FIRST_MS)
     assert (server.sequence, server.slots) == (4, 100)
     assert restarts == []
 
 
 def test_answer_that_names_the_known_identity_changes_nothing(server, restarts):
-    server.note_heartbeat(beat(sequence=4, draining=True))
-    server.note_named("i1")
+    server.apply_heartbeat(beat(sequence=4, draining=True))
+    server.apply_answer_identity("i1")
     assert server.incarnation == ServerIncarnation("i1", FIRST_MS)
-    assert server.find_refusal(NOW_S) is Reason.DRAINING
-    assert not server.note_heartbeat(beat(sequence=3))
+    assert server.find_refusal_reason(NOW_S) is Reason.DRAINING
+    assert not server.apply_heartbeat(beat(sequence=3))
     assert restarts == []
 
 
 def test_heartbeat_without_a_start_counts_for_the_present_one(server, restarts):
-    server.note_heartbeat(beat(sequence=4))
-    assert not server.note_heartbeat(
+    server.apply_heartbeat(beat(sequence=4))
+    assert not server.apply_heartbeat(
         beat(sequence=4, started_ms=UNKNOWN_START, draining=True)
     )
-    assert server.note_heartbeat(
+    assert server.apply_heartbeat(
         beat(sequence=5, started_ms=UNKNOWN_START, draining=True)
     )
     assert server.incarnation == ServerIncarnation("i1", FIRST_MS)
@@ -222,39 +222,39 @@
 
 
 def test_other_identity_is_no_restart(server, restarts):
-    server.note_heartbeat(beat("i1"))
-    server.note_heartbeat(beat("i2", started_ms=SECOND_MS))
+    server.apply_heartbeat(beat("i1"))
+    server.apply_heartbeat(beat("i2", started_ms=SECOND_MS))
     assert server.incarnation == ServerIncarnation("i2", SECOND_MS)
     assert restarts == []
 
 
 def test_identity_that_was_replaced_may_start_again(server):
-    server.note_heartbeat(beat("i1", 7))
-    server.note_heartbeat(beat("i2", 1, SECOND_MS))
-    assert not server.note_heartbeat(beat("i1", 8))
-    assert not server.note_heartbeat(leave("i1"))
-    assert server.note_heartbeat(beat("i1", 1, THIRD_MS))
+    server.apply_heartbeat(beat("i1", 7))
+    server.apply_heartbeat(beat("i2", 1, SECOND_MS))
+    assert not server.apply_heartbeat(beat("i1", 8))
+    assert not server.apply_heartbeat(leave("i1"))
+    assert server.apply_heartbeat(beat("i1", 1, THIRD_MS))
     assert server.incarnation == ServerIncarnation("i1", THIRD_MS)
-    assert not server.note_heartbeat(beat("i2", 9, SECOND_MS))
+    assert not server.apply_heartbeat(beat("i2", 9, SECOND_MS))
 
 
 def test_heartbeat_of_an_identity_that_was_named_by_mistake_is_taken_again(server):
-    server.note_heartbeat(beat("i2", 3, SECOND_MS))
+    server.apply_heartbeat(beat("i2", 3, SECOND_MS))
     # late, of a server that had this address before
-    server.note_heartbeat(beat("i1", 9))
-    server.note_named("i2")
-    assert server.note_heartbeat(beat("i2", 4, SECOND_MS, draining=True))
-    assert server.find_refusal(NOW_S) is Reason.DRAINING
+    server.apply_heartbeat(beat("i1", 9))
+    server.apply_answer_identity("i2")
+    assert server.apply_heartbeat(beat("i2", 4, SECOND_MS, draining=True))
+    assert server.find_refusal_reason(NOW_S) is Reason.DRAINING
 
 
 def test_ended_incarnations_are_bounded_and_the_last_ones_kept(server):
     count = MAX_ENDED + 20
     for number in range(count):
-        server.note_heartbeat(beat(f"i{number}", 2))
-        server.note_heartbeat(leave(f"other{number}"))
+        server.apply_heartbeat(beat(f"i{number}", 2))
+        server.apply_heartbeat(leave(f"other{number}"))
     assert len(server._ended) <= MAX_ENDED
     for number in range(count - MAX_ENDED // 2 + 1, count - 1):
-        assert not server.note_heartbeat(beat(f"i{number}", 3))
+        assert not server.apply_heartbeat(beat(f"i{number}", 3))
 
 
 def test_incarnations_of_one_identity_are_ordered_by_their_start():
@@ -270,18 +270,18 @@
 
 
 def test_identity_that_has_started_again_leaves_without_saying_its_start(server):
-    server.note_heartbeat(beat("i1"))
-    server.note_heartbeat(beat("i2", started_ms=SECOND_MS))
-    server.note_heartbeat(beat("i1", started_ms=THIRD_MS))
-    assert server.note_heartbeat(leave("i1"))
-    assert server.find_refusal(NOW_S) is Reason.NO_SERVER
+    server.apply_heartbeat(beat("i1"))
+    server.apply_heartbeat(beat("i2", started_ms=SECOND_MS))
+    server.apply_heartbeat(beat("i1", started_ms=THIRD_MS))
+    assert server.apply_heartbeat(leave("i1"))
+    assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
 
 
 def test_identity_that_ended_with_an_unknown_start_is_back_when_it_answers(server):
-    server.note_named("i1")
-    server.note_heartbeat(beat("i2", started_ms=SECOND_MS))
+    server.apply_answer_identity("i1")
+    server.apply_heartbeat(beat("i2", started_ms=SECOND_MS))
     # nothing says whether this is late
-    assert not server.note_heartbeat(beat("i1", started_ms=THIRD_MS))
-    server.note_named("i1")
-    assert server.note_heartbeat(beat("i1", started_ms=THIRD_MS))
+    assert not server.apply_heartbeat(beat("i1", started_ms=THIRD_MS))
+    server.apply_answer_identity("i1")
+    assert server.apply_heartbeat(beat("i1", started_ms=THIRD_MS))
     assert server.incarnation == ServerIncarnation("i1", THIRD_MS)
--- a/tests/relay/test_state.py
+++ b/tests/relay/test_status.py
@@ -12,7 +12,7 @@
 from eelgrassmount.cmd.main import main
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
-from eelgrassmount.relay.state import read_state
+from eelgrassmount.relay.status import collect_status
 from eelgrassmount.topics.subscriptions import Subscription
 from tests.relay.lone_node import SETTINGS
 
@@ -28,7 +28,7 @@
 @pytest.fixture
 def show(node, monkeypatch, capsys):
     def run(*words: str) -> str:
-        state = json.loads(json.dumps(asdict(read_state(node))))
+        state = json.loads(json.dumps(asdict(collect_status(node))))
         monkeypatch.setattr(module, "read_admin", lambda address, path: state)
         assert main(["status", "--relay", "127.77.5.1:9464", *words]) == ExitCode.DONE
         return capsys.readouterr().out
@@ -40,7 +40,7 @@
 
 
 def test_status_names_the_start_of_the_server(node, show):
-    node.beliefs.server.note_heartbeat(
+    node.beliefs.server.apply_heartbeat(
         Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=1)
     )
     assert f"i1, started {STARTED}, takes work" in show()
@@ -51,7 +51,7 @@
 def test_status_says_when_the_start_or_the_server_is_not_known(node, show):
     assert "server         not known, no work: server-starting" in show()
     assert json.loads(show("--json"))["server"]["started_ms"] == 0
-    node.beliefs.server.note_named("i1")
+    node.beliefs.server.apply_answer_identity("i1")
     assert "i1, start not known, takes work" in show()
 
 
--- a/tests/teams/test_fuzz.py
+++ b/tests/teams/test_fuzz.py
@@ -87,7 +87,7 @@
 @given(st.lists(st.tuples(NAMES, VALUES), max_size=8))
 def test_no_header_of_a_client_names_a_key_or_a_team_to_a_server(lines):
     head = headers.read_request(lines)
-    passed = head.passed_on.lower()
+    passed = head.forwarded_headers.lower()
     assert not passed.startswith((b"x-api-key:", b"eelgrassmount-tenant:"))
     assert b"\r\nx-api-key:" not in passed
     assert b"\r\neelgrassmount-tenant:" not in passed
