--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -24,7 +24,7 @@
 from eelgrassmount.http1.server import HttpListener
 from eelgrassmount.util.addresses import Address
 from tests.relay.deployment import (
-    BLOCK,
+    LOOPBACK_PREFIX,
     Deployment,
     make_request,
     make_rule,
@@ -42,7 +42,7 @@
 ROUNDS = 5
 CLIENTS = 8
 LIST = make_rule("/list/", "list", action={"timeoutMs": 5000})
-PASSING = Address(f"{BLOCK}.9.1", 8304)
+PASSING = Address(f"{LOOPBACK_PREFIX}.9.1", 8304)
 # parts of a profile, by the modules that do the work
 PARTS = {
     "http": ("http1",),
@@ -128,7 +128,7 @@
         deployment.configure(1, LIST, teams=[team])
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         passing = make_passing(back.settings.server_address)
         await passing.start(PASSING.host, PASSING.port)
         ways: dict[str, Callable[[], Awaitable[float]]] = {
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -28,8 +28,8 @@
     from anyio.abc import TaskGroup
 
 # runs of several work trees at once don't take each other's addresses
-BLOCK = f"127.{64 + os.getpid() % 128}"
-LOG = Address(f"{BLOCK}.0.1", 8309)
+LOOPBACK_PREFIX = f"127.{64 + os.getpid() % 128}"
+LOG = Address(f"{LOOPBACK_PREFIX}.0.1", 8309)
 HOST = "shop.example"
 WAIT_S = 5.0
 
@@ -153,7 +153,7 @@
 
     async def add(self, service: str, domain: str = "a", **changes: Any) -> Vm:
         """Start a VM and let its server announce itself."""
-        host = f"{BLOCK}.1.{len(self.vms) + 1}"
+        host = f"{LOOPBACK_PREFIX}.1.{len(self.vms) + 1}"
         values = {
             "name": f"node-{len(self.vms) + 1}",
             "failure_domain": domain,
@@ -175,7 +175,7 @@
         await vm.announce()
         return vm
 
-    async def settle(self) -> None:
+    async def wait_until_connected(self) -> None:
         """Wait until all nodes know each other and the configuration."""
         with anyio.fail_after(WAIT_S):
             while not all(self._is_settled(vm) for vm in self.vms):
@@ -234,6 +234,6 @@
     return answer
 
 
-async def ask(vm: Vm, target: str, method: str = "GET", **names: str) -> ClientAnswer:
+async def send_as_client(vm: Vm, target: str, method: str = "GET", **names: str) -> ClientAnswer:
     """Send one request as a client of a VM does."""
     return await request(vm.settings.caller_address, method, target, **names)
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -55,7 +55,7 @@
         body = make_heartbeat(sequence, **changes)
         return await self.post(f"/instances/{identity}/heartbeat", body)
 
-    def read_belief(self) -> tuple[Any, ...]:
+    def read_server_view(self) -> tuple[Any, ...]:
         """Return what the node believes of the server and tells other nodes."""
         beliefs = self.node.beliefs
         server = beliefs.server
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -20,15 +20,15 @@
 
     async def scenario(lone: LoneNode) -> None:
         assert (await lone.announce()).status == 200
-        before = lone.read_belief()
+        before = lone.read_server_view()
         for target, body in calls:
             answer = await lone.post(target, body)
             assert 400 <= answer.status < 500, (target, body[:60])
             assert answer.body
             assert b"Error" not in answer.body
-            assert lone.read_belief() == before
+            assert lone.read_server_view() == before
         assert (await lone.announce(sequence=2)).status == 200
-        assert lone.read_belief() == (*before[:2], 2, *before[3:])
+        assert lone.read_server_view() == (*before[:2], 2, *before[3:])
 
     run(scenario)
 
@@ -52,9 +52,9 @@
 
 def test_heartbeat_of_another_service_names_no_first_server():
     async def scenario(lone: LoneNode) -> None:
-        before = lone.read_belief()
+        before = lone.read_server_view()
         assert (await lone.announce("i-2", service="nobody")).status == 421
-        assert lone.read_belief() == before
+        assert lone.read_server_view() == before
         assert (await lone.announce()).status == 200
         assert not lone.node.beliefs.server.find_refusal_reason(lone.node.beliefs.clock())
 
@@ -146,9 +146,9 @@
 def test_very_long_body_is_refused_before_it_is_gathered():
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
-        before = lone.read_belief()
+        before = lone.read_server_view()
         answer = await lone.post(HEARTBEAT, b" " * (2 * MAX_BODY_BYTES))
         assert answer.status == 413
-        assert lone.read_belief() == before
+        assert lone.read_server_view() == before
 
     run(scenario)
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -10,9 +10,9 @@
 from eelgrassmount.http1.client import Break, ClientAnswer
 from eelgrassmount.relay.backend import FRESH_IDLE_S, BackendPool
 from eelgrassmount.util.addresses import Address
-from tests.relay.deployment import BLOCK
+from tests.relay.deployment import LOOPBACK_PREFIX
 
-HOST = f"{BLOCK}.3.1"
+HOST = f"{LOOPBACK_PREFIX}.3.1"
 REQUEST = b"GET /list/1 HTTP/1.1\r\ncontent-length: 0\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
 # a server of these tests drops a connection that was idle for so long
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -20,7 +20,7 @@
 from standins.platform_log import Trouble
 from tests.relay.deployment import (
     Deployment,
-    ask,
+    send_as_client,
     connect,
     make_request,
     make_rule,
@@ -53,8 +53,8 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
-        answer = await ask(front, "/list/1", eelgrassmount_deadline_ms="700")
+        await deployment.wait_until_connected()
+        answer = await send_as_client(front, "/list/1", eelgrassmount_deadline_ms="700")
         assert answer.status == 200
         names = dict(answer.headers)
         assert names[b"eelgrassmount-response-signature"] == b"signed"
@@ -73,14 +73,14 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
-        answer = await ask(front, "/list/1", "HEAD", request_id="h1")
+        await deployment.wait_until_connected()
+        answer = await send_as_client(front, "/list/1", "HEAD", request_id="h1")
         assert answer.status == 200
         assert b"content-length" not in dict(answer.headers)
         assert answer.body == b""
         assert back.server.runs == ["h1"]
         # the next request is not given what belongs to the one before
-        assert (await ask(front, "/list/2")).body
+        assert (await send_as_client(front, "/list/2")).body
 
     run(scenario, LIST)
 
@@ -88,15 +88,15 @@
 def test_unknown_route_and_no_configuration_are_told_apart():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
-        answer = await ask(vm, "/list/1")
+        answer = await send_as_client(vm, "/list/1")
         assert answer.status == 503
         assert b"retry-after" in dict(answer.headers)
         ready = await request(vm.settings.ready_address, "GET", "/ready")
         assert ready.status == 503
         deployment.configure(4, LIST)
-        await deployment.settle()
-        assert (await ask(vm, "/list/1")).status == 200
-        assert (await ask(vm, "/other/")).status == 404
+        await deployment.wait_until_connected()
+        assert (await send_as_client(vm, "/list/1")).status == 200
+        assert (await send_as_client(vm, "/other/")).status == 404
         ready = await request(vm.settings.ready_address, "GET", "/ready")
         assert ready.status == 200
 
@@ -106,7 +106,7 @@
 def test_configuration_never_goes_back():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         deployment.configure(5, BOOK)
         with anyio.fail_after(2):
             while vm.node.beliefs.table.version != 5:
@@ -122,7 +122,7 @@
     async def scenario(deployment: Deployment) -> None:
         first = await deployment.add("list")
         await deployment.add("front")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         deployment.log.trouble = Trouble.TURNED_AWAY
         first.node.apply_document(
             deployment.log.find("keyed.op").records[0][1].replace(b'"r1"', b'"r7"')
@@ -140,7 +140,7 @@
         front = await deployment.add("front")
         first = await deployment.add("list")
         second = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         for vm in (first, second):
             vm.server.answer = lambda exchange: None
         loop = asyncio.get_running_loop()
@@ -155,7 +155,7 @@
             idle.server.answer = None
 
         group.start_soon(heal)
-        answer = await ask(front, "/list/1")
+        answer = await send_as_client(front, "/list/1")
         assert answer.status == 200
         assert loop.time() - begun_s < 0.6
         assert len(first.server.runs + second.server.runs) == 2
@@ -168,10 +168,10 @@
         front = await deployment.add("front")
         first = await deployment.add("list")
         second = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         for vm in (first, second):
             vm.server.answer = lambda exchange: None
-        answer = await ask(front, "/book/1", "POST")
+        answer = await send_as_client(front, "/book/1", "POST")
         assert answer.status == 504
         assert len(first.server.runs + second.server.runs) == 1
 
@@ -183,10 +183,10 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         deployment.log.trouble = trouble
         for _ in range(5):
-            assert (await ask(front, "/list/1")).status == 200
+            assert (await send_as_client(front, "/list/1")).status == 200
         deployment.log.trouble = Trouble.NONE
         deployment.configure(2, LIST, BOOK)
         with anyio.fail_after(4):
@@ -199,7 +199,7 @@
 def test_forgotten_history_is_read_anew():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         deployment.log.trouble = Trouble.RESET
         deployment.configure(2, LIST, BOOK)
         await anyio.sleep(0.2)
@@ -217,11 +217,11 @@
         front = await deployment.add("front")
         leaving = await deployment.add("list")
         staying = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         assert (await leaving.announce(draining=True)).status == 200
         before = len(leaving.server.runs)
         for _ in range(10):
-            assert (await ask(front, "/list/1")).status == 200
+            assert (await send_as_client(front, "/list/1")).status == 200
         assert len(leaving.server.runs) == before
         assert len(staying.server.runs) >= 10
 
@@ -232,9 +232,9 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         servers = [await deployment.add("list", retry_slack=100.0) for _ in range(2)]
-        await deployment.settle()
+        await deployment.wait_until_connected()
         servers[0].server.answer = lambda exchange: exchange.respond(500)
-        answers = [await ask(front, "/list/1") for _ in range(4)]
+        answers = [await send_as_client(front, "/list/1") for _ in range(4)]
         assert {answer.status for answer in answers} == {200}
 
     run(scenario, LIST)
@@ -252,10 +252,10 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         servers = [await deployment.add("list"), await deployment.add("list")]
-        await deployment.settle()
+        await deployment.wait_until_connected()
         for vm in servers:
             vm.server.answer = answer
-        outcome = await ask(front, "/book/1", "POST")
+        outcome = await send_as_client(front, "/book/1", "POST")
         assert outcome.status == 502
         assert sum(len(vm.server.runs) for vm in servers) == 1
 
@@ -266,11 +266,11 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.work_s = 5.0
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        answer = await ask(front, "/list/1")
+        answer = await send_as_client(front, "/list/1")
         assert answer.status == 504
         assert 0.95 < loop.time() - started_s < 1.4
 
@@ -281,7 +281,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.work_s = 5.0
         connection = await connect(front.settings.caller_address)
         connection.send(make_request("GET", "/list/1"), lambda outcome: None)
@@ -300,7 +300,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         waits = iter([0.2, 0.0])
 
         async def answer_later(exchange) -> None:
@@ -331,13 +331,13 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.incarnation = "i-new"
-        answer = await ask(front, "/book/1", "POST")
+        answer = await send_as_client(front, "/book/1", "POST")
         assert answer.status == 503
         assert back.server.runs == []
         with anyio.fail_after(3):
-            while (await ask(front, "/book/1", "POST")).status != 200:
+            while (await send_as_client(front, "/book/1", "POST")).status != 200:
                 await anyio.sleep(0.05)
 
     run(scenario, BOOK)
@@ -351,13 +351,13 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
-        assert (await ask(front, "/list/1")).status == 200
+        await deployment.wait_until_connected()
+        assert (await send_as_client(front, "/list/1")).status == 200
         await back.announce(draining=True)
-        assert (await ask(front, "/list/1")).status == 503
+        assert (await send_as_client(front, "/list/1")).status == 503
         earlier = await back.restart_server()
         assert (await back.announce()).status == 200
-        assert (await ask(front, "/list/1")).status == 200
+        assert (await send_as_client(front, "/list/1")).status == 200
         assert len(earlier.runs) == len(back.server.runs) == 1
 
     run(scenario, LIST)
@@ -368,7 +368,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         # without an answer from either start, it would end by its time-out, with 504
         back.server.answer = lambda exchange: None
         async with anyio.create_task_group() as group:
@@ -386,11 +386,11 @@
 
             earlier = []
             group.start_soon(restart)
-            answer = await ask(front, "/book/1", "POST")
+            answer = await send_as_client(front, "/book/1", "POST")
         assert answer.status == 502
         assert earlier[0].runs == ["a1"]
         back.server.answer = None
-        again = await ask(front, "/book/2", "POST")
+        again = await send_as_client(front, "/book/2", "POST")
         assert again.status == 200
         runs = earlier[0].runs if back.server is earlier[0] else back.server.runs
         assert len(runs) == (1 if cut else 2)
@@ -402,13 +402,13 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         answers = iter([200, 500, 500])
         back.server.answer = lambda exchange: exchange.respond(
             next(answers), b"eelgrassmount-response-signature: s\r\n"
         )
         for _ in range(3):
-            await ask(front, "/book/1", "POST")
+            await send_as_client(front, "/book/1", "POST")
         load = front.node.beliefs.members.by_name["node-2"].load
         with anyio.fail_after(3):
             while not (load.run_s and load.failure_share):
@@ -427,8 +427,8 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
-        assert (await ask(front, "/list/1")).status == 200
+        await deployment.wait_until_connected()
+        assert (await send_as_client(front, "/list/1")).status == 200
         await back.announce(draining=True)
         first_ms = back.started_ms
         back.node.end()
@@ -445,7 +445,7 @@
         await back.announce()
         assert server.incarnation.started_ms == back.started_ms > first_ms
         with anyio.fail_after(5):
-            while (await ask(front, "/list/1")).status != 200:
+            while (await send_as_client(front, "/list/1")).status != 200:
                 await anyio.sleep(0.02)
         assert len(back.server.runs) == 1
 
@@ -456,7 +456,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.work_s = 0.4
         connection = await connect(front.settings.caller_address)
         data = make_request("POST", "/book/1")
@@ -480,11 +480,11 @@
 def test_record_that_is_none_leaves_the_others():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         for key in ("learned/calls", "node-9"):
             deployment.log.put("keyed.nodes", key, b"\xff\xff no record")
         await deployment.add("front")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         assert vm.node.beliefs.members.by_name.keys() == {"node-1", "node-2"}
 
     run(scenario, LIST)
@@ -493,7 +493,7 @@
 def test_node_that_starts_alone_knows_what_was_learned():
     async def scenario(deployment: Deployment) -> None:
         first = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         calls = {"shop.example/list/": {"shop.example/book/": 2.0}}
         record = ttypes.LearnedRecord(write_rows(calls))
         deployment.log.put("keyed.nodes", LEARNED_KEY, encode_struct(record))
@@ -512,7 +512,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.work_s = 0.3
         connection = await connect(front.settings.caller_address)
         future = asyncio.get_running_loop().create_future()
@@ -536,14 +536,14 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
         deployment.group.start_soon(stop_relay, back.node)
         deployment.vms.remove(back)
         served_s = 0.0
         while back.node.inbound.accepting:
-            answer = await ask(front, "/list/1")
+            answer = await send_as_client(front, "/list/1")
             if answer.status == 200:
                 served_s = loop.time() - begun_s
             await anyio.sleep(0.05)
@@ -551,7 +551,7 @@
         await anyio.sleep(0.1)
         # from here on it takes nothing, and that is known before anything is sent
         runs = len(back.server.runs)
-        assert (await ask(front, "/list/1")).status == 503
+        assert (await send_as_client(front, "/list/1")).status == 503
         assert len(back.server.runs) == runs
         await anyio.sleep(PEERS_GONE_S + 0.2)
         back.server.listener.end()
@@ -563,7 +563,7 @@
     async def scenario(deployment: Deployment) -> None:
         await deployment.add("list")
         late = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         deployment.log.trouble = Trouble.TURNED_AWAY
         late.node.end()
         deployment.vms.pop()
@@ -584,11 +584,11 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         member = front.node.beliefs.members.by_name["node-2"]
         member.link.close()
         member.link = None
-        assert (await ask(front, "/list/1")).status == 200
+        assert (await send_as_client(front, "/list/1")).status == 200
         assert len(back.server.runs) == 1
 
     run(scenario, LIST)
@@ -598,7 +598,7 @@
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
-        await deployment.settle()
+        await deployment.wait_until_connected()
         back.server.work_s = 0.02
         address = front.settings.caller_address
         gc.collect()
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -394,14 +394,14 @@
 def test_listener_over_its_socket(calls, lines):
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
-        before = lone.read_belief()
+        before = lone.read_server_view()
         for target, body in calls:
             answer = await lone.post(target, body)
             assert 400 <= answer.status < 500
-            assert lone.read_belief() == before
+            assert lone.read_server_view() == before
         for line in lines:
             await send_noise(line)
-        assert lone.read_belief() == before
+        assert lone.read_server_view() == before
         assert (await lone.announce(sequence=2)).status == 200
         refused = lone.node.refused
         assert refused.totals["announcement"] == len(calls)
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -43,7 +43,7 @@
         add = self.deployment.add
         self.fronts = [await add("front") for _ in range(2)]
         self.backs = [await add("list") for _ in range(2)]
-        await self.deployment.settle()
+        await self.deployment.wait_until_connected()
         for vm in self.backs:
             vm.server.work_s = 0.3
 
@@ -86,11 +86,11 @@
             await anyio.sleep(self.rng.expovariate(FAULTS_PER_S))
             address = self.rng.choice(self.backs).settings.peer_address
             place = (address.host, address.port)
-            fault = self.rng.choice(("mute", "reset", "stand_still"))
+            fault = self.rng.choice(("mute", "reset", "pause"))
             getattr(self.network, fault)(place)
-            if fault == "stand_still":
+            if fault == "pause":
                 await anyio.sleep(self.rng.uniform(0.1, 1.5))
-                self.network.go_on(place)
+                self.network.resume(place)
 
     async def play(self) -> None:
         """Let requests and faults come, then look at what became of all."""
@@ -101,7 +101,7 @@
             faults.cancel_scope.cancel()
         for vm in self.backs:
             address = vm.settings.peer_address
-            self.network.go_on((address.host, address.port))
+            self.network.resume((address.host, address.port))
         await anyio.sleep(KEEP_REPLY_S + 3.0)
         self.check()
         self.check_ends()
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -17,7 +17,7 @@
 from standins.platform_log import PlatformLog
 from standins.platform_server import PlatformServer
 from tests.relay.deployment import (
-    BLOCK,
+    LOOPBACK_PREFIX,
     connect,
     make_document,
     make_request,
@@ -29,7 +29,7 @@
     from collections.abc import Callable
 
 ROOT = Path(__file__).parent.parent.parent
-HOST = f"{BLOCK}.3.1"
+HOST = f"{LOOPBACK_PREFIX}.3.1"
 SETTINGS = f"""
 nodeId = "vm-1"
 ip = "{HOST}"
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -9,7 +9,7 @@
 
 from eelgrassmount.policy.repeats import SLACK_SHARE
 from eelgrassmount.relay.sender import MAX_REJECTIONS
-from tests.relay.deployment import Deployment, Vm, ask, make_rule
+from tests.relay.deployment import Deployment, Vm, send_as_client, make_rule
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
             backs = [
                 await deployment.add("list", retry_slack=slack) for _ in range(servers)
             ]
-            await deployment.settle()
+            await deployment.wait_until_connected()
             answer = reject_first(rejections)
             for vm in backs:
                 vm.server.answer = answer
@@ -77,7 +77,7 @@
     """Four servers, of which a request may be sent to two, reject it three times."""
 
     async def scenario(front: Vm, backs: list[Vm]) -> None:
-        outcome = await ask(front, "/book/1", "POST")
+        outcome = await send_as_client(front, "/book/1", "POST")
         assert (outcome.status, outcome.body) == (200, b"done")
         arrivals = count_arrivals(backs)
         assert sum(arrivals) == 4
@@ -88,7 +88,7 @@
 
 def test_call_that_is_always_rejected_is_told_as_not_run_after_some_times():
     async def scenario(front: Vm, backs: list[Vm]) -> None:
-        outcome = await ask(front, "/book/1", "POST")
+        outcome = await send_as_client(front, "/book/1", "POST")
         assert outcome.status == 503
         assert sum(count_arrivals(backs)) == MAX_REJECTIONS
 
@@ -98,7 +98,7 @@
 def test_rejected_call_is_given_up_when_the_budget_is_spent():
     async def scenario(front: Vm, backs: list[Vm]) -> None:
         for _ in range(10):
-            assert (await ask(front, "/book/1", "POST")).status == 503
+            assert (await send_as_client(front, "/book/1", "POST")).status == 503
         # the two gates take no more together than the service may have
         allowed = 0.2 * 10 + SLACK_SHARE * 10.0
         assert 10 < sum(count_arrivals(backs)) <= 10 + allowed
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -21,7 +21,7 @@
     make_request,
     make_rule,
 )
-from tests.relay.virtual import LATENCY_S, Network, Place, run_virtually
+from tests.relay.virtual import LATENCY_S, Network, SocketAddress, run_virtually
 
 LIST = make_rule("/list/", "list", action={"timeoutMs": 5000})
 BOOK = make_rule("/book/", "list", kind="non_idempotent", action={"timeoutMs": 5000})
@@ -42,10 +42,10 @@
         add = self.deployment.add
         self.front: Vm = await add("front")
         self.back: Vm = await add("list", retry_ratio=0.0, retry_slack=0.0)
-        await self.deployment.settle()
+        await self.deployment.wait_until_connected()
         self.back.server.work_s = RUN_S
         address = self.back.settings.peer_address
-        self.place: Place = (address.host, address.port)
+        self.place: SocketAddress = (address.host, address.port)
 
     async def send(
         self, request_id: str = "a1", target: str = "/list/1"
@@ -72,9 +72,9 @@
 
     async def stall(self) -> None:
         """Let the node beside the server stand still for a second."""
-        self.network.stand_still(self.place)
+        self.network.pause(self.place)
         await anyio.sleep(STALL_S)
-        self.network.go_on(self.place)
+        self.network.resume(self.place)
 
 
 def play(scenario, make: type[Scene] = Scene) -> None:
@@ -229,7 +229,7 @@
         future = await scene.ask()
         # the other end is told of it first, and the run ends before the new one
         for link in scene.network.list_open(scene.place):
-            link.far.break_off()
+            link.server_end.reset()
         await anyio.sleep(RUN_S + 0.02)
         assert scene.back.node.gate.in_flight == 0
         scene.network.reset(scene.place)
@@ -269,7 +269,7 @@
         add = self.deployment.add
         self.front: Vm = await add("front")
         vms = [await add("list", retry_slack=100.0) for _ in range(2)]
-        await self.deployment.settle()
+        await self.deployment.wait_until_connected()
         for vm in vms:
             vm.server.work_s = 1.5
         # whichever is asked is the first
@@ -434,13 +434,13 @@
             await anyio.sleep(0.01)
         future = await scene.ask(target="/long/1")
         for link in scene.network.list_open(scene.place):
-            link.far.break_off()
+            link.server_end.reset()
         await anyio.sleep(RUN_S + 0.02)
-        scene.network.stand_still(scene.place)
+        scene.network.pause(scene.place)
         await anyio.sleep(KEEP_REPLY_S + 2.0)
         assert not future.done()
         assert not scene.back.node.inbound.kept
-        scene.network.go_on(scene.place)
+        scene.network.resume(scene.place)
         assert (await asyncio.wait_for(future, 2)).status == 502
         assert scene.back.server.runs == ["a1"]
 
@@ -478,7 +478,7 @@
         future = await scene.ask(target=target)
         # the other end learns of it after the pause, as if it had run all the while
         for link in scene.network.list_open(scene.place):
-            link.near.break_off()
+            link.client_end.reset()
         await anyio.sleep(LATENCY_S / 2)
         assert not scene.front.node.beliefs.members.by_name["node-2"].is_connected()
         asyncio.get_running_loop().now_s += CONNECT_LIMIT_S + 0.1
--- a/tests/relay/virtual.py
+++ b/tests/relay/virtual.py
@@ -29,7 +29,7 @@
 KEEP_ALIVE_S = 4.0
 CLOSED = b""
 
-Place = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
 class JumpingSelector(selectors.SelectSelector):
@@ -80,7 +80,7 @@
     """Takes connections."""
 
     def __init__(
-        self, network: Network, place: Place, factory: Callable[[], asyncio.Protocol]
+        self, network: Network, place: SocketAddress, factory: Callable[[], asyncio.Protocol]
     ):
         self.network = network
         self.place = place
@@ -101,76 +101,76 @@
 
     def __init__(self, loop: VirtualLoop):
         self.loop = loop
-        self.listeners: dict[Place, Listener] = {}
-        self.standing: set[Place] = set()
+        self.listeners: dict[SocketAddress, Listener] = {}
+        self.standing: set[SocketAddress] = set()
         self.links: list[Link] = []
 
-    def connect(self, protocol: asyncio.Protocol, place: Place) -> End:
+    def connect(self, protocol: asyncio.Protocol, place: SocketAddress) -> End:
         """Join a protocol to a new one of the listener."""
         listener = self.listeners.get(place)
         if listener is None:
             raise ConnectionRefusedError(errno.ECONNREFUSED, f"refused by {place}")
         link = Link(self, place, protocol)
         self.links.append(link)
-        link.near.begin(protocol)
+        link.client_end.begin(protocol)
         if place not in self.standing:
             link.accept()
-        return link.near
+        return link.client_end
 
-    def list_open(self, place: Place) -> list[Link]:
+    def list_open(self, place: SocketAddress) -> list[Link]:
         """Return the connections to a place."""
         self.links = [one for one in self.links if not one.is_over()]
         return [one for one in self.links if one.place == place]
 
-    def stand_still(self, place: Place) -> None:
+    def pause(self, place: SocketAddress) -> None:
         """Let the program at a place do nothing."""
         self.standing.add(place)
 
-    def go_on(self, place: Place) -> None:
+    def resume(self, place: SocketAddress) -> None:
         """Let it do at once all that has waited."""
         self.standing.discard(place)
         for link in self.list_open(place):
             link.accept()
-            link.near.drain()
-            link.far.drain()
+            link.client_end.drain()
+            link.server_end.drain()
 
-    def mute(self, place: Place) -> None:
+    def mute(self, place: SocketAddress) -> None:
         """Lose all that goes over the open connections, which are not reset."""
         for link in self.list_open(place):
             link.mute = True
-            self.loop.call_later(KEEP_ALIVE_S, link.break_off)
+            self.loop.call_later(KEEP_ALIVE_S, link.reset)
 
-    def reset(self, place: Place) -> None:
+    def reset(self, place: SocketAddress) -> None:
         """Reset the open connections at both ends."""
         for link in self.list_open(place):
-            link.break_off()
+            link.reset()
 
 
 class Link:
     """One connection."""
 
-    def __init__(self, network: Network, place: Place, protocol: asyncio.Protocol):
+    def __init__(self, network: Network, place: SocketAddress, protocol: asyncio.Protocol):
         self.network = network
         self.place = place
         self.mute = False
         self.accepted = False
-        self.near = End(self)
-        self.far = End(self)
-        self.near.other = self.far
-        self.far.other = self.near
+        self.client_end = End(self)
+        self.server_end = End(self)
+        self.client_end.other = self.server_end
+        self.server_end.other = self.client_end
 
     def accept(self) -> None:
         """Let the listener's program take the connection, once."""
         listener = self.network.listeners.get(self.place)
         if not self.accepted and listener is not None:
             self.accepted = True
-            self.far.begin(listener.factory())
-            self.far.drain()
+            self.server_end.begin(listener.factory())
+            self.server_end.drain()
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """Let both systems reset the connection."""
-        self.near.break_off()
-        self.far.break_off()
+        self.client_end.reset()
+        self.server_end.reset()
 
     def is_held(self) -> bool:
         """Tell whether nothing is read now."""
@@ -178,7 +178,7 @@
 
     def is_over(self) -> bool:
         """Tell whether both ends are gone."""
-        return self.near.closing and self.far.closing
+        return self.client_end.closing and self.server_end.closing
 
 
 class End:
@@ -231,7 +231,7 @@
             self.loop.call_later(LATENCY_S, self.other.drain)
         self._end()
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """Tell the program of a reset by the network."""
         self.inbox.clear()
         self.inbox.append(CLOSED)
--- a/tests/teams/test_fuzz.py
+++ b/tests/teams/test_fuzz.py
@@ -123,7 +123,7 @@
             await deployment.start()
             deployment.configure(1, LIST, OPEN, teams=[make_team("press", "k-1")])
             vm = await deployment.add("list")
-            await deployment.settle()
+            await deployment.wait_until_connected()
             for number in range(400):
                 lines, good = make_lines(rng)
                 is_open = rng.random() < 0.2
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -13,7 +13,7 @@
     LOG,
     Deployment,
     Vm,
-    ask,
+    send_as_client,
     connect,
     make_request,
     make_rule,
@@ -48,7 +48,7 @@
             deployment.configure(1, LIST, OPEN, teams=[PRESS, OFFICE])
             for number in range(nodes):
                 await deployment.add("list", "ab"[number % 2])
-            await deployment.settle()
+            await deployment.wait_until_connected()
             await scenario(deployment)
             await deployment.end()
             group.cancel_scope.cancel()
@@ -65,7 +65,7 @@
 
 
 async def ask_with(vm: Vm, key: str, target: str = "/list/1", **names: str) -> int:
-    return (await ask(vm, target, x_api_key=key, **names)).status
+    return (await send_as_client(vm, target, x_api_key=key, **names)).status
 
 
 def test_request_runs_in_the_name_of_its_team():
@@ -95,9 +95,9 @@
 def test_request_without_a_key_or_with_two_never_runs():
     async def scenario(deployment: Deployment) -> None:
         vm = deployment.vms[0]
-        assert (await ask(vm, "/list/1")).status == 401
+        assert (await send_as_client(vm, "/list/1")).status == 401
         assert (
-            await ask(vm, "/list/1", x_api_key="k-1", X_API_KEY="k-3")
+            await send_as_client(vm, "/list/1", x_api_key="k-1", X_API_KEY="k-3")
         ).status == 401
         assert count_runs(deployment) == 0
 
@@ -166,7 +166,7 @@
         await anyio.sleep(APPLY_S)
         for vm in deployment.vms:
             assert await ask_with(vm, "k-3") == 401
-            assert (await ask(vm, "/open/1")).status == 200
+            assert (await send_as_client(vm, "/open/1")).status == 200
 
     play(scenario)
 
@@ -199,7 +199,7 @@
         asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
         await anyio.sleep(6.0)
         for vm in deployment.vms:
-            answer = await ask(vm, "/list/1", x_api_key="k-9")
+            answer = await send_as_client(vm, "/list/1", x_api_key="k-9")
             assert answer.status == 503
             assert dict(answer.headers)[b"retry-after"]
             assert await ask_with(vm, "k-1") == 200
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -11,7 +11,7 @@
 
 from eelgrassmount.relay.status import collect_status
 from standins.platform_log import Trouble
-from tests.relay.deployment import Deployment, Vm, ask, make_rule, make_team
+from tests.relay.deployment import Deployment, Vm, send_as_client, make_rule, make_team
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
             deployment.configure(1, LIST, teams=teams or [PRESS, OFFICE])
             for number in range(nodes):
                 await deployment.add("list", "ab"[number % 2])
-            await deployment.settle()
+            await deployment.wait_until_connected()
             await anyio.sleep(FILL_S)
             await scenario(deployment)
             await deployment.end()
@@ -51,7 +51,7 @@
 async def ask_often(vm: Vm, key: str, times: int, pause_s: float = 0.0) -> list[int]:
     statuses = []
     for _ in range(times):
-        statuses.append((await ask(vm, "/list/1", x_api_key=key)).status)
+        statuses.append((await send_as_client(vm, "/list/1", x_api_key=key)).status)
         await anyio.sleep(pause_s)
     return statuses
 
@@ -80,7 +80,7 @@
         statuses = await ask_often(vm, "k-1", 60)
         assert set(statuses) == {200, 429}
         assert 10 <= statuses.count(200) == count_runs(deployment) <= MOST_IN_WINDOW
-        answer = await ask(vm, "/list/1", x_api_key="k-1")
+        answer = await send_as_client(vm, "/list/1", x_api_key="k-1")
         assert answer.status == 429
         assert 0.0 < float(dict(answer.headers)[b"retry-after"]) < 10.0
 
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -11,7 +11,7 @@
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.platform.topics import LEARNED_KEY
 from standins.platform_log import Trouble
-from tests.relay.deployment import LOG, Deployment, ask, make_document, make_rule
+from tests.relay.deployment import LOG, Deployment, send_as_client, make_document, make_rule
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
         assert names <= list_written(deployment)
         for vm in deployment.vms:
             assert names <= vm.node.beliefs.members.by_name.keys()
-            assert (await ask(vm, "/list/1")).status == 200
+            assert (await send_as_client(vm, "/list/1")).status == 200
 
     play(scenario)
 
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from tests.relay.virtual import Network, Place
+    from tests.relay.virtual import Network, SocketAddress
 
 LIST = make_rule("/list/", "list")
 DEMAND = Demand("shop.example/list/", 0)
@@ -77,7 +77,7 @@
                 await anyio.sleep(0.02)
         assert self.list_behind(version, vms) == []
 
-    def list_places(self, vm: Vm) -> list[Place]:
+    def list_places(self, vm: Vm) -> list[SocketAddress]:
         settings = vm.settings
         return [
             (one.host, one.port)
@@ -95,7 +95,7 @@
     def stand_still(self, vm: Vm) -> None:
         """Let nothing that others send reach a node."""
         for place in self.list_places(vm):
-            self.network.stand_still(place)
+            self.network.pause(place)
 
 
 def play(
