--- a/eelgrassmount/relay/__init__.py
+++ b/eelgrassmount/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a call on a node that runs beside its backend server."""
+"""The path of a request through a node that runs on the VM of a backend server."""
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -1,4 +1,4 @@
-"""The listener for the announcements of the server beside a node."""
+"""Listener for the heartbeats and leave messages of the local backend server."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @define(eq=False)
 class AnnouncementListener:
-    """Takes heartbeats and leaves, closes the gate and then acknowledges.
+    """Applies heartbeats and leave messages of the server, then acknowledges them.
 
-    The acknowledgement of a server that leaves binds this node: the gate is
-    closed and the other nodes are told before it is sent. One that can't be read,
-    or that ``check`` refuses with `WrongServerError`, changes nothing.
+    A server that leaves may stop once its message is acknowledged, so ``on_change``
+    stops new calls to it and notifies the other nodes first. A message that can't be
+    parsed, or for which ``check`` raises `WrongServerError`, changes nothing.
     """
 
     server: LocalServer
@@ -37,7 +37,7 @@
     refused: RefusedMessages
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Handle one request of the server."""
         try:
             heartbeat = self.read(exchange.method, exchange.target, exchange.body)
             if heartbeat is not None:
@@ -72,8 +72,8 @@
 def check_server(heartbeat: Heartbeat, service: str, address: str) -> None:
     """Raise `WrongServerError` unless a heartbeat names this service and address.
 
-    A heartbeat of another server would move this node to its service, and bar the
-    server that runs here. A leave names neither.
+    A heartbeat of another server would change this node's service and displace the
+    server on its VM. A leave message names neither service nor address.
     """
     if heartbeat.leaving:
         return
--- a/eelgrassmount/relay/gate.py
+++ b/eelgrassmount/relay/gate.py
@@ -293,7 +293,11 @@
         """Return the seconds until a call would start, behind those of its priority."""
         own = call.origin.priority
         ahead = sum(count for one, count in self._waiting.items() if one <= own)
-        return self.measures.mean_run_s * (ahead + 1) / self.server.compute_concurrency_limit()
+        return (
+            self.measures.mean_run_s
+            * (ahead + 1)
+            / self.server.compute_concurrency_limit()
+        )
 
     def _allow_wait(self, call: Call) -> float:
         run_s = self.measures.find_usual(call.route.name)
@@ -380,7 +384,9 @@
             return Reply(Fate.NOT_RUN, Reason.SERVER_SHED)
         if 200 <= answer.status < 300 and not head.signed:
             return Reply(Fate.MAY_HAVE_RUN, Reason.BAD_ANSWER)
-        return Reply(Fate.ANSWERED, None, answer.status, head.forwarded_headers, answer.body)
+        return Reply(
+            Fate.ANSWERED, None, answer.status, head.forwarded_headers, answer.body
+        )
 
     def _note_shed(self) -> None:
         now_s = self.clock()
--- a/eelgrassmount/relay/header_codec.py
+++ b/eelgrassmount/relay/header_codec.py
@@ -1,4 +1,4 @@
-"""How requests and answers are read and written at the edges of a node."""
+"""Interface of the codec for request and answer headers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @define(eq=False)
 class RequestHead:
-    """What a node needs from the headers of a request.
+    """The parsed headers of a request.
 
-    ``remaining_ms`` is how long the client will wait, ``None`` when it doesn't
-    say; ``forwarded_headers`` are the header lines that go on to the server. ``api_key`` is
+    ``remaining_ms`` is the time until the client's deadline, ``None`` without one.
+    ``forwarded_headers`` are the header lines that the server receives. ``api_key`` is
     ``None`` without a key, and empty if there are several.
     """
 
@@ -28,10 +28,11 @@
 
 @define(eq=False)
 class AnswerHead:
-    """What a node needs from the headers of a server's answer.
+    """The parsed headers of a server's answer.
 
-    ``signed`` tells that the server vouches for the body, ``not_run`` that it did
-    not run the request, and ``instance`` which incarnation of the server spoke.
+    ``signed`` is set if the answer carries the server's signature, ``not_run`` if the
+    server did not run the request. ``instance`` is the identity of the server.
+    ``forwarded_headers`` are the header lines that the client receives.
     """
 
     signed: bool = False
@@ -42,7 +43,7 @@
 
 @frozen
 class HeaderCodec:
-    """The functions that read and write headers, which an adapter supplies."""
+    """The functions of an adapter that parse and write headers."""
 
     read_request: Callable[[list[tuple[bytes, bytes]]], RequestHead]
     write_team: Callable[[str], bytes]
--- a/eelgrassmount/relay/heartbeats.py
+++ b/eelgrassmount/relay/heartbeats.py
@@ -1,34 +1,34 @@
-"""What a backend server says of itself."""
+"""Heartbeats and incarnations of a backend server."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
-# the start of a server that was only named, as by its answers
+# start time of a server that is known only from its answers
 UNKNOWN_START = 0
-# before the first heartbeat, and in a leave
+# sequence before the first heartbeat, and of a leave message
 NO_SEQUENCE = -1
-MS = 1000.0
+MS_PER_S = 1000.0
 
 
 @frozen
 class ServerIncarnation:
     """One start of a backend server.
 
-    A server may start again under the identity that it had, so that an identity
-    alone names no incarnation. ``started_ms`` is the Unix time of the start in
-    milliseconds, by the clock of the server.
+    A server may restart under the same identity, so the identity alone does not
+    identify an incarnation. ``started_ms`` is the Unix time of the start in
+    milliseconds, by the server's clock.
     """
 
     identity: str
     started_ms: int = UNKNOWN_START
 
     def __str__(self) -> str:
-        """Return both parts, as lines and identifiers of crashes hold them."""
+        """Return identity and start, as written to log lines and crash records."""
         return f"{self.identity}/{self.started_ms}"
 
     def is_after(self, other: ServerIncarnation) -> bool:
-        """Tell whether this is known to be a later start of the same identity."""
+        """Return whether this is known to be a later start of the same identity."""
         return (
             self.identity == other.identity
             and UNKNOWN_START not in (self.started_ms, other.started_ms)
@@ -36,20 +36,20 @@
         )
 
     def compute_start_s(self, now_s: float, unix_s: float) -> float:
-        """Return when it was started by the clock that says ``now_s``.
+        """Return the start time of the server on the monotonic clock of ``now_s``.
 
-        The server is on the same VM and so by the same Unix time. A start that seems
-        to come is taken for now.
+        The server runs on the same VM and uses the same Unix clock. A start in the
+        future counts as now.
         """
-        return now_s - max(0.0, unix_s - self.started_ms / MS)
+        return now_s - max(0.0, unix_s - self.started_ms / MS_PER_S)
 
 
 @frozen
 class Heartbeat:
-    """A heartbeat of one incarnation of a backend server, or its leave.
+    """A heartbeat of one incarnation of a backend server, or its leave message.
 
-    ``sequence`` rises with each heartbeat of an incarnation; ``cold_s`` is how
-    much longer the server stays slow after its start.
+    ``sequence`` increases with each heartbeat of an incarnation. ``cold_s`` is the
+    remaining warm-up time of the server.
     """
 
     incarnation: ServerIncarnation
--- a/eelgrassmount/relay/metrics.py
+++ b/eelgrassmount/relay/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and latency histograms of a node beside its server."""
+"""Counters, gauges and latency histograms of a node."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @define(eq=False)
 class RelayMetrics:
-    """The metrics; children are looked up once for each set of labels."""
+    """The metrics of a node; children by label values are cached."""
 
     registry: CollectorRegistry = field(factory=CollectorRegistry)
     answers: Counter = field(init=False)
@@ -39,11 +39,11 @@
     _children: dict[tuple[Any, ...], Any] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Register everything."""
+        """Register the metrics."""
         registry = self.registry
         self.answers = Counter(
             f"{PREFIX}_relay_answers",
-            "Answers of servers handed on, by route and status.",
+            "Answers of servers returned to clients, by route and status.",
             ["route", "status"],
             registry=registry,
         )
@@ -68,82 +68,82 @@
         )
         self.retries = Counter(
             f"{PREFIX}_relay_retries",
-            "Calls sent once more, by the reason of the sending before.",
+            "Retried calls, by the reason of the failed attempt.",
             ["reason"],
             registry=registry,
         )
         self.abandoned = Counter(
             f"{PREFIX}_relay_abandoned",
-            "Requests whose client left before the answer, by route.",
+            "Requests whose client disconnected before the answer, by route.",
             ["route"],
             registry=registry,
         )
         self.connections = Counter(
             f"{PREFIX}_relay_server_connections",
-            "Connections opened to the server of this VM.",
+            "Connections opened to the backend server of this VM.",
             registry=registry,
         )
         self.refused = Counter(
             f"{PREFIX}_relay_refused",
-            "Messages of other writers that were not taken up, by kind.",
+            "Received messages that were rejected, by kind.",
             ["kind"],
             registry=registry,
         )
         self.quotas = Counter(
             f"{PREFIX}_relay_quota_requests",
-            "Requests of quotas at this node as a holder, by what became of them.",
+            "Requests for quota at this node as an allocator, by outcome.",
             ["event"],
             registry=registry,
         )
         self.stalls = Counter(
             f"{PREFIX}_relay_stall_seconds",
-            "Seconds for which the event loop stood still, in stalls over 0.2 s.",
+            "Seconds for which the event loop was blocked, in stalls over 0.2 s.",
             registry=registry,
         )
         self.state = Gauge(
             f"{PREFIX}_relay_state",
-            "What the node believes: the version in force, calls, limit and demand.",
+            "State of the node: version in force, calls, limit and demand.",
             ["name"],
             registry=registry,
         )
 
         self.levels = Gauge(
             f"{PREFIX}_relay_level",
-            "Part of what is offered that is admitted, by service it leads to.",
+            "Admitted fraction of the offered work, by service.",
             ["service"],
             registry=registry,
         )
 
     def count_answer(self, route: str, status: int, seconds: float) -> None:
-        """Count an answer and its time."""
-        self._find(self.answers, route, str(status)).inc()
-        self._find(self.seconds, route).observe(seconds)
+        """Count an answer and observe its latency."""
+        self._get_child(self.answers, route, str(status)).inc()
+        self._get_child(self.seconds, route).observe(seconds)
 
     def count_refusal(self, route: str, reason: str) -> None:
-        """Count a request that has not run."""
-        self._find(self.refusals, route, reason).inc()
+        """Count a request that was not run."""
+        self._get_child(self.refusals, route, reason).inc()
 
     def count_failure(self, route: str, reason: str) -> None:
-        """Count a request without an answer that may have run."""
-        self._find(self.failures, route, reason).inc()
+        """Count a request that has no answer and may have run."""
+        self._get_child(self.failures, route, reason).inc()
 
     def count_retry(self, reason: object) -> None:
-        """Count a call that is sent once more."""
+        """Count a retry of a call."""
         self.retries.labels(str(reason)).inc()
 
     def count_abandoned(self, route: str) -> None:
-        """Count a request whose client has left."""
-        self._find(self.abandoned, route).inc()
+        """Count a request whose client has disconnected."""
+        self._get_child(self.abandoned, route).inc()
 
     def keep_routes(self, knows_route: Callable[[str], bool]) -> None:
-        """Drop the series of all other routes, but for requests without one."""
-        left = [key for key in self._children if key[1] and not knows_route(key[1])]
-        for key in left:
+        """Remove the series of unknown routes; keep those without a route."""
+        removed = [key for key in self._children if key[1] and not knows_route(key[1])]
+        for key in removed:
             del self._children[key]
             metric, *labels = key
             metric.remove(*labels)
 
-    def _find(self, metric: Any, route: str, *labels: str) -> Any:
+    def _get_child(self, metric: Any, route: str, *labels: str) -> Any:
         key = (metric, route, *labels)
         child = self._children.get(key)
         if child is None:
@@ -151,13 +151,13 @@
         return child
 
     def count_refused(self, kind: str, messages: int = 1) -> None:
-        """Count messages that were not taken up."""
+        """Count rejected messages."""
         self.refused.labels(kind).inc(messages)
 
     def count_quota(self, event: str, requests: float) -> None:
-        """Count requests of a quota at this node as its holder."""
+        """Count requests for a quota that this node allocates."""
         self.quotas.labels(event).inc(requests)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/eelgrassmount/relay/reload.py
+++ b/eelgrassmount/relay/reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a node runs."""
+"""Reloading of the settings file while a node runs."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
     from eelgrassmount.relay.settings import RelaySettings
 
-# the file may change without a signal, so it is looked at this often
+# interval of checks for changes of the file that no signal announces
 RELOAD_CHECK_INTERVAL_S = 2.0
 
 
 @define(eq=False)
 class SettingsWatch:
-    """Reads the settings file again when it has changed or when told to.
+    """Reloads the settings file when it has changed or on request.
 
-    A file that can't be read, or is wrong, leaves the settings as they are.
+    If the file is unreadable or invalid, the present settings stay in force.
     """
 
     path: str
     load: Callable[[str], RelaySettings]
     apply: Callable[[RelaySettings], None]
-    _changed: tuple[int, int] = field(init=False)
+    _signature: tuple[int, int] = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Note the file as it is now."""
-        self._changed = self._look()
+        """Record the signature of the file as loaded."""
+        self._signature = self._read_signature()
 
     def check(self) -> None:
-        """Read the file again if it has changed."""
-        if self._look() != self._changed:
+        """Reload the file if it has changed."""
+        if self._read_signature() != self._signature:
             self.reload()
 
     def reload(self) -> None:
-        """Read the file again."""
-        self._changed = self._look()
+        """Load the file and apply its settings."""
+        self._signature = self._read_signature()
         try:
             settings = self.load(self.path)
         except EelgrassmountError as error:
@@ -50,10 +50,10 @@
             return
         self.apply(settings)
 
-    def _look(self) -> tuple[int, int]:
+    def _read_signature(self) -> tuple[int, int]:
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError as error:
             logger.warning("settings file not found", cause=str(error))
             return (0, 0)
-        return (found.st_mtime_ns, found.st_size)
+        return (status.st_mtime_ns, status.st_size)
--- a/eelgrassmount/relay/server.py
+++ b/eelgrassmount/relay/server.py
@@ -1,4 +1,4 @@
-"""What a node believes of the backend server beside it."""
+"""State of the backend server on the node's own VM."""
 
 from __future__ import annotations
 
@@ -16,41 +16,39 @@
     from eelgrassmount.relay.heartbeats import Heartbeat
     from eelgrassmount.util.addresses import Address
 
-# part of the slots that is used: a server that is nearly full slows down, and its
-# own new connections hold a slot for a moment
-SLOT_SHARE = 0.93
+# share of the server's slots that the node fills: a nearly full server slows down
+MAX_SLOT_SHARE = 0.93
 DEFAULT_SLOTS = 16
-# after a connection was refused, the next one is tried so much later
-RETRY_S = 0.25
-# identities that are kept as ended, the last ones: heartbeats come seconds late, and a
-# server that has crashed is back after some seconds, so that these are those of minutes
-MAX_ENDED = 50
-# all starts of an identity have ended whose last start is not known
-EVERY_START = math.inf
+# delay before the next connection attempt after a refused one
+RECONNECT_DELAY_S = 0.25
+# ended identities whose late heartbeats are still recognized; the oldest are dropped
+MAX_ENDED_IDENTITIES = 50
+# later than any start: marks all starts of an identity as ended
+ANY_START = math.inf
 
 
 @define(eq=False)
 class LocalServer:
-    """The server of this VM: its incarnation, slots and whether it takes work.
+    """The backend server of this VM: its incarnation, slots and availability.
 
-    What is heard of it is one of these:
+    The incarnation that a heartbeat or leave message names decides its effect:
 
-    - of a later start of the present identity: the earlier start has ended. All that
-      was believed of it goes, and ``on_restart`` is called with both;
-    - of an earlier start, or of the present one with an old sequence: it is late and
-      changes nothing;
-    - of the present identity without its start: it counts for the present start;
-    - of another identity: it takes the place of the present one, unless it is a leave
-      or that identity is known to have ended at this start or a later one.
+    - a later start of the current identity: the earlier start has ended. Its state is
+      discarded, and ``on_restart`` is called with the earlier and the later start;
+    - an earlier start, or the current start with an old sequence: the message is late
+      and ignored;
+    - the current identity without a start: the message applies to the current start;
+    - another identity: that incarnation replaces the current one, unless the message is
+      a leave or the identity is known to have ended at this start or a later one.
 
-    An answer names an identity only. Another one than the present takes its place and
-    its start is learned from the next heartbeat.
+    An answer names an identity only. If it differs from the current one, it replaces
+    that, and the next heartbeat supplies its start.
     """
 
     service: str
     address: Address
     on_restart: Callable[[ServerIncarnation, ServerIncarnation], None] = (
-        lambda ended, begun: None
+        lambda ended, started: None
     )
     incarnation: ServerIncarnation | None = None
     slots: int = DEFAULT_SLOTS
@@ -61,29 +59,29 @@
     _ended: dict[str, float] = field(factory=dict)
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> bool:
-        """Take up a heartbeat or a leave; tell whether anything has changed."""
-        told = heartbeat.incarnation
-        present = self.incarnation
-        if self._has_ended(told):
+        """Apply a heartbeat or leave message; return whether the state has changed."""
+        reported = heartbeat.incarnation
+        current = self.incarnation
+        if self._has_ended(reported):
             return False
-        if present is None or present.identity != told.identity:
-            return self._note_other(heartbeat)
-        if present.is_after(told):
+        if current is None or current.identity != reported.identity:
+            return self._apply_other_identity(heartbeat)
+        if current.is_after(reported):
             return False
-        if told.is_after(present):
-            self._begin(heartbeat)
-            self.on_restart(present, told)
+        if reported.is_after(current):
+            self._start_incarnation(heartbeat)
+            self.on_restart(current, reported)
             return True
-        return self._note_present(heartbeat)
+        return self._apply_current(heartbeat)
 
     def apply_answer_identity(self, identity: str) -> None:
-        """Take up the identity that answered in place of the expected one."""
-        present = self.incarnation
-        if not identity or (present is not None and present.identity == identity):
+        """Apply the identity that an answer of the server names."""
+        current = self.incarnation
+        if not identity or (current is not None and current.identity == identity):
             return
-        if present is not None:
-            self._end(present)
-        # the server itself is right, also about an identity that seemed to have ended
+        if current is not None:
+            self._mark_ended(current)
+        # an answer proves that the identity is running, even if it was marked as ended
         self._ended.pop(identity, None)
         self.incarnation = ServerIncarnation(identity)
         self.sequence = NO_SEQUENCE
@@ -91,11 +89,11 @@
         self.left = False
 
     def mark_unreachable(self, now_s: float) -> None:
-        """Note that the server does not accept connections."""
-        self.unreachable_until_s = now_s + RETRY_S
+        """Record that the server refused a connection."""
+        self.unreachable_until_s = now_s + RECONNECT_DELAY_S
 
     def find_refusal_reason(self, now_s: float) -> Reason | None:
-        """Return why the server can't be given work, ``None`` when it can."""
+        """Return why the server can't be given calls, ``None`` when it can."""
         if self.incarnation is None:
             return Reason.SERVER_STARTING
         if self.left or now_s < self.unreachable_until_s:
@@ -105,11 +103,11 @@
         return None
 
     def compute_concurrency_limit(self) -> int:
-        """Return how many calls the server is given at once."""
-        return max(1, int(self.slots * SLOT_SHARE))
+        """Return how many calls may run on the server at once."""
+        return max(1, int(self.slots * MAX_SLOT_SHARE))
 
-    def _note_present(self, heartbeat: Heartbeat) -> bool:
-        """Take up what the present start says, or what names no start."""
+    def _apply_current(self, heartbeat: Heartbeat) -> bool:
+        """Apply a message that names the current start or no start."""
         learned = self._learn_start(heartbeat.incarnation)
         if heartbeat.leaving:
             changed = not self.left
@@ -121,32 +119,32 @@
         changed = heartbeat.draining and not self.draining
         self.draining = self.draining or heartbeat.draining
         self.slots = heartbeat.slots or self.slots
-        # a server that is heard may be tried at once
+        # the server is alive: a connection may be tried at once
         self.unreachable_until_s = 0.0
         return changed or learned
 
-    def _learn_start(self, told: ServerIncarnation) -> bool:
-        """Take up the start of a server that only its answers have named."""
+    def _learn_start(self, reported: ServerIncarnation) -> bool:
+        """Set the start of a server that is known only from its answers."""
         if self.incarnation.started_ms != UNKNOWN_START:
             return False
-        self.incarnation = told
-        return told.started_ms != UNKNOWN_START
-
-    def _note_other(self, heartbeat: Heartbeat) -> bool:
-        """Take up what another identity says than the present one."""
-        present = self.incarnation
-        if present is not None and heartbeat.leaving:
-            self._end(heartbeat.incarnation)
+        self.incarnation = reported
+        return reported.started_ms != UNKNOWN_START
+
+    def _apply_other_identity(self, heartbeat: Heartbeat) -> bool:
+        """Apply a message of an identity that is not the current one."""
+        current = self.incarnation
+        if current is not None and heartbeat.leaving:
+            self._mark_ended(heartbeat.incarnation)
             return False
-        if present is not None:
-            self._end(present)
-        self._begin(heartbeat)
+        if current is not None:
+            self._mark_ended(current)
+        self._start_incarnation(heartbeat)
         return True
 
-    def _begin(self, heartbeat: Heartbeat) -> None:
-        """Believe of an incarnation what it says now, and nothing from before."""
+    def _start_incarnation(self, heartbeat: Heartbeat) -> None:
+        """Replace the current incarnation and discard all state of the old one."""
         self.incarnation = heartbeat.incarnation
-        # from here on, starts are compared with that of the present incarnation
+        # later messages are compared with the start of the current incarnation
         self._ended.pop(heartbeat.incarnation.identity, None)
         self.sequence = heartbeat.sequence
         self.draining = heartbeat.draining
@@ -155,15 +153,15 @@
         self.service = heartbeat.service or self.service
         self.unreachable_until_s = 0.0
 
-    def _end(self, incarnation: ServerIncarnation) -> None:
+    def _mark_ended(self, incarnation: ServerIncarnation) -> None:
         started_ms = incarnation.started_ms
         known = started_ms != UNKNOWN_START
         self._ended.pop(incarnation.identity, None)
-        self._ended[incarnation.identity] = started_ms if known else EVERY_START
-        if len(self._ended) > MAX_ENDED:
+        self._ended[incarnation.identity] = started_ms if known else ANY_START
+        if len(self._ended) > MAX_ENDED_IDENTITIES:
             del self._ended[next(iter(self._ended))]
 
     def _has_ended(self, incarnation: ServerIncarnation) -> bool:
-        """Tell whether this start, or a later one of the identity, has ended."""
+        """Return whether this start, or a later one of the identity, has ended."""
         ended_ms = self._ended.get(incarnation.identity)
         return ended_ms is not None and incarnation.started_ms <= ended_ms
--- a/eelgrassmount/relay/settings.py
+++ b/eelgrassmount/relay/settings.py
@@ -1,4 +1,4 @@
-"""What a node beside its backend server is told at its start."""
+"""Settings of a node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from eelgrassmount.policy.quotas import QuotaBounds
 from eelgrassmount.util.addresses import Address
 
-# settings that may be left out, and their ranges: times of up to a day
+# smallest and largest value of each optional setting; times are at most a day
 OPTIONAL_SETTING_RANGES = {
     "retry_ratio": (0.0, 100.0),
     "retry_window_s": (0.1, 86400.0),
@@ -26,11 +26,10 @@
 class RelaySettings:
     """Settings of a node; times are in seconds, addresses are IPv4 with a port.
 
-    The retry budget allows ``retry_ratio`` of a service's requests in
-    ``retry_window_s`` plus ``retry_slack``, over all nodes together. A node is
-    killed ``grace_s`` after it was told to stop. In any ``quota_window_s``, all nodes
-    together may run ``quota_overage`` of a team's quota more than that, and
-    ``quota_slack`` requests.
+    Over all nodes, the retry budget of a service is ``retry_ratio`` of its requests in
+    ``retry_window_s`` plus ``retry_slack`` retries. A node is killed ``grace_s`` after
+    the request to stop. In any ``quota_window_s``, all nodes together may exceed a
+    team's quota by the share ``quota_overage`` plus ``quota_slack`` requests.
     """
 
     name: str
@@ -51,13 +50,13 @@
     quota_slack: float = 10.0
 
     def find_quota_bounds(self) -> QuotaBounds:
-        """Return how far teams may exceed their quotas."""
+        """Return the limits by which teams may exceed their quotas."""
         return QuotaBounds(self.quota_window_s, self.quota_overage, self.quota_slack)
 
     def log_defaults(self, given: Container[str]) -> None:
-        """Write down which defaults are in force for what was not given.
+        """Log the defaults of the settings that are not in ``given``.
 
-        Those of quotas are told once a configuration has some.
+        Defaults of quotas are left out: most configurations have no quotas.
         """
         defaults = {
             name: getattr(self, name)
--- a/eelgrassmount/relay/stalls.py
+++ b/eelgrassmount/relay/stalls.py
@@ -1,4 +1,4 @@
-"""Pauses of the event loop, and whether the node or its VM caused them."""
+"""Detection of stalls of the event loop."""
 
 from __future__ import annotations
 
@@ -12,20 +12,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# other nodes soon send no more calls to one that is silent: a line before that comes in
-# time to explain it
-STALL_S = 0.2
-# lines are at least so far apart; the counter has all stalls
-LINE_S = 1.0
+# shorter stalls are ignored; below the time after which other nodes avoid a silent node
+MIN_STALL_S = 0.2
+# limits log lines, not the counter
+MIN_LOG_INTERVAL_S = 1.0
 
 
 @frozen
 class ProcessTimes:
     """The clocks of a process, in seconds.
 
-    ``steady_s`` does not count the time for which the VM was suspended and
-    ``boot_s`` does; ``cpu_s`` counts what the process used, and ``switches`` how
-    often it had to give the processor up.
+    ``steady_s`` excludes the time for which the VM was suspended, ``boot_s`` includes
+    it. ``cpu_s`` is the processor time of the process, ``switches`` the number of its
+    involuntary context switches.
     """
 
     steady_s: float
@@ -35,7 +34,7 @@
 
 
 def read_process_times() -> ProcessTimes:
-    """Return the clocks of this process."""
+    """Read the clocks of this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return ProcessTimes(
         time.monotonic(),
@@ -47,12 +46,11 @@
 
 @define(eq=False)
 class StallWatch:
-    """Says when the event loop stood still, and what the process did meanwhile.
+    """Logs and counts stalls of the event loop.
 
-    A node that is silent because it works (``cpu_s`` nearly as long as
-    ``stalled_s``) and one whose VM was held up (``cpu_s`` near zero) look alike to
-    the other nodes. ``action`` names the timer's action that took longest in the
-    time, empty when none ran::
+    The log line separates a busy process (``cpu_s`` close to ``stalled_s``) from a VM
+    that was paused (``cpu_s`` close to zero), which look alike to other nodes.
+    ``action`` names the slowest timer action since the last check, empty if none ran::
 
         watch = StallWatch(0.1, read_process_times, take_slowest, metrics.count_stall)
         timers.subscribe(0.1, watch.check)
@@ -62,32 +60,32 @@
     read_times: Callable[[], ProcessTimes]
     take_slowest: Callable[[], tuple[str, float]]
     count: Callable[[float], None]
-    _before: ProcessTimes = field(init=False)
-    _line_s: float = float("-inf")
+    _previous: ProcessTimes = field(init=False)
+    _logged_s: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Begin to watch."""
-        self._before = self.read_times()
+        """Read the clocks for the first check."""
+        self._previous = self.read_times()
 
     def check(self) -> None:
-        """Compare the clocks with those of the last time, one period ago."""
-        before = self._before
-        now = self._before = self.read_times()
+        """Compare the clocks with those of the last check, one period ago."""
+        previous = self._previous
+        now = self._previous = self.read_times()
         action, action_s = self.take_slowest()
-        stalled_s = max(0.0, now.steady_s - before.steady_s - self.period_s)
-        suspended_s = now.boot_s - before.boot_s - (now.steady_s - before.steady_s)
-        if max(stalled_s, suspended_s) < STALL_S:
+        stalled_s = max(0.0, now.steady_s - previous.steady_s - self.period_s)
+        suspended_s = now.boot_s - previous.boot_s - (now.steady_s - previous.steady_s)
+        if max(stalled_s, suspended_s) < MIN_STALL_S:
             return
         self.count(stalled_s)
-        if now.steady_s - self._line_s < LINE_S:
+        if now.steady_s - self._logged_s < MIN_LOG_INTERVAL_S:
             return
-        self._line_s = now.steady_s
+        self._logged_s = now.steady_s
         logger.warning(
             "node stalled",
             stalled_s=round(stalled_s, 3),
             suspended_s=round(suspended_s, 3),
-            cpu_s=round(now.cpu_s - before.cpu_s, 3),
-            switches=now.switches - before.switches,
+            cpu_s=round(now.cpu_s - previous.cpu_s, 3),
+            switches=now.switches - previous.switches,
             action=action,
             action_s=round(action_s, 3),
         )
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -1,4 +1,4 @@
-"""What a node believes, told to people and programs that ask."""
+"""Status of a node, as its admin endpoint and the status command show it."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 @frozen
-class ServerState:
-    """The server beside a node, and its gate.
+class ServerStatus:
+    """The local backend server and the queue of calls to it.
 
-    ``incarnation`` is its identity, empty before it is known, and ``started_ms`` the
-    Unix time of its start, 0 while at most an answer has named it.
-    ``refusal`` says why it gets no work, and is empty when it does. ``demand`` and
-    ``wait`` are parts of what is possible and allowed.
+    ``incarnation`` is the server's identity, empty while unknown. ``started_ms`` is the
+    Unix time of its start, 0 until a heartbeat has reported it. ``refusal`` is the
+    reason why the server gets no calls, empty when it gets them. ``demand`` is a
+    fraction of the server's capacity, ``wait`` a fraction of the allowed queueing time.
     """
 
     incarnation: str
@@ -39,8 +39,8 @@
 
 
 @frozen
-class MemberState:
-    """Another node, as it is known here; ``age_s`` is the age of its last report."""
+class MemberStatus:
+    """Another node; ``age_s`` is the age of its last load report."""
 
     name: str
     service: str
@@ -55,8 +55,8 @@
 
 
 @frozen
-class ShareState:
-    """The part of a route's requests of one rank that is admitted."""
+class ShareStatus:
+    """The admitted fraction of a route's requests of one rank."""
 
     route: str
     rank: int
@@ -64,8 +64,8 @@
 
 
 @frozen
-class BudgetState:
-    """Requests and repeated calls of a service in the window of the retry budget."""
+class BudgetStatus:
+    """Requests to a service and retries of them in the window of the retry budget."""
 
     service: str
     requests: int
@@ -73,11 +73,13 @@
 
 
 @frozen
-class QuotaState:
-    """A node's part of a team's quota, in requests and requests a second.
+class QuotaStatus:
+    """The part of a team's quota that this node allocates.
 
-    Of the team's ``rate`` and ``burst`` it hands out ``held_rate`` and has ``level`` of
-    them now, below zero where it has handed out in advance; ``asked_per_s`` come to it.
+    ``rate`` and ``burst`` are the team's, in requests per second and requests.
+    ``held_rate`` is the rate that this node grants from, ``level`` the requests that it
+    can grant now, negative if it granted in advance, and ``asked_per_s`` the rate of
+    the requests asked of it.
     """
 
     team: str
@@ -89,20 +91,20 @@
 
 
 @frozen
-class TeamState:
-    """The teams of the configuration, and who holds their quotas for this node."""
+class TeamStatus:
+    """The number of configured teams and the quota allocators of this node."""
 
     teams: int
     holders: list[str]
-    held: list[QuotaState]
+    held: list[QuotaStatus]
 
 
 @frozen
-class ReaderState:
-    """A node that this one hears the log from.
+class ReaderStatus:
+    """A node from which this node receives the records of the log.
 
-    It reads the log itself, or hears from another that does; ``age_s`` is the age of
-    its last word.
+    ``reads`` is set if that node reads the log itself, ``hears`` if it receives the
+    records from another node. ``age_s`` is the age of its last message.
     """
 
     name: str
@@ -112,14 +114,15 @@
 
 
 @frozen
-class LogState:
-    """How the news of the log reach a node.
-
-    It reads the log itself while it is ``reading``, and is ``chosen`` as one of the
-    readers of its failure domain or listened to by ``subscribers``. ``era`` counts how
-    often the log has come back from an older copy, -1 if it doesn't say; in it,
-    ``next_offset`` is where the records that the node knows end. ``counted_nodes`` says
-    how many nodes' requests it knows of.
+class LogStatus:
+    """How a node receives the records of the log.
+
+    ``reading`` is set while the node reads the log itself, ``chosen`` if it is one of
+    the readers of its failure domain; ``subscribers`` counts the nodes to which it
+    forwards records. ``era`` is the log epoch, the number of times that the log was
+    restored from an older copy, -1 if the log does not report it. ``next_offset`` is
+    the first offset of that epoch that the node has not received. ``counted_nodes`` is
+    the number of nodes whose request counts it has.
     """
 
     reading: bool
@@ -128,18 +131,18 @@
     era: int
     next_offset: int
     counted_nodes: int
-    readers: list[ReaderState]
+    readers: list[ReaderStatus]
 
 
 @frozen
-class NodeState:
-    """All that a node believes.
-
-    ``levels`` holds the part of what is offered that is admitted, by service;
-    ``shares`` the same by route and rank, where it is below 1; ``vectors`` the calls
-    that one run makes and ``allowances`` the seconds that one may take, by route.
-    ``lost_topics`` are the topics of the log that can't be read now, and ``refused``
-    counts messages that were not taken up, by kind.
+class NodeStatus:
+    """The whole status of a node.
+
+    ``levels`` maps services to the admitted fraction of the work offered to them;
+    ``shares`` lists the admitted fractions below 1 by route and rank. By route,
+    ``vectors`` gives the calls that one run makes and ``allowances`` the seconds that
+    it may take. ``lost_topics`` are the topics of the log that can't be read now, and
+    ``refused`` counts rejected messages by kind.
     """
 
     node: str
@@ -152,27 +155,27 @@
     version_age_s: float | None
     routes: int
     lost_topics: list[str]
-    log: LogState
+    log: LogStatus
     refused: dict[str, int]
-    teams: TeamState
-    server: ServerState
+    teams: TeamStatus
+    server: ServerStatus
     levels: dict[str, float]
-    shares: list[ShareState]
+    shares: list[ShareStatus]
     vectors: dict[str, dict[str, float]]
     allowances: dict[str, float]
-    budgets: list[BudgetState]
-    members: list[MemberState]
+    budgets: list[BudgetStatus]
+    members: list[MemberStatus]
 
 
-def collect_status(node: RelayNode) -> NodeState:
-    """Return what a node believes now."""
+def collect_status(node: RelayNode) -> NodeStatus:
+    """Return the present status of a node."""
     beliefs = node.beliefs
     now_s = beliefs.clock()
     routes = beliefs.table.routes
     version_age_s = None
     if beliefs.table.version:
         version_age_s = round(now_s - beliefs.table_since_s, 3)
-    return NodeState(
+    return NodeStatus(
         beliefs.name,
         beliefs.incarnation,
         beliefs.server.service,
@@ -182,14 +185,17 @@
         beliefs.table.version,
         version_age_s,
         len(routes),
-        [one.topic for one in node.followers if not one.reachable],
+        [follower.topic for follower in node.followers if not follower.reachable],
         _read_log(node.readers, now_s),
         dict(node.refused.totals),
         _read_teams(node, now_s),
         _read_server(node, now_s),
-        {name: round(one.level, 3) for name, one in beliefs.levels.items()},
+        {
+            name: round(controller.level, 3)
+            for name, controller in beliefs.levels.items()
+        },
         [
-            ShareState(demand.route_name, demand.rank, round(share, 3))
+            ShareStatus(demand.route_name, demand.rank, round(share, 3))
             for demand, share in sorted(node.admission.shares.items())
         ],
         {
@@ -202,15 +208,15 @@
         },
         _read_budgets(node.gate.budget),
         [
-            _read_member(one, now_s)
-            for one in beliefs.members.by_name.values()
-            if one.name != beliefs.name
+            _read_member(member, now_s)
+            for member in beliefs.members.by_name.values()
+            if member.name != beliefs.name
         ],
     )
 
 
-def _read_log(readers: LogReaders, now_s: float) -> LogState:
-    return LogState(
+def _read_log(readers: LogReaders, now_s: float) -> LogStatus:
+    return LogStatus(
         readers.reading,
         readers.is_reader,
         len(readers.subscribers),
@@ -218,43 +224,45 @@
         readers.book.next_offset,
         readers.beliefs.outlook.nodes,
         [
-            ReaderState(
+            ReaderStatus(
                 name,
-                one.reads,
-                one.hears,
-                None if math.isinf(one.heard_s) else round(now_s - one.heard_s, 3),
+                subscription.reads,
+                subscription.hears,
+                None
+                if math.isinf(subscription.heard_s)
+                else round(now_s - subscription.heard_s, 3),
             )
-            for name, one in sorted(readers.subscriptions.items())
+            for name, subscription in sorted(readers.subscriptions.items())
         ],
     )
 
 
-def _read_teams(node: RelayNode, now_s: float) -> TeamState:
+def _read_teams(node: RelayNode, now_s: float) -> TeamStatus:
     teams = node.beliefs.table.teams.teams
     held = []
-    for name, one in sorted(node.quotas.holder.held.items()):
-        one.bucket.refill(now_s)
-        if name in teams and one.bucket.rate:
+    for name, quota in sorted(node.quotas.holder.held.items()):
+        quota.bucket.refill(now_s)
+        if name in teams and quota.bucket.rate:
             held.append(
-                QuotaState(
+                QuotaStatus(
                     name,
                     teams[name].rate,
                     teams[name].burst,
-                    round(one.bucket.rate, 2),
-                    round(one.bucket.level, 2),
-                    round(one.asked_per_s, 2),
+                    round(quota.bucket.rate, 2),
+                    round(quota.bucket.level, 2),
+                    round(quota.asked_per_s, 2),
                 )
             )
-    return TeamState(len(teams), list(node.quotas.near), held)
+    return TeamStatus(len(teams), list(node.quotas.near), held)
 
 
-def _read_server(node: RelayNode, now_s: float) -> ServerState:
+def _read_server(node: RelayNode, now_s: float) -> ServerStatus:
     server = node.beliefs.server
     gate = node.gate
-    known = server.incarnation or ServerIncarnation("")
-    return ServerState(
-        known.identity,
-        known.started_ms,
+    incarnation = server.incarnation or ServerIncarnation("")
+    return ServerStatus(
+        incarnation.identity,
+        incarnation.started_ms,
         str(server.find_refusal_reason(now_s) or ""),
         server.slots,
         server.compute_concurrency_limit(),
@@ -266,10 +274,10 @@
     )
 
 
-def _read_member(member: Member, now_s: float) -> MemberState:
+def _read_member(member: Member, now_s: float) -> MemberStatus:
     load = member.load
     age_s = round(now_s - load.reported_s, 3) if load.reported_s else None
-    return MemberState(
+    return MemberStatus(
         member.name,
         member.service,
         member.failure_domain,
@@ -283,8 +291,8 @@
     )
 
 
-def _read_budgets(budget: RetryBudget) -> list[BudgetState]:
+def _read_budgets(budget: RetryBudget) -> list[BudgetStatus]:
     return [
-        BudgetState(name, requests, repeats)
-        for name, requests, repeats in budget.list_services()
+        BudgetStatus(name, requests, retries)
+        for name, requests, retries in budget.list_services()
     ]
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -234,6 +234,8 @@
     return answer
 
 
-async def send_as_client(vm: Vm, target: str, method: str = "GET", **names: str) -> ClientAnswer:
+async def send_as_client(
+    vm: Vm, target: str, method: str = "GET", **names: str
+) -> ClientAnswer:
     """Send one request as a client of a VM does."""
     return await request(vm.settings.caller_address, method, target, **names)
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -56,7 +56,9 @@
         assert (await lone.announce("i-2", service="nobody")).status == 421
         assert lone.read_server_view() == before
         assert (await lone.announce()).status == 200
-        assert not lone.node.beliefs.server.find_refusal_reason(lone.node.beliefs.clock())
+        assert not lone.node.beliefs.server.find_refusal_reason(
+            lone.node.beliefs.clock()
+        )
 
     run(scenario)
 
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from eelgrassmount.http1.client import Break, ClientAnswer
-from eelgrassmount.relay.backend import FRESH_IDLE_S, BackendPool
+from eelgrassmount.relay.backend import MAX_FRESH_IDLE_S, BackendPool
 from eelgrassmount.util.addresses import Address
 from tests.relay.deployment import LOOPBACK_PREFIX
 
@@ -101,7 +101,7 @@
         setup.now_s += FORGETS_AFTER_S / 2
         assert isinstance(await setup.send(True), ClientAnswer)
         assert setup.server.opened == 1
-        setup.now_s += FRESH_IDLE_S * 1.1
+        setup.now_s += MAX_FRESH_IDLE_S * 1.1
         assert isinstance(await setup.send(True), ClientAnswer)
         assert setup.server.opened == 2
 
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -20,12 +20,12 @@
 from standins.platform_log import Trouble
 from tests.relay.deployment import (
     Deployment,
-    send_as_client,
     connect,
     make_request,
     make_rule,
     request,
     send,
+    send_as_client,
 )
 
 LIST = make_rule("/list/", "list")
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -9,7 +9,7 @@
 
 from eelgrassmount.policy.repeats import SLACK_SHARE
 from eelgrassmount.relay.sender import MAX_REJECTIONS
-from tests.relay.deployment import Deployment, Vm, send_as_client, make_rule
+from tests.relay.deployment import Deployment, Vm, make_rule, send_as_client
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
--- a/tests/relay/test_server.py
+++ b/tests/relay/test_server.py
@@ -9,7 +9,7 @@
     Heartbeat,
     ServerIncarnation,
 )
-from eelgrassmount.relay.server import DEFAULT_SLOTS, MAX_ENDED, LocalServer
+from eelgrassmount.relay.server import DEFAULT_SLOTS, MAX_ENDED_IDENTITIES, LocalServer
 from eelgrassmount.util.addresses import Address
 from eelgrassmount.verdict import Reason
 
@@ -248,12 +248,12 @@
 
 
 def test_ended_incarnations_are_bounded_and_the_last_ones_kept(server):
-    count = MAX_ENDED + 20
+    count = MAX_ENDED_IDENTITIES + 20
     for number in range(count):
         server.apply_heartbeat(beat(f"i{number}", 2))
         server.apply_heartbeat(leave(f"other{number}"))
-    assert len(server._ended) <= MAX_ENDED
-    for number in range(count - MAX_ENDED // 2 + 1, count - 1):
+    assert len(server._ended) <= MAX_ENDED_IDENTITIES
+    for number in range(count - MAX_ENDED_IDENTITIES // 2 + 1, count - 1):
         assert not server.apply_heartbeat(beat(f"i{number}", 3))
 
 
--- a/tests/relay/virtual.py
+++ b/tests/relay/virtual.py
@@ -80,7 +80,10 @@
     """Takes connections."""
 
     def __init__(
-        self, network: Network, place: SocketAddress, factory: Callable[[], asyncio.Protocol]
+        self,
+        network: Network,
+        place: SocketAddress,
+        factory: Callable[[], asyncio.Protocol],
     ):
         self.network = network
         self.place = place
@@ -149,7 +152,9 @@
 class Link:
     """One connection."""
 
-    def __init__(self, network: Network, place: SocketAddress, protocol: asyncio.Protocol):
+    def __init__(
+        self, network: Network, place: SocketAddress, protocol: asyncio.Protocol
+    ):
         self.network = network
         self.place = place
         self.mute = False
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -13,12 +13,12 @@
     LOG,
     Deployment,
     Vm,
-    send_as_client,
     connect,
     make_request,
     make_rule,
     make_team,
     send,
+    send_as_client,
 )
 from tests.relay.virtual import run_virtually
 
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -11,7 +11,7 @@
 
 from eelgrassmount.relay.status import collect_status
 from standins.platform_log import Trouble
-from tests.relay.deployment import Deployment, Vm, send_as_client, make_rule, make_team
+from tests.relay.deployment import Deployment, Vm, make_rule, make_team, send_as_client
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -184,7 +184,9 @@
             assert (state.teams.teams, len(state.teams.holders)) == (2, 2)
             texts.append(json.dumps(asdict(state)))
             texts.append(vm.node.metrics.render().decode())
-        held = [one for vm in deployment.vms for one in collect_status(vm.node).teams.held]
+        held = [
+            one for vm in deployment.vms for one in collect_status(vm.node).teams.held
+        ]
         assert {one.team for one in held} == {"press"}
         assert sum(one.held_rate for one in held) == pytest.approx(10.0)
         assert 'relay_quota_requests_total{event="refused"}' in "".join(texts)
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -11,7 +11,13 @@
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.platform.topics import LEARNED_KEY
 from standins.platform_log import Trouble
-from tests.relay.deployment import LOG, Deployment, send_as_client, make_document, make_rule
+from tests.relay.deployment import (
+    LOG,
+    Deployment,
+    make_document,
+    make_rule,
+    send_as_client,
+)
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
