--- a/eelgrassmount/relay/settings.py
+++ b/eelgrassmount/relay/settings.py
@@ -56,7 +56,8 @@
     def log_defaults(self, given: Container[str]) -> None:
         """Log the defaults of the settings that are not in ``given``.
 
-        Defaults of quotas are left out: most configurations have no quotas.
+        Defaults of quotas are left out; the node logs its quota limits when it receives
+        a configuration with quotas.
         """
         defaults = {
             name: getattr(self, name)
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -169,53 +169,47 @@
 
 def collect_status(node: RelayNode) -> NodeStatus:
     """Return the present status of a node."""
-    beliefs = node.beliefs
-    now_s = beliefs.clock()
-    routes = beliefs.table.routes
+    state = node.beliefs
+    now_s = state.clock()
+    routes = state.table.routes
     version_age_s = None
-    if beliefs.table.version:
-        version_age_s = round(now_s - beliefs.table_since_s, 3)
+    if state.table.version:
+        version_age_s = round(now_s - state.table_since_s, 3)
     return NodeStatus(
-        beliefs.name,
-        beliefs.incarnation,
-        beliefs.server.service,
-        beliefs.failure_domain,
+        state.name,
+        state.incarnation,
+        state.server.service,
+        state.failure_domain,
         node.is_ready(),
-        beliefs.stopping,
-        beliefs.table.version,
+        state.stopping,
+        state.table.version,
         version_age_s,
         len(routes),
         [follower.topic for follower in node.followers if not follower.reachable],
-        _read_log(node.readers, now_s),
+        _collect_log(node.readers, now_s),
         dict(node.refused.totals),
-        _read_teams(node, now_s),
-        _read_server(node, now_s),
-        {
-            name: round(controller.level, 3)
-            for name, controller in beliefs.levels.items()
-        },
+        _collect_teams(node, now_s),
+        _collect_server(node, now_s),
+        {name: round(controller.level, 3) for name, controller in state.levels.items()},
         [
             ShareStatus(demand.route_name, demand.rank, round(share, 3))
             for demand, share in sorted(node.admission.shares.items())
         ],
         {
             name: {called: round(count, 2) for called, count in calls.items()}
-            for name, calls in beliefs.graph.vectors.items()
-        },
-        {
-            name: round(beliefs.find_allowance(route), 3)
-            for name, route in routes.items()
+            for name, calls in state.graph.vectors.items()
         },
-        _read_budgets(node.gate.budget),
+        {name: round(state.find_allowance(route), 3) for name, route in routes.items()},
+        _collect_budgets(node.gate.budget),
         [
-            _read_member(member, now_s)
-            for member in beliefs.members.by_name.values()
-            if member.name != beliefs.name
+            _collect_member(member, now_s)
+            for member in state.members.by_name.values()
+            if member.name != state.name
         ],
     )
 
 
-def _read_log(readers: LogReaders, now_s: float) -> LogStatus:
+def _collect_log(readers: LogReaders, now_s: float) -> LogStatus:
     return LogStatus(
         readers.reading,
         readers.is_reader,
@@ -237,7 +231,7 @@
     )
 
 
-def _read_teams(node: RelayNode, now_s: float) -> TeamStatus:
+def _collect_teams(node: RelayNode, now_s: float) -> TeamStatus:
     teams = node.beliefs.table.teams.teams
     held = []
     for name, quota in sorted(node.quotas.holder.held.items()):
@@ -256,7 +250,7 @@
     return TeamStatus(len(teams), list(node.quotas.near), held)
 
 
-def _read_server(node: RelayNode, now_s: float) -> ServerStatus:
+def _collect_server(node: RelayNode, now_s: float) -> ServerStatus:
     server = node.beliefs.server
     gate = node.gate
     incarnation = server.incarnation or ServerIncarnation("")
@@ -274,7 +268,7 @@
     )
 
 
-def _read_member(member: Member, now_s: float) -> MemberStatus:
+def _collect_member(member: Member, now_s: float) -> MemberStatus:
     load = member.load
     age_s = round(now_s - load.reported_s, 3) if load.reported_s else None
     return MemberStatus(
@@ -291,7 +285,7 @@
     )
 
 
-def _read_budgets(budget: RetryBudget) -> list[BudgetStatus]:
+def _collect_budgets(budget: RetryBudget) -> list[BudgetStatus]:
     return [
         BudgetStatus(name, requests, retries)
         for name, requests, retries in budget.list_services()
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: log, servers and nodes in one process."""
+"""A deployment in one process on loopback: log, backend servers and nodes."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-# runs of several work trees at once don't take each other's addresses
+# depends on the process, so that concurrent test runs use different addresses
 LOOPBACK_PREFIX = f"127.{64 + os.getpid() % 128}"
 LOG = Address(f"{LOOPBACK_PREFIX}.0.1", 8309)
 HOST = "shop.example"
-WAIT_S = 5.0
+TIMEOUT_S = 5.0
 
 
 def read_unix_ms() -> int:
-    """Return the time of now as servers give that of their start."""
+    """Return the Unix time in milliseconds, as in the heartbeats of servers."""
     return int(time.time() * 1000)
 
 
@@ -74,7 +74,7 @@
 
 @define(eq=False)
 class Vm:
-    """A node and the server beside it."""
+    """A VM with a node and a backend server."""
 
     node: RelayNode
     server: PlatformServer
@@ -83,16 +83,16 @@
     started_ms: int = field(factory=lambda: read_unix_ms())
 
     async def restart_server(self) -> PlatformServer:
-        """Cut the server off and start one under its identity; return the earlier."""
+        """Replace the server by a new one of the same identity; return the old one."""
         earlier = self.server
         earlier.listener.end()
         self.server = PlatformServer(earlier.incarnation)
         await self.server.start(self.settings.server_address.host, 8301)
-        self.note_restart()
+        self.mark_restarted()
         return earlier
 
-    def note_restart(self) -> None:
-        """Announce a later start from now on, whatever the server does."""
+    def mark_restarted(self) -> None:
+        """Announce a later start in the next heartbeats, without a real restart."""
         self.sequence = 0
         self.started_ms = max(self.started_ms + 1, read_unix_ms())
 
@@ -121,7 +121,7 @@
 
 @define(eq=False)
 class Deployment:
-    """A log, and VMs that are added one by one."""
+    """A log and the VMs that were added."""
 
     group: TaskGroup
     log: PlatformLog = field(factory=PlatformLog)
@@ -134,7 +134,7 @@
             self.configure(1, *rules)
 
     async def end(self) -> None:
-        """Drop everything."""
+        """Stop the nodes, the servers and the log."""
         for vm in self.vms:
             vm.node.end()
             vm.server.listener.end()
@@ -152,7 +152,7 @@
         self.log.put("keyed.op", "config", document)
 
     async def add(self, service: str, domain: str = "a", **changes: Any) -> Vm:
-        """Start a VM and let its server announce itself."""
+        """Start a VM whose server sends a first heartbeat."""
         host = f"{LOOPBACK_PREFIX}.1.{len(self.vms) + 1}"
         values = {
             "name": f"node-{len(self.vms) + 1}",
@@ -176,14 +176,14 @@
         return vm
 
     async def wait_until_connected(self) -> None:
-        """Wait until all nodes know each other and the configuration."""
-        with anyio.fail_after(WAIT_S):
-            while not all(self._is_settled(vm) for vm in self.vms):
+        """Wait until all nodes have the configuration and the links that it needs."""
+        with anyio.fail_after(TIMEOUT_S):
+            while not all(self._is_connected(vm) for vm in self.vms):
                 await anyio.sleep(0.02)
 
-    def _is_settled(self, vm: Vm) -> bool:
+    def _is_connected(self, vm: Vm) -> bool:
         beliefs = vm.node.beliefs
-        wanted = {
+        called_services = {
             target.service
             for route in beliefs.table.routes.values()
             for target in route.targets
@@ -191,23 +191,23 @@
         linked = all(
             member.is_connected()
             for member in beliefs.members.by_name.values()
-            if member.name != beliefs.name and member.service in wanted
+            if member.name != beliefs.name and member.service in called_services
         )
-        known = len(beliefs.members.by_name) == len(self.vms)
-        return vm.node.is_ready() and known and linked
+        all_known = len(beliefs.members.by_name) == len(self.vms)
+        return vm.node.is_ready() and all_known and linked
 
 
 async def connect(address: Address) -> ClientConnection:
     """Open a connection."""
-    return await open_connection(address, WAIT_S)
+    return await open_connection(address, TIMEOUT_S)
 
 
 async def send(connection: ClientConnection, data: bytes) -> ClientAnswer | Break:
-    """Send a request and return what became of it."""
+    """Send a request and return its outcome."""
     future = asyncio.get_running_loop().create_future()
     head_only = data.startswith(b"HEAD ")
     connection.send(data, future.set_result, head_only=head_only)
-    with anyio.fail_after(WAIT_S):
+    with anyio.fail_after(TIMEOUT_S):
         return await future
 
 
@@ -237,5 +237,5 @@
 async def send_as_client(
     vm: Vm, target: str, method: str = "GET", **names: str
 ) -> ClientAnswer:
-    """Send one request as a client of a VM does."""
+    """Send one request to the address of a node for clients on its VM."""
     return await request(vm.settings.caller_address, method, target, **names)
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -1,4 +1,4 @@
-"""One node alone on loopback, without a log, a server or other nodes."""
+"""A single node on loopback, without a log, a backend server or other nodes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from eelgrassmount.compose.relay_node import RelayNode
     from eelgrassmount.http1.client import Break, ClientAnswer
 
-# an address of its own for each process, as tests may run side by side
+# depends on the process, so that concurrent test runs use different addresses
 HOST = f"127.78.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
 SETTINGS = RelaySettings(
     name="node-1",
@@ -34,32 +34,32 @@
     server_address=Address(HOST, 8301),
     log_address=Address(HOST, 8309),
 )
-START_MS = 1_790_000_000_000
-LIMIT_S = 20
+STARTED_MS = 1_790_000_000_000
+TIMEOUT_S = 20
 
 
 @define(eq=False)
 class LoneNode:
-    """A node and what its server would send it."""
+    """A node and the messages of its backend server."""
 
     node: RelayNode
 
     async def post(self, target: str, body: bytes = b"") -> ClientAnswer | Break:
-        """Send one call to the listener for announcements."""
+        """Send one request to the listener for announcements."""
         return await request(SETTINGS.announce_address, "POST", target, body)
 
     async def announce(
         self, identity: str = "i-1", sequence: int = 1, **changes: Any
     ) -> ClientAnswer | Break:
-        """Send a heartbeat, with fields of the parts changed."""
+        """Send a heartbeat with some fields changed."""
         body = make_heartbeat(sequence, **changes)
         return await self.post(f"/instances/{identity}/heartbeat", body)
 
     def read_server_view(self) -> tuple[Any, ...]:
-        """Return what the node believes of the server and tells other nodes."""
+        """Return the node's state of the server, and what it reports to other nodes."""
         beliefs = self.node.beliefs
         server = beliefs.server
-        own = beliefs.members.by_name[SETTINGS.name]
+        local = beliefs.members.by_name[SETTINGS.name]
         return (
             server.service,
             str(server.incarnation),
@@ -67,12 +67,12 @@
             server.draining,
             server.left,
             server.slots,
-            own.service,
+            local.service,
             beliefs.make_hello().service_name,
         )
 
     def change_settings(self, **changes: Any) -> None:
-        """Apply changed settings, as when the settings file is read again."""
+        """Apply changed settings, as a reload of the settings file does."""
         self.node.apply_settings(evolve(SETTINGS, **changes))
 
 
@@ -81,26 +81,26 @@
         "address": str(SETTINGS.server_address),
         "info": {"service": "desk", "version": "v1", "zone": "a", "slots": 8},
         "status": {"state": "ready", "sequence": sequence, "coldRemainingMs": 0},
-        "born": START_MS,
+        "born": STARTED_MS,
     }
     for name, value in changes.items():
-        holder = next(
+        section = next(
             (part for part in (content["info"], content["status"]) if name in part),
             content,
         )
-        holder[name] = value
+        section[name] = value
     return json.dumps(content).encode()
 
 
 def run(scenario: Callable) -> None:
-    """Run a scenario beside a node that has started."""
+    """Run a scenario with a started node."""
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
             node = build_relay(SETTINGS)
             await start_relay(node, group)
             try:
-                with anyio.fail_after(LIMIT_S):
+                with anyio.fail_after(TIMEOUT_S):
                     await scenario(LoneNode(node))
             finally:
                 node.end()
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -1,4 +1,4 @@
-"""What the listener for announcements takes up, over its socket."""
+"""Messages that the listener for announcements accepts or rejects, over its socket."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 HEARTBEAT = "/instances/i-1/heartbeat"
 
 
-def refuse_all(*calls: tuple[str, bytes]) -> None:
-    """Send calls behind a heartbeat, each of which has to change nothing."""
+def check_all_rejected(*messages: tuple[str, bytes]) -> None:
+    """Send messages after a heartbeat; each must be rejected and change nothing."""
 
     async def scenario(lone: LoneNode) -> None:
         assert (await lone.announce()).status == 200
         before = lone.read_server_view()
-        for target, body in calls:
+        for target, body in messages:
             answer = await lone.post(target, body)
             assert 400 <= answer.status < 500, (target, body[:60])
             assert answer.body
@@ -33,24 +33,23 @@
     run(scenario)
 
 
-# A heartbeat that named another service, under another identity, took the node over:
-# it told other nodes that it serves that service and took nothing further from the
-# real server, whatever that said.
-def test_heartbeat_of_another_service_moves_nobody():
-    refuse_all(
+# A heartbeat of another service must not make the node announce that service and
+# reject the messages of its own server.
+def test_heartbeat_of_another_service_changes_nothing():
+    check_all_rejected(
         ("/instances/i-2/heartbeat", make_heartbeat(5, service="nobody")),
         ("/instances/i-1/heartbeat", make_heartbeat(5, service="nobody")),
     )
 
 
-def test_heartbeat_of_another_address_moves_nobody():
-    refuse_all(
+def test_heartbeat_of_another_address_changes_nothing():
+    check_all_rejected(
         ("/instances/i-2/heartbeat", make_heartbeat(5, address="127.0.0.9:8301")),
         ("/instances/i-2/heartbeat", make_heartbeat(5, address="127.0.0.9:1")),
     )
 
 
-def test_heartbeat_of_another_service_names_no_first_server():
+def test_first_heartbeat_of_another_service_is_rejected():
     async def scenario(lone: LoneNode) -> None:
         before = lone.read_server_view()
         assert (await lone.announce("i-2", service="nobody")).status == 421
@@ -63,10 +62,10 @@
     run(scenario)
 
 
-# An unknown state was taken as serving, slots of -5 or true and a state that was a
-# list were answered 200 and used up their sequence; infinite slots and a deep body 500.
-def test_heartbeat_that_cannot_be_read_changes_nothing():
-    refuse_all(
+# An invalid heartbeat must neither be acknowledged, nor use up its sequence, nor raise
+# an error in the listener.
+def test_invalid_heartbeat_changes_nothing():
+    check_all_rejected(
         (HEARTBEAT, make_heartbeat(9, state="napping")),
         (HEARTBEAT, make_heartbeat(9, state=[])),
         (HEARTBEAT, make_heartbeat(9, slots=-5)),
@@ -86,7 +85,7 @@
     )
 
 
-def test_answer_names_the_field():
+def test_answer_names_the_invalid_field():
     async def scenario(lone: LoneNode) -> None:
         answer = await lone.announce(slots="16")
         assert answer.body == (
@@ -101,11 +100,11 @@
     run(scenario)
 
 
-def test_settings_may_move_the_server_to_another_service():
+def test_changed_settings_allow_a_server_of_another_service():
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
         lone.change_settings(service="ledger")
-        # the settings alone move nothing: the server of before may still run
+        # the settings alone change nothing: the earlier server may still run
         assert lone.node.beliefs.server.service == "desk"
         assert (await lone.announce(sequence=2)).status == 421
         assert (await lone.announce("i-2", service="ledger")).status == 200
@@ -115,7 +114,7 @@
     run(scenario)
 
 
-def test_settings_are_looked_at_before_a_service_is_refused():
+def test_settings_are_reloaded_before_a_service_is_rejected():
     async def scenario(lone: LoneNode) -> None:
         lone.node.look_at_settings = lambda: lone.change_settings(service="ledger")
         assert (await lone.announce("i-2", service="ledger")).status == 200
@@ -123,9 +122,9 @@
     run(scenario)
 
 
-def test_refused_announcements_are_counted_and_told_once_for_each_cause():
+def test_rejected_announcements_are_counted_and_logged_once_per_cause():
     lines = []
-    sink = logger.add(lines.append, level="WARNING")
+    handler = logger.add(lines.append, level="WARNING")
 
     async def scenario(lone: LoneNode) -> None:
         for _ in range(3):
@@ -140,12 +139,12 @@
     try:
         run(scenario)
     finally:
-        logger.remove(sink)
+        logger.remove(handler)
     assert sum("not taken up" in line for line in lines) == 2
 
 
-# Bodies of up to 64 MB were gathered in memory before the first look at them.
-def test_very_long_body_is_refused_before_it_is_gathered():
+# A body that is too long must be rejected before it fills the memory.
+def test_very_long_body_is_rejected_before_it_is_buffered():
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
         before = lone.read_server_view()
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -1,4 +1,4 @@
-"""The pool of connections to a server that forgets idle ones."""
+"""The connection pool with a server that drops idle connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 HOST = f"{LOOPBACK_PREFIX}.3.1"
 REQUEST = b"GET /list/1 HTTP/1.1\r\ncontent-length: 0\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
-# a server of these tests drops a connection that was idle for so long
-FORGETS_AFTER_S = 0.1
+# idle timeout of the server in these tests
+SERVER_IDLE_TIMEOUT_S = 0.1
 
 
 @define(eq=False)
 class Server:
-    """Answers, but resets connections that were idle for longer than its limit."""
+    """A server that resets connections used after its idle timeout."""
 
     clock: object
     opened: int = 0
-    holds: bool = False
-    held: list[asyncio.Transport] = field(factory=list)
+    holding: bool = False
+    held_transports: list[asyncio.Transport] = field(factory=list)
     address: Address = field(init=False)
     _server: asyncio.Server = field(init=False)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Link(self), HOST, 0)
+        self._server = await loop.create_server(lambda: ServerProtocol(self), HOST, 0)
         self.address = Address(HOST, self._server.sockets[0].getsockname()[1])
 
     def end(self) -> None:
@@ -40,7 +40,7 @@
 
 
 @define(eq=False)
-class Link(asyncio.Protocol):
+class ServerProtocol(asyncio.Protocol):
     server: Server
     used_s: float | None = None
     transport: asyncio.Transport = field(init=False)
@@ -51,12 +51,12 @@
 
     def data_received(self, data: bytes) -> None:
         now_s = self.server.clock()
-        if self.used_s is not None and now_s - self.used_s > FORGETS_AFTER_S:
+        if self.used_s is not None and now_s - self.used_s > SERVER_IDLE_TIMEOUT_S:
             self.transport.abort()
             return
         self.used_s = now_s
-        if self.server.holds:
-            self.server.held.append(self.transport)
+        if self.server.holding:
+            self.server.held_transports.append(self.transport)
         else:
             self.transport.write(ANSWER)
 
@@ -95,10 +95,10 @@
     asyncio.run(main())
 
 
-def test_work_that_must_not_run_twice_goes_out_on_a_connection_in_recent_use():
+def test_non_idempotent_request_uses_a_recently_used_connection():
     async def scenario(setup: Setup) -> None:
         await setup.send(True)
-        setup.now_s += FORGETS_AFTER_S / 2
+        setup.now_s += SERVER_IDLE_TIMEOUT_S / 2
         assert isinstance(await setup.send(True), ClientAnswer)
         assert setup.server.opened == 1
         setup.now_s += MAX_FRESH_IDLE_S * 1.1
@@ -108,9 +108,9 @@
     run(scenario)
 
 
-def test_pool_learns_how_soon_a_server_forgets_connections():
+def test_pool_learns_the_idle_timeout_of_the_server():
     async def scenario(setup: Setup) -> None:
-        idle_s = FORGETS_AFTER_S * 1.5
+        idle_s = SERVER_IDLE_TIMEOUT_S * 1.5
         assert isinstance(await setup.send(False), ClientAnswer)
         setup.now_s += idle_s
         assert await setup.send(False) is Break.CLOSED
@@ -122,23 +122,23 @@
     run(scenario)
 
 
-def test_what_was_learned_is_forgotten_again():
+def test_learned_idle_timeout_expires():
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
-        setup.now_s += FORGETS_AFTER_S * 1.5
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 1.5
         assert await setup.send(False) is Break.CLOSED
         for _ in range(60):
             setup.pool.sweep()
         await setup.send(False)
         opened = setup.server.opened
-        setup.now_s += FORGETS_AFTER_S * 0.9
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         await setup.send(False)
         assert setup.server.opened == opened
 
     run(scenario)
 
 
-def test_break_of_a_connection_in_use_teaches_nothing():
+def test_reset_of_an_idle_connection_does_not_reduce_the_trusted_idle_time():
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
         setup.now_s += 0.01
@@ -149,46 +149,46 @@
         await anyio.sleep(0.05)
         await setup.send(False)
         opened = setup.server.opened
-        setup.now_s += FORGETS_AFTER_S * 0.9
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         await setup.send(True)
         assert setup.server.opened == opened
 
     run(scenario)
 
 
-def test_crash_during_a_run_teaches_nothing():
+def test_crash_during_a_run_does_not_reduce_the_trusted_idle_time():
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
-        setup.now_s += FORGETS_AFTER_S * 0.9
-        setup.server.holds = True
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
+        setup.server.holding = True
         async with anyio.create_task_group() as group:
             group.start_soon(setup.send, False)
-            while not setup.server.held:
+            while not setup.server.held_transports:
                 await anyio.sleep(0.01)
             setup.now_s += 1.0
-            setup.server.held[0].abort()
-        setup.server.holds = False
+            setup.server.held_transports[0].abort()
+        setup.server.holding = False
         await setup.send(False)
         opened = setup.server.opened
-        setup.now_s += FORGETS_AFTER_S * 0.9
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         await setup.send(False)
         assert setup.server.opened == opened
 
     run(scenario)
 
 
-def test_nothing_is_kept_of_a_server_that_has_started_again():
+def test_reset_discards_connections_and_the_learned_idle_timeout():
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
-        setup.now_s += FORGETS_AFTER_S * 1.5
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 1.5
         assert await setup.send(False) is Break.CLOSED
         await setup.send(False)
         opened = setup.server.opened
         setup.pool.reset()
         await setup.send(False)
         assert setup.server.opened == opened + 1
-        # idle connections are trusted again for longer than the earlier start did
-        setup.now_s += FORGETS_AFTER_S * 0.9
+        # the shorter idle time learned from the earlier start no longer applies
+        setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         assert isinstance(await setup.send(False), ClientAnswer)
         assert setup.server.opened == opened + 1
 
@@ -197,18 +197,18 @@
 
 def test_request_is_written_once_its_connection_is_open():
     async def scenario(setup: Setup) -> None:
-        setup.server.holds = True
+        setup.server.holding = True
         address = setup.server.address
         outcomes = []
-        sending = setup.pool.send(
+        pending = setup.pool.send(
             address, REQUEST, False, lambda _: True, outcomes.append
         )
-        assert not sending.is_written()
+        assert not pending.is_written()
         with anyio.fail_after(3):
-            while not setup.server.held:
+            while not setup.server.held_transports:
                 await anyio.sleep(0.01)
-        assert sending.is_written()
-        sending.cancel()
+        assert pending.is_written()
+        pending.cancel()
         assert outcomes == [Break.CANCELLED]
 
     run(scenario)
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -1,4 +1,4 @@
-"""Whole requests through nodes, links and servers, with faults from outside."""
+"""Requests through nodes, links and backend servers, with injected faults."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def run(scenario, *rules) -> None:
-    """Run a scenario on a deployment that begins with these rules."""
+    """Run a scenario on a deployment whose first configuration has these rules."""
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
@@ -67,9 +67,9 @@
     run(scenario, LIST)
 
 
-def test_request_for_the_head_alone_is_answered_without_a_body():
-    # Its answer announces a length and has no body. The node waited for that body
-    # until the deadline and answered 504, though the server had run the request.
+def test_head_request_is_answered_without_a_body():
+    # The node must not wait for the body that the announced length of the answer to a
+    # HEAD request suggests.
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -79,13 +79,13 @@
         assert b"content-length" not in dict(answer.headers)
         assert answer.body == b""
         assert back.server.runs == ["h1"]
-        # the next request is not given what belongs to the one before
+        # the next answer on the pooled connection is complete
         assert (await send_as_client(front, "/list/2")).body
 
     run(scenario, LIST)
 
 
-def test_unknown_route_and_no_configuration_are_told_apart():
+def test_unknown_route_and_missing_configuration_have_different_answers():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
         answer = await send_as_client(vm, "/list/1")
@@ -103,7 +103,7 @@
     run(scenario)
 
 
-def test_configuration_never_goes_back():
+def test_older_configuration_is_ignored():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
         await deployment.wait_until_connected()
@@ -118,7 +118,7 @@
     run(scenario, LIST)
 
 
-def test_other_nodes_hand_on_what_the_log_withholds():
+def test_nodes_forward_a_configuration_while_the_log_is_unavailable():
     async def scenario(deployment: Deployment) -> None:
         first = await deployment.add("list")
         await deployment.add("front")
@@ -135,7 +135,7 @@
     run(scenario, LIST)
 
 
-def test_read_is_sent_again_long_before_its_timeout_when_a_server_is_silent():
+def test_read_is_retried_long_before_its_timeout_when_a_server_is_silent():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         first = await deployment.add("list")
@@ -144,11 +144,11 @@
         for vm in (first, second):
             vm.server.answer = lambda exchange: None
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         group = deployment.group
 
         async def heal() -> None:
-            # the one that has not been asked answers again
+            # the server that has not received the request answers again
             while not first.server.runs and not second.server.runs:
                 await anyio.sleep(0.01)
             idle = second if first.server.runs else first
@@ -157,13 +157,13 @@
         group.start_soon(heal)
         answer = await send_as_client(front, "/list/1")
         assert answer.status == 200
-        assert loop.time() - begun_s < 0.6
+        assert loop.time() - started_s < 0.6
         assert len(first.server.runs + second.server.runs) == 2
 
     run(scenario, LIST)
 
 
-def test_work_that_must_not_run_twice_waits_for_a_silent_server():
+def test_non_idempotent_request_is_not_retried_when_a_server_is_silent():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         first = await deployment.add("list")
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("trouble", [Trouble.TURNED_AWAY, Trouble.RESET])
-def test_requests_go_on_while_the_log_is_away(trouble):
+def test_requests_are_answered_while_the_log_is_unavailable(trouble):
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         await deployment.add("list")
@@ -196,7 +196,7 @@
     run(scenario, LIST)
 
 
-def test_forgotten_history_is_read_anew():
+def test_log_is_read_from_the_start_after_it_lost_its_history():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
         await deployment.wait_until_connected()
@@ -212,7 +212,7 @@
     run(scenario, LIST)
 
 
-def test_draining_server_gets_nothing_after_its_heartbeat_is_acknowledged():
+def test_draining_server_gets_no_calls_after_its_heartbeat_is_acknowledged():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         leaving = await deployment.add("list")
@@ -228,7 +228,7 @@
     run(scenario, LIST)
 
 
-def test_failed_idempotent_request_is_repeated_elsewhere():
+def test_failed_idempotent_request_is_retried_on_another_server():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         servers = [await deployment.add("list", retry_slack=100.0) for _ in range(2)]
@@ -248,7 +248,7 @@
         lambda exchange: exchange.connection.transport.write(b"junk\r\n\r\n"),
     ],
 )
-def test_work_that_may_have_run_is_not_repeated(answer):
+def test_non_idempotent_request_that_may_have_run_is_not_retried(answer):
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         servers = [await deployment.add("list"), await deployment.add("list")]
@@ -262,7 +262,7 @@
     run(scenario, BOOK)
 
 
-def test_request_is_answered_at_its_time_out():
+def test_request_is_answered_at_its_timeout():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -277,7 +277,7 @@
     run(scenario, LIST)
 
 
-def test_request_of_a_client_that_left_is_cut_at_the_server():
+def test_request_of_a_disconnected_client_is_cancelled_at_the_server():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -327,7 +327,7 @@
     run(scenario, LIST)
 
 
-def test_wrong_incarnation_runs_nothing_and_is_corrected():
+def test_unexpected_incarnation_runs_nothing_and_is_corrected():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -343,11 +343,11 @@
     run(scenario, BOOK)
 
 
-# A server that starts again under its identity was taken for the earlier start: it
-# got no work when that one had said that it drains, and its calls were waited for.
+# A server that restarts under its identity must not inherit the draining of the earlier
+# start, and calls that ran on the earlier start must not be waited for.
 
 
-def test_server_that_starts_again_while_it_drains_gets_work_again():
+def test_draining_server_gets_calls_again_after_a_restart():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -363,13 +363,13 @@
     run(scenario, LIST)
 
 
-@pytest.mark.parametrize("cut", [True, False])
-def test_work_at_the_earlier_start_is_not_sent_to_the_later_one(cut):
+@pytest.mark.parametrize("disconnected", [True, False])
+def test_request_run_by_the_earlier_start_is_not_sent_to_the_later_one(disconnected):
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
         await deployment.wait_until_connected()
-        # without an answer from either start, it would end by its time-out, with 504
+        # neither start answers: without the restart, the request would end with 504
         back.server.answer = lambda exchange: None
         async with anyio.create_task_group() as group:
 
@@ -378,10 +378,10 @@
                     while not back.server.runs:
                         await anyio.sleep(0.01)
                 earlier.append(back.server)
-                if cut:
+                if disconnected:
                     await back.restart_server()
                 else:
-                    back.note_restart()
+                    back.mark_restarted()
                 await back.announce()
 
             earlier = []
@@ -390,15 +390,15 @@
         assert answer.status == 502
         assert earlier[0].runs == ["a1"]
         back.server.answer = None
-        again = await send_as_client(front, "/book/2", "POST")
-        assert again.status == 200
+        retried = await send_as_client(front, "/book/2", "POST")
+        assert retried.status == 200
         runs = earlier[0].runs if back.server is earlier[0] else back.server.runs
-        assert len(runs) == (1 if cut else 2)
+        assert len(runs) == (1 if disconnected else 2)
 
     run(scenario, BOOK)
 
 
-def test_other_nodes_forget_what_the_earlier_start_was_like():
+def test_other_nodes_discard_the_load_of_the_earlier_start():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -423,7 +423,7 @@
     run(scenario, BOOK)
 
 
-def test_node_that_starts_beside_a_server_that_has_started_again():
+def test_node_that_starts_after_its_server_restarted_learns_the_start():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -438,7 +438,7 @@
         await start_relay(back.node, deployment.group)
         server = back.node.beliefs.server
         with anyio.fail_after(3):
-            # by its health, which says no start
+            # the health check names the identity without the start
             while server.incarnation is None:
                 await anyio.sleep(0.01)
         assert server.incarnation.started_ms == UNKNOWN_START
@@ -452,7 +452,7 @@
     run(scenario, LIST)
 
 
-def test_call_that_must_not_run_twice_survives_a_broken_link():
+def test_non_idempotent_call_survives_a_broken_link():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -477,7 +477,7 @@
     run(scenario, BOOK)
 
 
-def test_record_that_is_none_leaves_the_others():
+def test_invalid_record_does_not_affect_the_others():
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
         await deployment.wait_until_connected()
@@ -490,7 +490,7 @@
     run(scenario, LIST)
 
 
-def test_node_that_starts_alone_knows_what_was_learned():
+def test_new_node_reads_the_learned_calls_from_the_log():
     async def scenario(deployment: Deployment) -> None:
         first = await deployment.add("list")
         await deployment.wait_until_connected()
@@ -508,7 +508,7 @@
     run(scenario, LIST, BOOK)
 
 
-def test_stopping_node_answers_what_it_has_taken():
+def test_stopping_node_answers_accepted_requests():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -532,24 +532,24 @@
     run(scenario, LIST)
 
 
-def test_server_of_a_stopping_node_serves_other_nodes_until_the_clients_are_gone():
+def test_server_of_a_stopping_node_serves_other_nodes_until_its_clients_stop():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
         await deployment.wait_until_connected()
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
+        started_s = loop.time()
         deployment.group.start_soon(stop_relay, back.node)
         deployment.vms.remove(back)
         served_s = 0.0
         while back.node.inbound.accepting:
             answer = await send_as_client(front, "/list/1")
             if answer.status == 200:
-                served_s = loop.time() - begun_s
+                served_s = loop.time() - started_s
             await anyio.sleep(0.05)
         assert CLIENTS_GONE_S - 2 * PEERS_GONE_S < served_s < CLIENTS_GONE_S
         await anyio.sleep(0.1)
-        # from here on it takes nothing, and that is known before anything is sent
+        # the node accepts no more calls, and other nodes know this before sending any
         runs = len(back.server.runs)
         assert (await send_as_client(front, "/list/1")).status == 503
         assert len(back.server.runs) == runs
@@ -559,7 +559,7 @@
     run(scenario, LIST)
 
 
-def test_node_that_starts_while_the_log_is_away_is_told_by_the_others():
+def test_node_that_starts_without_the_log_gets_the_configuration_from_others():
     async def scenario(deployment: Deployment) -> None:
         await deployment.add("list")
         late = await deployment.add("list")
@@ -568,19 +568,19 @@
         late.node.end()
         deployment.vms.pop()
         await anyio.sleep(0.05)
-        again = build_relay(late.settings)
-        await start_relay(again, deployment.group)
-        again.beliefs.server.apply_answer_identity(late.server.incarnation)
+        restarted = build_relay(late.settings)
+        await start_relay(restarted, deployment.group)
+        restarted.beliefs.server.apply_answer_identity(late.server.incarnation)
         with anyio.fail_after(5):
-            while not again.is_ready():
+            while not restarted.is_ready():
                 await anyio.sleep(0.02)
-        again.end()
+        restarted.end()
         late.server.listener.end()
 
     run(scenario, LIST)
 
 
-def test_request_to_a_node_without_a_link_opens_it():
+def test_request_to_a_node_without_a_link_opens_one():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -594,7 +594,7 @@
     run(scenario, LIST)
 
 
-def test_requests_leave_nothing_to_the_collector():
+def test_requests_create_no_reference_cycles():
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         back = await deployment.add("list")
@@ -620,12 +620,12 @@
                     del connection
             await anyio.sleep(0.1)
             gc.collect()
-            left = {type(one).__name__ for one in gc.garbage}
+            uncollected = {type(garbage).__name__ for garbage in gc.garbage}
         finally:
             gc.set_debug(0)
             gc.garbage.clear()
             gc.enable()
-        assert not left & {
+        assert not uncollected & {
             "Flow",
             "Job",
             "Call",
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, as its own process, with stand-ins around it."""
+"""The program as a separate process, with stand-ins for the log and the server."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 [platform]
 address = "{HOST}:8309"
 """
-START_LIMIT_S = 10.0
+START_TIMEOUT_S = 10.0
 
 
 def start(path: Path) -> subprocess.Popen[bytes]:
@@ -67,8 +67,8 @@
         await server.start(HOST, 8301)
         process = start(path)
         try:
-            with anyio.fail_after(START_LIMIT_S):
-                while await ask_ready() != 200:
+            with anyio.fail_after(START_TIMEOUT_S):
+                while await read_ready_status() != 200:
                     await anyio.sleep(0.05)
             await scenario(server, process)
         finally:
@@ -81,7 +81,7 @@
     anyio.run(main, backend_options={"use_uvloop": True})
 
 
-async def ask_ready() -> int:
+async def read_ready_status() -> int:
     try:
         connection = await connect(Address(HOST, 8302))
     except OSError:
@@ -111,25 +111,25 @@
         metrics.close()
         command = [sys.executable, "-m", "eelgrassmount", "status"]
         command += ["--relay", f"{HOST}:9464"]
-        told = await anyio.run_process([*command, "--json"], cwd=ROOT)
-        state = json.loads(told.stdout)
+        result = await anyio.run_process([*command, "--json"], cwd=ROOT)
+        state = json.loads(result.stdout)
         assert state["version"] == 1
         assert state["ready"]
         assert state["server"]["refusal"] == ""
         assert state["lost_topics"] == []
         assert state["allowances"].keys() == {"shop.example/list/"}
-        told = await anyio.run_process(command, cwd=ROOT)
-        assert b"takes work" in told.stdout
-        assert b"list" in told.stdout
+        result = await anyio.run_process(command, cwd=ROOT)
+        assert b"takes work" in result.stdout
+        assert b"list" in result.stdout
         settings.write_text(SETTINGS.replace("graceS=4", "graceS=5"))
         process.send_signal(signal.SIGHUP)
         answer = await send(connection, make_request("GET", "/list/1"))
         assert answer.status == 200
         process.send_signal(signal.SIGTERM)
         with anyio.fail_after(2):
-            while await ask_ready() != 503:
+            while await read_ready_status() != 503:
                 await anyio.sleep(0.01)
-        # clients go on using their connections until they are told to close
+        # clients keep using their connections until an answer closes them
         answer = await send(connection, make_request("GET", "/list/2"))
         assert answer.status in (200, 503)
         assert dict(answer.headers)[b"connection"] == b"close"
@@ -152,7 +152,7 @@
     run(settings, scenario)
 
 
-def test_wrong_settings_end_the_program_with_one_line(tmp_path):
+def test_invalid_settings_end_the_program_with_one_error_line(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text(SETTINGS.replace('zone = "a"', ""))
     process = start(path)
@@ -161,7 +161,7 @@
     assert errors.decode().strip().splitlines()[-1].startswith("zone: ")
 
 
-def test_every_way_to_start_the_program_knows_the_command(tmp_path):
+def test_main_function_knows_the_relay_command(tmp_path):
     code = "import sys; from eelgrassmount.cmd.main import main; sys.exit(main())"
     environment = {**os.environ, "EELGRASSMOUNT_NODE_FILE": str(tmp_path / "none")}
     result = subprocess.run(
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a node runs."""
+"""Reloading of the settings file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from eelgrassmount.relay.reload import SettingsWatch
 
 
-def test_file_is_read_again_only_when_it_has_changed(tmp_path):
+def test_file_is_reloaded_only_when_it_has_changed(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text("a")
     applied = []
@@ -19,7 +19,7 @@
     assert applied == ["bb"]
 
 
-def test_wrong_or_missing_file_changes_nothing(tmp_path):
+def test_invalid_or_missing_file_changes_nothing(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text("a")
     applied = []
--- a/tests/relay/test_stalls.py
+++ b/tests/relay/test_stalls.py
@@ -1,4 +1,4 @@
-"""Pauses of the event loop, and what the lines say of their cause."""
+"""Stalls of the event loop and the causes that their log lines show."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Process:
-    """A process whose clocks the test moves on."""
+    """A process whose clocks the test advances."""
 
     def __init__(self):
         self.times = ProcessTimes(100.0, 200.0, 5.0, 7)
@@ -33,7 +33,7 @@
             0.1, lambda: self.times, self.slowest.take, self.counted.append
         )
 
-    def pass_time(self, steady_s, cpu_s=0.0, suspended_s=0.0, switches=0):
+    def advance(self, steady_s, cpu_s=0.0, suspended_s=0.0, switches=0):
         times = self.times
         self.times = ProcessTimes(
             times.steady_s + steady_s,
@@ -44,11 +44,11 @@
         self.watch.check()
 
 
-def test_node_that_works_too_long_names_the_action(lines):
+def test_busy_node_logs_the_slowest_action(lines):
     process = Process()
     process.slowest.note(lines.append, 0.02)
-    process.slowest.note(Process.pass_time, 0.9)
-    process.pass_time(1.1, cpu_s=1.05)
+    process.slowest.note(Process.advance, 0.9)
+    process.advance(1.1, cpu_s=1.05)
     assert lines == [
         {
             "message": "node stalled",
@@ -56,49 +56,49 @@
             "suspended_s": 0.0,
             "cpu_s": 1.05,
             "switches": 0,
-            "action": "Process.pass_time",
+            "action": "Process.advance",
             "action_s": 0.9,
         }
     ]
 
 
-def test_vm_that_stands_still_shows_no_work(lines):
+def test_paused_vm_shows_no_processor_time(lines):
     process = Process()
-    process.pass_time(1.1, switches=12)
+    process.advance(1.1, switches=12)
     assert (lines[0]["stalled_s"], lines[0]["cpu_s"]) == (1.0, 0.0)
     assert lines[0]["switches"] == 12
 
 
-def test_suspension_shows_though_the_steady_clock_did_not_count_it(lines):
+def test_suspension_is_logged_although_the_steady_clock_excludes_it(lines):
     process = Process()
-    process.pass_time(0.1, suspended_s=3.0)
+    process.advance(0.1, suspended_s=3.0)
     assert (lines[0]["stalled_s"], lines[0]["suspended_s"]) == (0.0, 3.0)
 
 
-def test_suspension_just_before_a_look_counts_no_time_of_its_own():
-    # The looks were 98 ms apart by the steady clock, and the counter, which can't go
-    # back, was told of -2 ms: the check ended with an exception and wrote no line.
+def test_suspension_before_an_early_check_counts_no_negative_stall():
+    # A check slightly before its period must not count a negative stall: the counter
+    # raises an exception on that, and no line is logged.
     process = Process()
-    process.pass_time(0.098, suspended_s=3.0)
+    process.advance(0.098, suspended_s=3.0)
     assert process.counted == [0.0]
 
 
-def test_short_pauses_are_no_stalls(lines):
+def test_short_pauses_are_ignored(lines):
     process = Process()
-    process.pass_time(0.25)
+    process.advance(0.25)
     assert lines == []
     assert process.counted == []
 
 
-def test_lines_are_bounded_and_the_counter_is_complete(lines):
+def test_log_lines_are_limited_and_the_counter_is_complete(lines):
     process = Process()
     for _ in range(10):
-        process.pass_time(0.4)
+        process.advance(0.4)
     assert len(process.counted) == 10
     assert len(lines) == 4
 
 
-def test_slowest_action_begins_anew_when_taken():
+def test_slowest_action_is_reset_when_taken():
     slowest = SlowestAction()
     slowest.note(slowest.take, 0.3)
     assert slowest.take() == ("SlowestAction.take", 0.3)
--- a/tests/relay/test_status.py
+++ b/tests/relay/test_status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself to people and programs that ask."""
+"""The status of a node and its display by the status command."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from attrs import asdict, evolve
 
-from eelgrassmount.cmd import status as module
+from eelgrassmount.cmd import status as status_command
 from eelgrassmount.cmd.action import ExitCode
 from eelgrassmount.cmd.main import main
 from eelgrassmount.compose.relay import build_relay
@@ -27,19 +27,21 @@
 
 @pytest.fixture
 def show(node, monkeypatch, capsys):
-    def run(*words: str) -> str:
+    def run(*arguments: str) -> str:
         state = json.loads(json.dumps(asdict(collect_status(node))))
-        monkeypatch.setattr(module, "read_admin", lambda address, path: state)
-        assert main(["status", "--relay", "127.77.5.1:9464", *words]) == ExitCode.DONE
+        monkeypatch.setattr(status_command, "read_admin", lambda address, path: state)
+        assert (
+            main(["status", "--relay", "127.77.5.1:9464", *arguments]) == ExitCode.DONE
+        )
         return capsys.readouterr().out
 
     return run
 
 
-# Two starts of a server under one identity looked the same in the status.
+# Restarts of a server under one identity must be distinguishable in the status.
 
 
-def test_status_names_the_start_of_the_server(node, show):
+def test_status_shows_the_start_of_the_server(node, show):
     node.beliefs.server.apply_heartbeat(
         Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=1)
     )
@@ -48,14 +50,14 @@
     assert (server["incarnation"], server["started_ms"]) == ("i1", STARTED_MS)
 
 
-def test_status_says_when_the_start_or_the_server_is_not_known(node, show):
+def test_status_shows_that_the_server_or_its_start_is_unknown(node, show):
     assert "server         not known, no work: server-starting" in show()
     assert json.loads(show("--json"))["server"]["started_ms"] == 0
     node.beliefs.server.apply_answer_identity("i1")
     assert "i1, start not known, takes work" in show()
 
 
-def test_status_says_from_whom_the_log_is_heard(node, show):
+def test_status_lists_the_nodes_that_forward_the_log(node, show):
     node.put_own()
     assert "log            heard from nobody" in show()
     reader = Subscription(heard_s=node.beliefs.clock(), reads=True)
--- a/tests/relay/virtual.py
+++ b/tests/relay/virtual.py
@@ -1,7 +1,7 @@
-"""An event loop whose time jumps to the next timer, and a network within it.
+"""An event loop with virtual time and a simulated network.
 
-Whole nodes run on it without sockets and without waiting. Random numbers come from a
-seed; only the order of sets of names differs from run to run.
+Time jumps to the next timer, so whole nodes run without sockets and without waiting.
+Random numbers are seeded; only the iteration order of sets differs between runs.
 """
 
 from __future__ import annotations
@@ -22,174 +22,176 @@
     from collections.abc import Awaitable, Callable
 
 LATENCY_S = 0.001
-# what one turn of a loop takes: without it, time would stand still for callbacks that
-# ask for the next turn again and again
-TURN_S = 0.00001
-# the system finds out so long after it that nothing comes through any more
-KEEP_ALIVE_S = 4.0
+# time of one loop iteration; without it, time would never advance while callbacks
+# schedule each other for the next iteration
+ITERATION_S = 0.00001
+# TCP keep-alive: a connection without traffic is reset after this time
+KEEP_ALIVE_TIMEOUT_S = 4.0
 CLOSED = b""
 
 SocketAddress = tuple[str, int]
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Lets time pass instead of waiting for it."""
+class VirtualSelector(selectors.SelectSelector):
+    """Advances the virtual time instead of waiting."""
 
     loop: VirtualLoop
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return what is ready now."""
+        """Advance the time to the next timer and return the ready files."""
         if timeout is None:
-            raise RuntimeError("nothing will ever happen")
-        self.loop.now_s += max(TURN_S, timeout)
+            raise RuntimeError("the loop has no timers and would wait forever")
+        self.loop.now_s += max(ITERATION_S, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Has its own time and its own network."""
+    """An event loop with virtual time and a virtual network."""
 
     def __init__(self) -> None:
-        selector = JumpingSelector()
+        selector = VirtualSelector()
         selector.loop = self
         self.now_s = 1000.0
         self.network = Network(self)
         super().__init__(selector)
 
     def time(self) -> float:
-        """Return the present time in seconds."""
+        """Return the virtual time in seconds."""
         return self.now_s
 
     async def create_server(
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int, **_: Any
     ) -> Listener:
-        """Take connections at an address."""
+        """Accept connections at an address."""
         listener = Listener(self.network, (host, port), factory)
-        self.network.listeners[listener.place] = listener
+        self.network.listeners[listener.address] = listener
         return listener
 
     async def create_connection(
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int, **_: Any
-    ) -> tuple[End, asyncio.Protocol]:
-        """Connect to an address as soon as its system accepts."""
+    ) -> tuple[VirtualTransport, asyncio.Protocol]:
+        """Connect to an address after the network latency."""
         await asyncio.sleep(LATENCY_S)
         protocol = factory()
         return self.network.connect(protocol, (host, port)), protocol
 
 
 class Listener:
-    """Takes connections."""
+    """A listening socket."""
 
     def __init__(
         self,
         network: Network,
-        place: SocketAddress,
+        address: SocketAddress,
         factory: Callable[[], asyncio.Protocol],
     ):
         self.network = network
-        self.place = place
+        self.address = address
         self.factory = factory
 
     def close(self) -> None:
         """Refuse further connections."""
-        if self.network.listeners.get(self.place) is self:
-            del self.network.listeners[self.place]
+        if self.network.listeners.get(self.address) is self:
+            del self.network.listeners[self.address]
 
 
 class Network:
-    """Carries bytes, with faults at the addresses of listeners.
+    """Transfers bytes between connections, with faults by listener address.
 
-    At a place that stands still the system takes connections and bytes, and the
-    program hears and says nothing until it goes on.
+    At a paused address the kernel still accepts connections and buffers bytes, but the
+    program reads nothing until it is resumed.
     """
 
     def __init__(self, loop: VirtualLoop):
         self.loop = loop
         self.listeners: dict[SocketAddress, Listener] = {}
-        self.standing: set[SocketAddress] = set()
+        self.paused: set[SocketAddress] = set()
         self.links: list[Link] = []
 
-    def connect(self, protocol: asyncio.Protocol, place: SocketAddress) -> End:
-        """Join a protocol to a new one of the listener."""
-        listener = self.listeners.get(place)
+    def connect(
+        self, protocol: asyncio.Protocol, address: SocketAddress
+    ) -> VirtualTransport:
+        """Connect a protocol to the listener at an address."""
+        listener = self.listeners.get(address)
         if listener is None:
-            raise ConnectionRefusedError(errno.ECONNREFUSED, f"refused by {place}")
-        link = Link(self, place, protocol)
+            raise ConnectionRefusedError(errno.ECONNREFUSED, f"refused by {address}")
+        link = Link(self, address, protocol)
         self.links.append(link)
-        link.client_end.begin(protocol)
-        if place not in self.standing:
+        link.client_end.attach(protocol)
+        if address not in self.paused:
             link.accept()
         return link.client_end
 
-    def list_open(self, place: SocketAddress) -> list[Link]:
-        """Return the connections to a place."""
-        self.links = [one for one in self.links if not one.is_over()]
-        return [one for one in self.links if one.place == place]
+    def list_open(self, address: SocketAddress) -> list[Link]:
+        """Return the open connections to an address."""
+        self.links = [link for link in self.links if not link.is_closed()]
+        return [link for link in self.links if link.address == address]
 
-    def pause(self, place: SocketAddress) -> None:
-        """Let the program at a place do nothing."""
-        self.standing.add(place)
+    def pause(self, address: SocketAddress) -> None:
+        """Stop the program at an address from reading and accepting."""
+        self.paused.add(address)
 
-    def resume(self, place: SocketAddress) -> None:
-        """Let it do at once all that has waited."""
-        self.standing.discard(place)
-        for link in self.list_open(place):
+    def resume(self, address: SocketAddress) -> None:
+        """Let a paused program process everything that was buffered."""
+        self.paused.discard(address)
+        for link in self.list_open(address):
             link.accept()
             link.client_end.drain()
             link.server_end.drain()
 
-    def mute(self, place: SocketAddress) -> None:
-        """Lose all that goes over the open connections, which are not reset."""
-        for link in self.list_open(place):
+    def mute(self, address: SocketAddress) -> None:
+        """Drop all traffic on the open connections until keep-alive resets them."""
+        for link in self.list_open(address):
             link.mute = True
-            self.loop.call_later(KEEP_ALIVE_S, link.reset)
+            self.loop.call_later(KEEP_ALIVE_TIMEOUT_S, link.reset)
 
-    def reset(self, place: SocketAddress) -> None:
+    def reset(self, address: SocketAddress) -> None:
         """Reset the open connections at both ends."""
-        for link in self.list_open(place):
+        for link in self.list_open(address):
             link.reset()
 
 
 class Link:
-    """One connection."""
+    """A connection between two transports."""
 
     def __init__(
-        self, network: Network, place: SocketAddress, protocol: asyncio.Protocol
+        self, network: Network, address: SocketAddress, protocol: asyncio.Protocol
     ):
         self.network = network
-        self.place = place
+        self.address = address
         self.mute = False
         self.accepted = False
-        self.client_end = End(self)
-        self.server_end = End(self)
+        self.client_end = VirtualTransport(self)
+        self.server_end = VirtualTransport(self)
         self.client_end.other = self.server_end
         self.server_end.other = self.client_end
 
     def accept(self) -> None:
-        """Let the listener's program take the connection, once."""
-        listener = self.network.listeners.get(self.place)
+        """Hand the connection to the listener's protocol, once."""
+        listener = self.network.listeners.get(self.address)
         if not self.accepted and listener is not None:
             self.accepted = True
-            self.server_end.begin(listener.factory())
+            self.server_end.attach(listener.factory())
             self.server_end.drain()
 
     def reset(self) -> None:
-        """Let both systems reset the connection."""
+        """Reset the connection at both ends."""
         self.client_end.reset()
         self.server_end.reset()
 
-    def is_held(self) -> bool:
-        """Tell whether nothing is read now."""
-        return self.place in self.network.standing
+    def is_paused(self) -> bool:
+        """Return whether the programs of the connection are paused."""
+        return self.address in self.network.paused
 
-    def is_over(self) -> bool:
-        """Tell whether both ends are gone."""
+    def is_closed(self) -> bool:
+        """Return whether both ends are closed."""
         return self.client_end.closing and self.server_end.closing
 
 
-class End:
-    """The transport of one end."""
+class VirtualTransport:
+    """The transport of one end of a connection."""
 
-    other: End
+    other: VirtualTransport
 
     def __init__(self, link: Link):
         self.link = link
@@ -199,78 +201,78 @@
         self.reading = True
         self.inbox: deque[bytes] = deque()
 
-    def begin(self, protocol: asyncio.Protocol) -> None:
-        """Hand the connection to its protocol."""
+    def attach(self, protocol: asyncio.Protocol) -> None:
+        """Connect the protocol to this transport."""
         self.protocol = protocol
         protocol.connection_made(self)
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes to the other end."""
         if not self.closing and not self.link.mute:
             self.other.inbox.append(bytes(data))
             self.loop.call_later(LATENCY_S, self.other.drain)
 
     def drain(self) -> None:
-        """Read what has come, unless the program stands still."""
+        """Deliver received bytes to the protocol, unless reading is paused."""
         while self.inbox and self._may_read():
             data = self.inbox.popleft()
             if data == CLOSED:
-                self._end()
+                self._mark_closed()
             else:
                 self.protocol.data_received(data)
 
     def _may_read(self) -> bool:
-        waits = self.protocol is None or self.link.is_held() or not self.reading
-        return not (waits or self.closing)
+        waiting = self.protocol is None or self.link.is_paused() or not self.reading
+        return not (waiting or self.closing)
 
     def close(self) -> None:
-        """End the connection after what was written."""
+        """Close the connection after the bytes already written."""
         self.write(CLOSED)
-        self._end()
+        self._mark_closed()
 
     def abort(self) -> None:
-        """Reset the connection: the other end loses what it has not read."""
+        """Reset the connection and discard what the other end has not read."""
         if not self.closing and not self.link.mute:
             self.other.inbox.clear()
             self.other.inbox.append(CLOSED)
             self.loop.call_later(LATENCY_S, self.other.drain)
-        self._end()
+        self._mark_closed()
 
     def reset(self) -> None:
-        """Tell the program of a reset by the network."""
+        """Discard unread bytes and report the connection as lost."""
         self.inbox.clear()
         self.inbox.append(CLOSED)
         self.drain()
 
-    def _end(self) -> None:
+    def _mark_closed(self) -> None:
         if not self.closing:
             self.closing = True
             if self.protocol is not None:
                 self.loop.call_soon(self.protocol.connection_lost, None)
 
     def is_closing(self) -> bool:
-        """Tell whether the connection ends."""
+        """Return whether the connection is closing."""
         return self.closing
 
     def pause_reading(self) -> None:
-        """Read nothing for now."""
+        """Pause the delivery of bytes."""
         self.reading = False
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume the delivery of bytes."""
         self.reading = True
         self.loop.call_soon(self.drain)
 
     def get_extra_info(self, name: str) -> None:
-        """Return nothing: there is no socket."""
+        """Return ``None``: there is no socket."""
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes wait to be sent: none."""
+        """Return 0: nothing is buffered."""
         return 0
 
 
 def run_virtually(main: Callable[[Network], Awaitable[None]], seed: int = 0) -> None:
-    """Run a test on a loop and a network of its own."""
+    """Run a test on a new virtual loop and network."""
     loops: list[VirtualLoop] = []
     rng = random.Random(seed)
 
