--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -182,18 +182,18 @@
                 await anyio.sleep(0.02)
 
     def _is_connected(self, vm: Vm) -> bool:
-        beliefs = vm.node.beliefs
+        state = vm.node.beliefs
         called_services = {
             target.service
-            for route in beliefs.table.routes.values()
+            for route in state.table.routes.values()
             for target in route.targets
         }
         linked = all(
             member.is_connected()
-            for member in beliefs.members.by_name.values()
-            if member.name != beliefs.name and member.service in called_services
+            for member in state.members.by_name.values()
+            if member.name != state.name and member.service in called_services
         )
-        all_known = len(beliefs.members.by_name) == len(self.vms)
+        all_known = len(state.members.by_name) == len(self.vms)
         return vm.node.is_ready() and all_known and linked
 
 
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -57,9 +57,9 @@
 
     def read_server_view(self) -> tuple[Any, ...]:
         """Return the node's state of the server, and what it reports to other nodes."""
-        beliefs = self.node.beliefs
-        server = beliefs.server
-        local = beliefs.members.by_name[SETTINGS.name]
+        state = self.node.beliefs
+        server = state.server
+        local = state.members.by_name[SETTINGS.name]
         return (
             server.service,
             str(server.incarnation),
@@ -68,7 +68,7 @@
             server.left,
             server.slots,
             local.service,
-            beliefs.make_hello().service_name,
+            state.make_hello().service_name,
         )
 
     def change_settings(self, **changes: Any) -> None:
