--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -13,27 +13,27 @@
 from eelgrassmount.platform.store import StoreClient
 from eelgrassmount.platform.topics import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
-from eelgrassmount.relay.admitted_fractions import ServiceLevels
+from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.budget import RetryBudget
-from eelgrassmount.relay.call_attribution import Lineage
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
-from eelgrassmount.relay.dispatcher import Gate
-from eelgrassmount.relay.inbound import Inbound
-from eelgrassmount.relay.ingress import Entry
+from eelgrassmount.relay.dispatcher import Dispatcher
+from eelgrassmount.relay.inbound import InboundLinks
+from eelgrassmount.relay.ingress import Ingress
 from eelgrassmount.relay.learning import make_tally
-from eelgrassmount.relay.link import LinkEvents
-from eelgrassmount.relay.links import LinkKeeper
+from eelgrassmount.relay.link import LinkHandlers
+from eelgrassmount.relay.links import LinkManager
 from eelgrassmount.relay.members import MemberTable
 from eelgrassmount.relay.metrics import RelayMetrics
-from eelgrassmount.relay.peer_updates import News
-from eelgrassmount.relay.rejected_messages import RefusedMessages
-from eelgrassmount.relay.responder import Answering
+from eelgrassmount.relay.peer_updates import PeerUpdates
+from eelgrassmount.relay.rejected_messages import RejectedMessages
+from eelgrassmount.relay.responder import Responder
 from eelgrassmount.relay.routing import Router
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.relay.server import LocalServer
-from eelgrassmount.relay.shared_state import Beliefs
+from eelgrassmount.relay.shared_state import SharedState
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.teams.exchange import QuotaExchange, call_later
 from eelgrassmount.timers import MonotonicClock, TimerService
@@ -60,13 +60,13 @@
     server = LocalServer(
         settings.service,
         settings.server_address,
-        on_restart=lambda ended, begun: gate.restart(
-            ended, begun.find_begin(clock(), time.time())
+        on_restart=lambda ended, begun: dispatcher.handle_restart(
+            ended, begun.compute_start_s(clock(), time.time())
         ),
     )
     members = MemberTable()
     graph = CallGraph()
-    beliefs = Beliefs(
+    beliefs = SharedState(
         settings.name,
         incarnation,
         str(settings.peer_address),
@@ -77,29 +77,31 @@
         clock,
         rng,
     )
-    lineage = Lineage(clock, graph.may_call, graph.count_runs, rng, beliefs.completed)
+    lineage = CallAttributor(
+        clock, graph.may_call, graph.count_runs, rng, beliefs.completed
+    )
 
     learned_jobs: set[Job] = set()
 
     def note_begin(job: Job) -> None:
         # with keys, calls are counted by their runs
-        if not beliefs.knows_clients():
+        if not beliefs.identifies_clients():
             learned_jobs.add(job)
-            beliefs.learner.begin(job.call.route.name)
-        lineage.begin(job, job.call, job.given_s)
+            beliefs.learner.start_run(job.call.route.name)
+        lineage.start_run(job, job.call, job.timeout_s)
 
     def note_end(job: Job, well: bool) -> None:
         if job in learned_jobs:
             learned_jobs.remove(job)
-            beliefs.learner.end(job.call.route.name)
-        lineage.end(job, well)
+            beliefs.learner.finish_run(job.call.route.name)
+        lineage.finish_run(job, well)
 
     pool = BackendPool(
         clock,
         lambda answer: DIALECT.read_idle_limit(answer.headers),
         metrics.connections.inc,
     )
-    gate = Gate(
+    dispatcher = Dispatcher(
         server,
         pool,
         DIALECT,
@@ -113,25 +115,25 @@
             lambda: len(members.list_service(server.service)),
             rng,
         ),
-        ends_chain=lambda name: not graph.vectors.get(name),
-        find_allowance=beliefs.find_allowance,
-        find_call_limit=beliefs.find_call_limit,
-        on_begin=note_begin,
-        on_end=note_end,
-        is_lost_below=lineage.is_lost,
+        is_leaf=lambda name: not graph.calls_per_run.get(name),
+        find_time_allowance=beliefs.find_allowance,
+        find_call_timeout=beliefs.find_call_limit,
+        on_run_start=note_begin,
+        on_run_end=note_end,
+        has_lost_call=lineage.has_lost_call,
         claim_loss=lineage.claim_loss,
-        on_crash=lambda ended, jobs: news.note_crash(ended, jobs),
+        on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
         call_later=call_later,
     )
-    inbound = Inbound(
+    inbound = InboundLinks(
         incarnation,
-        gate,
+        dispatcher,
         clock,
         beliefs.find_route,
         beliefs.make_hello,
-        lambda hello: news.note_caller(hello),
-        lambda kind, struct, send: news.take_frame(kind, struct, send),
+        lambda hello: news.register_caller(hello),
+        lambda kind, struct, send: news.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
         beliefs,
@@ -139,13 +141,13 @@
         [],
         lambda member: links.open_link(member),
         lambda records: node.take_nodes(records),
-        lambda: make_tally(beliefs, admission.rates),
+        lambda: make_tally(beliefs, admission.request_rates),
     )
-    news = News(
+    news = PeerUpdates(
         beliefs,
         quarantine,
         lambda document: node.apply_document(document),
-        inbound.tell_all,
+        inbound.broadcast,
         readers,
         lambda kind, struct, send: quotas.take_frame(kind, struct, send),
     )
@@ -158,33 +160,37 @@
     )
     admission = Admission(
         graph,
-        beliefs.find_level,
-        lambda: beliefs.outlook.offered,
+        beliefs.get_admitted_fraction,
+        lambda: beliefs.cluster_counts.offered,
         lambda name: name in beliefs.client_routes,
         rng,
     )
-    events = LinkEvents(
+    events = LinkHandlers(
         beliefs.make_hello,
-        news.note_hello,
-        news.note_report,
-        news.take_frame,
+        news.handle_hello,
+        news.handle_report,
+        news.handle_frame,
     )
-    links = LinkKeeper(beliefs, events)
+    links = LinkManager(beliefs, events)
     controllers = Controllers(
-        beliefs, gate, inbound, ServiceLevels(beliefs).update, admission.update
+        beliefs,
+        dispatcher,
+        inbound,
+        AdmittedFractions(beliefs).update,
+        admission.update,
     )
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
         Router(members, settings.failure_domain, clock, rng, beliefs.find_allowance),
-        gate,
+        dispatcher,
         admission,
         decisions,
         metrics,
         clock,
         links.open_link,
     )
-    answers = Answering(
+    answers = Responder(
         DIALECT,
         sender,
         admission,
@@ -196,7 +202,7 @@
         quotas.taker.give_back,
     )
     sender.answers = answers
-    entry = Entry(
+    ingress = Ingress(
         lambda: server.service,
         DIALECT,
         answers,
@@ -204,10 +210,10 @@
         quarantine,
         clock,
         rng,
-        graph.is_called,
+        graph.is_called_by_servers,
         lambda name: name in beliefs.client_routes,
-        beliefs.note_call,
-        beliefs.note_client,
+        beliefs.record_call,
+        beliefs.record_client_request,
         lineage,
         readers.is_current,
         quotas.taker,
@@ -217,9 +223,9 @@
     node = RelayNode(
         settings,
         beliefs,
-        gate,
+        dispatcher,
         inbound,
-        entry,
+        ingress,
         admission,
         controllers,
         links,
@@ -228,11 +234,11 @@
         metrics,
         StoreClient(settings.log_address, readers.eras),
         TimerService(MonotonicClock(), rng, grid_s=TIMER_GRID_S),
-        HttpListener(entry.handle, clock),
+        HttpListener(ingress.handle, clock),
         learned,
         readers,
         quotas,
         rng,
-        RefusedMessages(clock, metrics.count_refused),
+        RejectedMessages(clock, metrics.count_refused),
     )
     return node
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -21,14 +21,14 @@
     LEARNED_KEY,
     NODES_TOPIC,
 )
-from eelgrassmount.policy.admission_controller import STEP_S
+from eelgrassmount.policy.admission_controller import CONTROL_INTERVAL_S
 from eelgrassmount.relay.announcements import AnnouncementListener
 from eelgrassmount.relay.frames import encode_struct
-from eelgrassmount.relay.learning import apply_vectors, count_calls
-from eelgrassmount.relay.reload import WATCH_PERIOD_S, SettingsWatch
-from eelgrassmount.relay.shutdown import Stopping
+from eelgrassmount.relay.learning import update_call_graph, update_request_counts
+from eelgrassmount.relay.reload import RELOAD_CHECK_INTERVAL_S, SettingsWatch
+from eelgrassmount.relay.shutdown import Shutdown
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
-from eelgrassmount.relay.vectors import INTERVAL_S
+from eelgrassmount.relay.vectors import REQUEST_COUNT_INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.learned import PERIOD_S
 from eelgrassmount.topics.own import OwnRecord
@@ -42,7 +42,7 @@
     from anyio.abc import TaskGroup
 
     from eelgrassmount.compose.relay_node import RelayNode
-    from eelgrassmount.relay.inbound import Inbound
+    from eelgrassmount.relay.inbound import InboundLinks
 
 METRICS_PORT = 9464
 # an announcement has some hundred bytes, and other calls to these listeners none
@@ -70,7 +70,7 @@
         ends = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*ends, signal.SIGHUP) as signals:
             await start_relay(node, group)
-            node.timers.subscribe(WATCH_PERIOD_S, watch.check)
+            node.timers.subscribe(RELOAD_CHECK_INTERVAL_S, watch.check)
             async for received in signals:
                 if received != signal.SIGHUP:
                     break
@@ -81,7 +81,7 @@
 
 async def stop_relay(node: RelayNode) -> None:
     """End a node in order: clients go first, then calls of other nodes."""
-    stopping = Stopping(
+    stopping = Shutdown(
         node.beliefs,
         node.callers,
         node.inbound,
@@ -93,7 +93,7 @@
         group.start_soon(_drop_own, node)
         await stopping.run()
         group.cancel_scope.cancel()
-    node.decisions.tell_left_out()
+    node.decisions.report_dropped_lines()
     node.end()
 
 
@@ -154,7 +154,7 @@
     await _bind(node.callers, settings.caller_address)
 
 
-async def _bind(listener: HttpListener | Inbound, address: Address) -> None:
+async def _bind(listener: HttpListener | InboundLinks, address: Address) -> None:
     try:
         await listener.start(address.host, address.port)
     except OSError as error:
@@ -171,20 +171,22 @@
         node.metrics.stalls.inc,
     )
     timers.subscribe(LINK_PERIOD_S, stalls.check)
-    timers.subscribe(LINK_PERIOD_S, node.links.watch_links)
-    timers.subscribe(STEP_S, node.readers.step)
-    timers.subscribe(STEP_S, node.quotas.step)
-    timers.subscribe(STEP_S, node.controllers.step)
-    timers.subscribe(STEP_S, node.gate.sweep)
-    timers.subscribe(INTERVAL_S, lambda: count_calls(node.beliefs))
-    timers.subscribe(INTERVAL_S, make_learning_step(node))
+    timers.subscribe(LINK_PERIOD_S, node.links.maintain_links)
+    timers.subscribe(CONTROL_INTERVAL_S, node.readers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.quotas.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.controllers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.dispatcher.sweep)
+    timers.subscribe(
+        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
+    )
+    timers.subscribe(REQUEST_COUNT_INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
-    timers.subscribe(SWEEP_PERIOD_S, node.gate.pool.sweep)
+    timers.subscribe(SWEEP_PERIOD_S, node.dispatcher.pool.sweep)
     timers.subscribe(SWEEP_PERIOD_S, node.inbound.expire)
-    timers.subscribe(SWEEP_PERIOD_S, node.decisions.tell_left_out)
+    timers.subscribe(SWEEP_PERIOD_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
-    timers.subscribe(SWEEP_PERIOD_S, node.entry.lineage.forget_answers)
-    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.fade)
+    timers.subscribe(SWEEP_PERIOD_S, node.ingress.lineage.forget_answers)
+    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.decay)
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
@@ -193,8 +195,8 @@
 
     def step() -> None:
         graph = node.beliefs.graph
-        if not graph.is_mature() or next(steps) % VECTOR_STEPS == 0:
-            apply_vectors(node.beliefs)
+        if not graph.has_learned_calls() or next(steps) % VECTOR_STEPS == 0:
+            update_call_graph(node.beliefs)
 
     return step
 
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests at the node where they enter."""
+"""Admission control at the node where requests enter."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from eelgrassmount.load.exchange import find_load, find_services
 from eelgrassmount.load.refusals import (
-    ExcessMeter,
+    AdmissionMeter,
     compute_retry_after,
     spread_retry_after,
 )
@@ -23,14 +23,14 @@
 
 
 @define
-class EntryState:
-    """What this node admitted and refused lately as an entry, by service."""
+class EntryMeters:
+    """Counts of requests that this node recently admitted and refused, by service."""
 
-    excess: dict[str, ExcessMeter] = field(factory=dict)
+    meters: dict[str, AdmissionMeter] = field(factory=dict)
 
-    def find_meter(self, service: str) -> ExcessMeter:
-        """Return the meter of a service."""
-        return self.excess.setdefault(service, ExcessMeter())
+    def get_meter(self, service: str) -> AdmissionMeter:
+        """Return the meter of a service, a new one if there is none."""
+        return self.meters.setdefault(service, AdmissionMeter())
 
 
 def find_bottleneck(
@@ -40,9 +40,9 @@
     priority: int,
     now_s: float,
 ) -> str | None:
-    """Return the service that would refuse a request somewhere in its chain.
+    """Return the service that would refuse a request or one of its downstream calls.
 
-    Looked at are the service itself and those that the class was seen to touch.
+    The candidates are the service itself and those that requests of the class use.
     """
     rank = rank_call(work_class.tier, priority)
     names = {service, *find_services(board.loads, work_class.name)}
@@ -55,23 +55,23 @@
 
 def admit_at_entry(
     board: Blackboard,
-    state: EntryState,
+    state: EntryMeters,
     work_class: WorkClass,
     service: str,
     priority: int,
     rng: random.Random,
     now_s: float,
 ) -> NotRun | None:
-    """Refuse a request at once that would be refused deep in its chain.
+    """Refuse a request if one of its downstream calls would be refused.
 
-    ``priority`` is that of the root request, which every hop uses.
+    ``priority`` is that of the root request, which all its downstream calls share.
     """
     bottleneck = find_bottleneck(board, work_class, service, priority, now_s)
     if bottleneck is None:
         for name in {service, *find_services(board.loads, work_class.name)}:
-            state.find_meter(name).note_admitted(now_s)
+            state.get_meter(name).record_admitted(now_s)
         return None
-    meter = state.find_meter(bottleneck)
-    meter.note_refused(now_s)
+    meter = state.get_meter(bottleneck)
+    meter.record_refused(now_s)
     delay_s = compute_retry_after(meter, now_s)
     return NotRun(Reason.OVERLOAD, spread_retry_after(delay_s, rng))
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -1,4 +1,4 @@
-"""The load decisions of one node, as the path of a call uses them."""
+"""Facade of admission, routing and load exchange for the call path."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from attrs import define, field
 
 from eelgrassmount.context import compute_priority
-from eelgrassmount.load.admission import EntryState, admit_at_entry
+from eelgrassmount.load.admission import EntryMeters, admit_at_entry
 from eelgrassmount.load.exchange import LoadExchange
-from eelgrassmount.load.routing import choose_server, find_room
+from eelgrassmount.load.routing import choose_server, has_open_server
 from eelgrassmount.load.servers import RoutingState
 from eelgrassmount.load.shares import (
-    SHARE_PERIOD_S,
+    SHARE_INTERVAL_S,
     ShareTable,
     adjust_shares,
     scale_priority,
@@ -29,32 +29,32 @@
     from eelgrassmount.timers import TimerService
     from eelgrassmount.verdict import NotRun, Verdict
 
-_REFRESH_PERIOD_S = 0.5
-_FORGET_PERIOD_S = 5.0
+_REFRESH_INTERVAL_S = 0.5
+_EXPIRY_INTERVAL_S = 5.0
 
 
 @define
 class LoadControl:
-    """Admission, routing and the exchange of load on one node.
+    """Admission, routing and the exchange of load reports on one node.
 
-    ``prioritize`` and ``admit`` serve the entry, ``choose`` and ``note_end``
-    each attempt at a call, ``note_request`` the end of a whole request.
+    The entry calls ``prioritize`` and ``admit``; each attempt at a call uses
+    ``choose`` and ``record_end``; ``record_request`` follows each client request.
     """
 
     board: Blackboard
     timers: TimerService
     exchange: LoadExchange = field(init=False)
     routing: RoutingState = field(init=False)
-    entry: EntryState = field(factory=EntryState)
+    entry: EntryMeters = field(factory=EntryMeters)
     shares: ShareTable = field(factory=ShareTable)
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to the timer service."""
         self.exchange = LoadExchange(self.board.loads)
         self.routing = RoutingState(self.timers.read())
-        self.timers.subscribe(SHARE_PERIOD_S, self._adjust_shares)
-        self.timers.subscribe(_REFRESH_PERIOD_S, self._refresh_routing)
-        self.timers.subscribe(_FORGET_PERIOD_S, self._forget_loads)
+        self.timers.subscribe(SHARE_INTERVAL_S, self._adjust_shares)
+        self.timers.subscribe(_REFRESH_INTERVAL_S, self._refresh_routing)
+        self.timers.subscribe(_EXPIRY_INTERVAL_S, self._drop_expired_loads)
 
     def _adjust_shares(self) -> None:
         document = self.board.configuration.document
@@ -63,8 +63,8 @@
     def _refresh_routing(self) -> None:
         self.routing.refresh(self.board, self.timers.read())
 
-    def _forget_loads(self) -> None:
-        self.exchange.forget_old(self.timers.read())
+    def _drop_expired_loads(self) -> None:
+        self.exchange.drop_expired(self.timers.read())
 
     def prioritize(self, work_class: WorkClass, root_id: str) -> int:
         """Return the admission priority of a new root request."""
@@ -74,7 +74,7 @@
     def admit(
         self, work_class: WorkClass, service: str, priority: int
     ) -> NotRun | None:
-        """Decide on a request where it enters; ``None`` means admitted."""
+        """Decide on a request at its entry node; ``None`` means admitted."""
         return admit_at_entry(
             self.board,
             self.entry,
@@ -88,9 +88,9 @@
     def choose(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> str | None:
-        """Return the node to send a call to and count the call as sent.
+        """Choose the node to send a call to, and count the call as outstanding.
 
-        `note_end` must follow with the same address.
+        The caller must call `record_end` with the same address.
         """
         now_s = self.timers.read()
         rank = rank_call(context.tier, context.priority)
@@ -98,19 +98,19 @@
             self.board, self.routing, service, excluded, rank, self.timers.rng, now_s
         )
         if address is not None:
-            self.routing.note_start(address, now_s)
+            self.routing.record_start(address, now_s)
         return address
 
     def has_room(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> bool:
-        """Tell whether some other node would admit a call at once."""
+        """Return whether a node that is not excluded would admit a call at once."""
         rank = rank_call(context.tier, context.priority)
-        return find_room(
+        return has_open_server(
             self.board, self.routing, service, excluded, rank, self.timers.read()
         )
 
-    def note_end(
+    def record_end(
         self,
         address: str,
         service: str,
@@ -118,19 +118,19 @@
         loads: Iterable[ServiceLoad],
         latency_s: float,
     ) -> None:
-        """Take in the end of one attempt and the loads that its answer carried."""
+        """Record the end of an attempt and the loads that its answer carried."""
         now_s = self.timers.read()
-        self.routing.note_end(address, verdict, latency_s, now_s)
+        self.routing.record_end(address, verdict, latency_s, now_s)
         self.exchange.merge(address, service, loads, now_s)
 
-    def note_request(
-        self, class_name: str, complete: bool, touched: Collection[str]
+    def record_request(
+        self, class_name: str, complete: bool, used_services: Collection[str]
     ) -> None:
-        """Count a whole request that entered here, refused ones too.
+        """Record a client request that entered at this node, also if it was refused.
 
-        ``complete`` means that it was answered within the target of its class,
-        ``touched`` names the services of the loads on its answer, if it had one.
+        ``complete`` means that it was answered within the target of its class.
+        ``used_services`` names the services whose loads its answer carried.
         """
-        self.shares.note_request(class_name, complete, self.timers.read())
-        if touched:
-            self.exchange.learn(class_name, touched)
+        self.shares.record_request(class_name, complete, self.timers.read())
+        if used_services:
+            self.exchange.learn(class_name, used_services)
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -1,4 +1,4 @@
-"""The choice of a server for a call."""
+"""Chooses a server for each call."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from attrs import frozen
 
-from eelgrassmount.load.exchange import FRESH_S, open_threshold
+from eelgrassmount.load.exchange import MAX_FRESH_AGE_S, compute_effective_threshold
 from eelgrassmount.load.servers import (
     RoutingState,
     ServerRecord,
     Subset,
     choose_subset,
-    is_avoided,
-    measure_ramp,
+    compute_ramp,
+    should_avoid,
 )
 from eelgrassmount.load.state import FULL_THRESHOLD, TIERS, ServiceLoad
 
@@ -23,20 +23,20 @@
 
     from eelgrassmount.blackboard import Blackboard
 
-_SUBSET_PERIOD_S = 0.25
+_SUBSET_INTERVAL_S = 0.25
 
 
 @frozen
 class Candidate:
     """A server that may be chosen.
 
-    ``room`` is how many calls it could still start at once, to the best of this
-    node's knowledge; ``score`` is lower for a better server; ``ramp`` grows to 1
-    while it is new.
+    ``headroom`` is how many calls it could start at once, by its last report less the
+    calls sent since. Lower values of ``score`` are better. ``ramp`` grows to 1 while
+    the server is new.
     """
 
     address: str
-    room: int
+    headroom: int
     threshold: float
     score: float
     ramp: float
@@ -53,38 +53,38 @@
 ) -> str | None:
     """Return the address of the node whose server should run a call.
 
-    Servers of the own failure domain go first while one of them has room, then
-    those of the others. Where none has room, one that still admits calls of this
-    ``rank`` is preferred. ``None`` means that no server is known.
+    Servers of the local failure domain with headroom go first, then remote servers with
+    headroom, then servers that still admit calls of this ``rank``. ``None`` means that
+    no server is known.
     """
-    near = _find_near(board, state, service, excluded, now_s)
-    room = _keep_open(near, rank, least_room=1)
-    if room:
-        return _pick(room, rng)
-    far = _find_far(board, state, service, excluded, now_s)
+    local = _list_local(board, state, service, excluded, now_s)
+    open_local = _select_open(local, rank, min_headroom=1)
+    if open_local:
+        return _pick(open_local, rng)
+    remote = _list_remote(board, state, service, excluded, now_s)
     choices = (
-        _keep_open(far, rank, least_room=1),
-        _keep_open(near, rank),
-        _keep_open(far, rank),
-        near,
-        far,
+        _select_open(remote, rank, min_headroom=1),
+        _select_open(local, rank),
+        _select_open(remote, rank),
+        local,
+        remote,
     )
     for candidates in choices:
         if candidates:
             return _pick(candidates, rng)
-    return _choose_held(board, service, excluded, rng)
+    return _choose_from_held(board, service, excluded, rng)
 
 
-def _choose_held(
+def _choose_from_held(
     board: Blackboard, service: str, excluded: Collection[str], rng: random.Random
 ) -> str | None:
-    # holding a member back must not leave a service without any server
+    # A service without other servers uses the members that are held back.
     held = [member.identity.address for member in board.members.find_held(service)]
-    left = [address for address in held if address not in excluded]
-    return rng.choice(left) if left else None
+    usable = [address for address in held if address not in excluded]
+    return rng.choice(usable) if usable else None
 
 
-def find_room(
+def has_open_server(
     board: Blackboard,
     state: RoutingState,
     service: str,
@@ -92,43 +92,45 @@
     rank: int,
     now_s: float,
 ) -> bool:
-    """Tell whether some server is known to have room for a call of this rank."""
-    near = _find_near(board, state, service, excluded, now_s)
-    far = _find_far(board, state, service, excluded, now_s)
-    return bool(_keep_open([*near, *far], rank, least_room=1))
+    """Return whether a known server has headroom for a call of this rank."""
+    local = _list_local(board, state, service, excluded, now_s)
+    remote = _list_remote(board, state, service, excluded, now_s)
+    return bool(_select_open([*local, *remote], rank, min_headroom=1))
 
 
-def _keep_open(
-    candidates: list[Candidate], rank: int, least_room: int = 0
+def _select_open(
+    candidates: list[Candidate], rank: int, min_headroom: int = 0
 ) -> list[Candidate]:
     return [
-        one for one in candidates if one.threshold > rank and one.room >= least_room
+        one
+        for one in candidates
+        if one.threshold > rank and one.headroom >= min_headroom
     ]
 
 
-def _find_near(
+def _list_local(
     board: Blackboard,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
-    told: dict[str, ServiceLoad] = {}
+    reported: dict[str, ServiceLoad] = {}
     for address in _find_subset(board, state, service, now_s):
         member = board.members.members.get(address)
         if member is None or not member.serves or address in excluded:
             continue
-        told[address] = ServiceLoad(
+        reported[address] = ServiceLoad(
             service, member.threshold, member.headroom, heard_s=member.heard_s
         )
-    return _make_candidates(board, state, told, now_s)
+    return _make_candidates(board, state, reported, now_s)
 
 
 def _find_subset(
     board: Blackboard, state: RoutingState, service: str, now_s: float
 ) -> tuple[str, ...]:
     subset = state.subsets.get(service)
-    if subset is None or now_s - subset.chosen_s >= _SUBSET_PERIOD_S:
+    if subset is None or now_s - subset.chosen_s >= _SUBSET_INTERVAL_S:
         serving = board.members.find_serving(service)
         addresses = [member.identity.address for member in serving]
         chosen = choose_subset(board.identity.address, addresses)
@@ -136,41 +138,41 @@
     return subset.addresses
 
 
-def _find_far(
+def _list_remote(
     board: Blackboard,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
-    told: dict[str, ServiceLoad] = {}
+    reported: dict[str, ServiceLoad] = {}
     for summary in board.members.find_summaries(service):
         if summary.failure_domain == board.identity.failure_domain:
             continue
         each = -(-summary.headroom // max(summary.servers, 1))
         for address in summary.addresses:
             if address not in excluded:
-                told[address] = ServiceLoad(
+                reported[address] = ServiceLoad(
                     service, summary.threshold, each, heard_s=summary.heard_s
                 )
-    chosen = choose_subset(board.identity.address, list(told))
-    told = {address: told[address] for address in chosen}
-    return _make_candidates(board, state, told, now_s)
+    chosen = choose_subset(board.identity.address, list(reported))
+    reported = {address: reported[address] for address in chosen}
+    return _make_candidates(board, state, reported, now_s)
 
 
 def _make_candidates(
     board: Blackboard,
     state: RoutingState,
-    told: dict[str, ServiceLoad],
+    reported: dict[str, ServiceLoad],
     now_s: float,
 ) -> list[Candidate]:
     candidates = []
     avoided = []
-    for address, load_told in told.items():
+    for address, reported_load in reported.items():
         record = state.find_record(address, now_s)
-        load = _find_latest(board, address, load_told, now_s)
+        load = _find_latest(board, address, reported_load, now_s)
         candidate = _make_candidate(address, record, load, now_s)
-        if is_avoided(record, now_s):
+        if should_avoid(record, now_s):
             avoided.append(candidate)
         else:
             candidates.append(candidate)
@@ -178,31 +180,31 @@
 
 
 def _find_latest(
-    board: Blackboard, address: str, told: ServiceLoad, now_s: float
+    board: Blackboard, address: str, reported: ServiceLoad, now_s: float
 ) -> ServiceLoad:
-    heard = board.loads.by_node.get(address)
-    if heard is None or heard.service != told.service:
-        return told
-    if now_s - heard.heard_s > FRESH_S and told.heard_s > heard.heard_s:
-        return told
-    return heard
+    direct = board.loads.by_node.get(address)
+    if direct is None or direct.service != reported.service:
+        return reported
+    if now_s - direct.heard_s > MAX_FRESH_AGE_S and reported.heard_s > direct.heard_s:
+        return reported
+    return direct
 
 
 def _make_candidate(
     address: str, record: ServerRecord, load: ServiceLoad, now_s: float
 ) -> Candidate:
-    if load.heard_s != record.heard_s:
-        record.heard_s = load.heard_s
-        record.sent = 0
-    room = max(0, load.headroom - record.sent)
-    threshold = open_threshold(load, now_s)
-    closed = 1.0 + TIERS * (1.0 - threshold / FULL_THRESHOLD)
-    score = (record.outstanding + 1.0) * closed / (room + 1.0)
-    return Candidate(address, room, threshold, score, measure_ramp(record, now_s))
+    if load.heard_s != record.load_received_s:
+        record.load_received_s = load.heard_s
+        record.sent_since_report = 0
+    headroom = max(0, load.headroom - record.sent_since_report)
+    threshold = compute_effective_threshold(load, now_s)
+    closed_weight = 1.0 + TIERS * (1.0 - threshold / FULL_THRESHOLD)
+    score = (record.outstanding + 1.0) * closed_weight / (headroom + 1.0)
+    return Candidate(address, headroom, threshold, score, compute_ramp(record, now_s))
 
 
 def _pick(candidates: list[Candidate], rng: random.Random) -> str:
-    # a new server takes part in a draw only in proportion to its ramp
+    # A new server takes part in a draw with the probability of its ramp.
     drawn = [one for one in candidates if rng.random() < one.ramp] or candidates
     if len(drawn) == 1:
         return drawn[0].address
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -1,4 +1,4 @@
-"""The levels of all services, from reports of load and what clients offer."""
+"""Admitted fraction of each service, from load reports and offered load."""
 
 from __future__ import annotations
 
@@ -8,28 +8,31 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.admission_controller import STEP_S, LevelControl
-from eelgrassmount.policy.forecast import foresee_demand
-from eelgrassmount.policy.service_load import measure_load
+from eelgrassmount.policy.admission_controller import (
+    CONTROL_INTERVAL_S,
+    AdmissionController,
+)
+from eelgrassmount.policy.forecast import forecast_demand
+from eelgrassmount.policy.service_load import combine_server_loads
 from eelgrassmount.relay.frames import FrameKind
-from eelgrassmount.relay.measures import GateLoad
-from eelgrassmount.relay.members import REPORT_LIMIT_S
+from eelgrassmount.relay.measures import DispatcherLoad
+from eelgrassmount.relay.members import MAX_REPORT_AGE_S
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
     from eelgrassmount.relay.members import Member, MemberLoad
-    from eelgrassmount.relay.shared_state import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
 
 
-def tell_level_change(
-    service: str, before: float, level: float, load: GateLoad
+def log_overload_change(
+    service: str, previous: float, fraction: float, load: DispatcherLoad
 ) -> None:
-    """Write a line when a service becomes short, and when it no longer is."""
-    if (level < 1.0) == (before < 1.0):
+    """Log when the overload of a service begins or ends."""
+    if (fraction < 1.0) == (previous < 1.0):
         return
     logger.info(
-        "overload begins" if level < 1.0 else "overload ended",
+        "overload begins" if fraction < 1.0 else "overload ended",
         service=service,
         demand=round(load.demand, 2),
         wait=round(load.wait, 2),
@@ -37,113 +40,118 @@
 
 
 @define(eq=False)
-class ServiceLevels:
-    """Keeps the level of each service, and notes which ones can't be reached."""
+class AdmittedFractions:
+    """Updates the admitted fraction and the reachability of each service."""
 
-    beliefs: Beliefs
+    state: SharedState
 
     def update(self) -> None:
-        """Work out the levels of all services anew, once each `STEP_S`."""
-        asked = self._list_asked()
-        for service, found in self.beliefs.members.by_service.items():
-            self._update_service(service, found.values(), asked.get(service, {}))
+        """Update the admitted fractions, once each `CONTROL_INTERVAL_S`."""
+        required = self._estimate_required_runs()
+        for service, members in self.state.members.by_service.items():
+            self._update_service(service, members.values(), required.get(service, {}))
 
     def _update_service(
-        self, service: str, members: Collection[Member], asked: dict[str, float]
+        self, service: str, members: Collection[Member], required: dict[str, float]
     ) -> None:
-        beliefs = self.beliefs
-        oldest_s = beliefs.clock() - REPORT_LIMIT_S
-        control = beliefs.levels.setdefault(service, LevelControl())
-        before = control.level
-        load = GateLoad()
-        fresh = self._list_fresh(members, oldest_s)
-        if fresh:
-            load = measure_load(fresh)
-            foreseen = foresee_demand(asked, fresh, self._count_usable(members))
-            age = self._measure_age(fresh)
-            control.update(load.demand, load.wait, age, foreseen)
+        state = self.state
+        oldest_s = state.clock() - MAX_REPORT_AGE_S
+        control = state.admission_controllers.setdefault(service, AdmissionController())
+        previous = control.admitted_fraction
+        load = DispatcherLoad()
+        recent = self._list_recent_loads(members, oldest_s)
+        if recent:
+            load = combine_server_loads(recent)
+            forecast = forecast_demand(required, recent, self._count_usable(members))
+            age = self._compute_report_age(recent)
+            control.update(load.demand, load.wait, age, forecast)
         else:
-            control.relax()
-        tell_level_change(service, before, control.level, load)
-        self._note_reach(service, members)
-        if beliefs.find_level(service) < 1.0:
-            self._ask_for_reports(members, oldest_s)
+            control.increase_without_reports()
+        log_overload_change(service, previous, control.admitted_fraction, load)
+        self._update_reachability(service, members)
+        if state.get_admitted_fraction(service) < 1.0:
+            self._request_reports(members, oldest_s)
 
-    def _list_fresh(
+    def _list_recent_loads(
         self, members: Iterable[Member], oldest_s: float
     ) -> list[MemberLoad]:
-        """Return the loads that were reported lately, of servers that take work."""
+        """Return the recently reported loads of servers that accept calls."""
         return [
             one.load
             for one in members
             if one.load.reported_s > oldest_s
             and one.load.limit
-            # what leaves has slots that nobody may use
+            # the slots of a draining server are not usable
             and one.load.accepting
         ]
 
-    def _note_reach(self, service: str, members: Collection[Member]) -> None:
-        """Note whether any server of a service can be sent a call from here.
+    def _update_reachability(self, service: str, members: Collection[Member]) -> None:
+        """Record whether this node can send calls to any server of a service.
 
-        What leads to one that can't is refused while it has not run, also where the
-        last server of the deepest service is in a failure domain that is cut off.
+        Requests that need an unreachable service are refused before they run, also if
+        its last servers are in a failure domain that is partitioned from this node.
         """
-        beliefs = self.beliefs
-        now_s = beliefs.clock()
-        if not beliefs.table.version:
-            # a node that has just started knows few others, and refuses all
+        state = self.state
+        now_s = state.clock()
+        if not state.table.version:
+            # A starting node knows few others and refuses all requests anyway.
             return
-        # one that is silent may only stand still
-        reached = any(
-            not member.failures and member.is_accepting(now_s) for member in members
+        # A silent member may only be paused.
+        reachable = any(
+            not member.connect_failures and member.is_accepting(now_s)
+            for member in members
         )
-        if reached == (service not in beliefs.unreachable):
+        if reachable == (service not in state.unreachable):
             return
-        if reached:
-            beliefs.unreachable.discard(service)
+        if reachable:
+            state.unreachable.discard(service)
         else:
-            beliefs.unreachable.add(service)
+            state.unreachable.add(service)
         logger.warning(
-            "service reached again" if reached else "service unreachable",
+            "service reached again" if reachable else "service unreachable",
             service=service,
             servers=len(members),
         )
 
-    def _list_asked(self) -> dict[str, dict[str, float]]:
-        """Return the runs a second that offered requests ask of each service, by route.
+    def _estimate_required_runs(self) -> dict[str, dict[str, float]]:
+        """Return the required runs per second, by service and route.
 
-        There is none before other nodes are heard of.
+        Empty until this node has the counts of other nodes.
         """
-        beliefs = self.beliefs
-        asked: dict[str, dict[str, float]] = {}
-        if beliefs.outlook.nodes < 2 or not beliefs.graph.is_mature():
-            return asked
-        routes = beliefs.table.routes
-        for demand, rate in beliefs.outlook.offered.items():
+        state = self.state
+        required: dict[str, dict[str, float]] = {}
+        if state.cluster_counts.nodes < 2 or not state.graph.has_learned_calls():
+            return required
+        routes = state.table.routes
+        for demand, rate in state.cluster_counts.offered.items():
             route = routes.get(demand.route_name)
-            if route is None or beliefs.graph.is_called(demand.route_name):
+            if route is None or state.graph.is_called_by_servers(demand.route_name):
                 continue
-            for run, times in beliefs.graph.list_runs(route, beliefs.table).items():
-                for service, part in routes[run].divide().items():
-                    runs = asked.setdefault(service, {})
-                    runs[run] = runs.get(run, 0.0) + rate * times * part
-        return asked
+            for run, runs in state.graph.count_runs_by_route(
+                route, state.table
+            ).items():
+                for service, share in routes[run].divide().items():
+                    rates = required.setdefault(service, {})
+                    rates[run] = rates.get(run, 0.0) + rate * runs * share
+        return required
 
     def _count_usable(self, members: Iterable[Member]) -> int:
-        return sum(1 for one in members if one.load.accepting and not one.failures)
+        return sum(
+            1 for one in members if one.load.accepting and not one.connect_failures
+        )
 
-    def _ask_for_reports(self, members: Iterable[Member], oldest_s: float) -> None:
-        """Ask the nodes of a short service that no longer report to this one.
+    def _request_reports(self, members: Iterable[Member], oldest_s: float) -> None:
+        """Request load reports from nodes of an overloaded service.
 
-        A node that refuses all that leads there sends it no calls, gets no reports
-        in turn, and would refuse for good.
+        Nodes report to their callers. A node that refuses all requests for a service
+        makes no calls to it, and without new reports would never admit them again.
         """
         for member in members:
             if member.is_connected() and member.load.reported_s <= oldest_s:
                 member.link.send(FrameKind.PING, ttypes.RelayConfigRequest(0))
 
-    def _measure_age(self, loads: list[MemberLoad]) -> int:
-        """Return the mean age of reports in steps."""
-        now_s = self.beliefs.clock()
+    def _compute_report_age(self, loads: list[MemberLoad]) -> int:
+        """Return the mean age of load reports in steps."""
+        now_s = self.state.clock()
         age_s = sum(now_s - load.reported_s for load in loads) / len(loads)
-        return int(age_s / STEP_S)
+        return int(age_s / CONTROL_INTERVAL_S)
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -1,4 +1,4 @@
-"""The listener for the announcements of the server beside a node."""
+"""Listener for the heartbeats and leave messages of the local backend server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.heartbeats import Heartbeat
-    from eelgrassmount.relay.rejected_messages import RefusedMessages
+    from eelgrassmount.relay.rejected_messages import RejectedMessages
     from eelgrassmount.relay.server import LocalServer
 
 ACCEPTED = b"content-type: application/json\r\n"
@@ -23,21 +23,21 @@
 
 @define(eq=False)
 class AnnouncementListener:
-    """Takes heartbeats and leaves, closes the gate and then acknowledges.
+    """Applies heartbeats and leave messages of the server, then acknowledges them.
 
-    The acknowledgement of a server that leaves binds this node: the gate is
-    closed and the other nodes are told before it is sent. One that can't be read,
-    or that ``check`` refuses with `WrongServerError`, changes nothing.
+    A server that leaves may stop once its message is acknowledged, so ``on_change``
+    stops new calls to it and notifies the other nodes first. A message that can't be
+    parsed, or for which ``check`` raises `WrongServerError`, changes nothing.
     """
 
     server: LocalServer
     read: Callable[[str, str, bytes], Heartbeat | None]
     check: Callable[[Heartbeat], None]
     on_change: Callable[[], None]
-    refused: RefusedMessages
+    refused: RejectedMessages
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Handle one request of the server."""
         try:
             heartbeat = self.read(exchange.method, exchange.target, exchange.body)
             if heartbeat is not None:
@@ -51,7 +51,7 @@
         if heartbeat is None:
             exchange.respond(404)
             return
-        if self.server.note_heartbeat(heartbeat):
+        if self.server.apply_heartbeat(heartbeat):
             logger.info(
                 "server changed",
                 incarnation=str(heartbeat.incarnation),
@@ -65,15 +65,15 @@
 
     def _refuse(self, exchange: Exchange, status: int, cause: str, detail: str) -> None:
         source = exchange.find_peer()
-        self.refused.note(MessageKind.ANNOUNCEMENT, source, cause, detail)
+        self.refused.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
         exchange.respond(status, b"", detail.encode())
 
 
 def check_server(heartbeat: Heartbeat, service: str, address: str) -> None:
     """Raise `WrongServerError` unless a heartbeat names this service and address.
 
-    A heartbeat of another server would move this node to its service, and bar the
-    server that runs here. A leave names neither.
+    A heartbeat of another server would change this node's service and displace the
+    server on its VM. A leave message names neither service nor address.
     """
     if heartbeat.leaving:
         return
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -1,4 +1,4 @@
-"""The gate beside a backend server: what runs there, waits or is refused."""
+"""Dispatches calls to the local backend server within its concurrency limit."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 from eelgrassmount.http1.client import Break, ClientAnswer
 from eelgrassmount.policy.scheduling import (
-    allow_wait,
-    find_patience,
-    find_slack,
-    limit_run,
+    compute_due_factor,
+    compute_max_wait_s,
+    compute_run_timeout_s,
+    compute_slack_s,
 )
 from eelgrassmount.relay.measures import RunMeasures
-from eelgrassmount.relay.messages import Fate, Reply
+from eelgrassmount.relay.messages import Outcome, Reply
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from eelgrassmount.relay.backend import BackendPool, Sending
+    from eelgrassmount.relay.backend import BackendPool, PendingRequest
     from eelgrassmount.relay.budget import RetryBudget
-    from eelgrassmount.relay.header_codec import Dialect
+    from eelgrassmount.relay.header_codec import HeaderCodec
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.messages import Call
     from eelgrassmount.relay.routes import Route
@@ -35,75 +35,72 @@
     from eelgrassmount.retry.quarantine import Quarantine
 
 CallLater = Callable[[float, Callable[[], None]], object]
-# a server that has less time than this left is not begun with
-MIN_REMAINING_S = 0.005
-# a call that waits so shortly before its deadline is refused: two hops take a few
-# milliseconds
+# shortest time before the deadline in which a call is still run
+MIN_RUN_TIME_S = 0.005
+# queued calls are refused so long before their deadline, for the reply to arrive
 EXPIRY_MARGIN_S = 0.012
-# past its deadline, a call that has no answer is given up after so long
-OVERDUE_S = 0.3
-# connections that break so shortly before the server refuses new ones were cut
-# by its crash
-CRASH_SPAN_S = 1.0
-# lines about rejected calls are at least so far apart
-SHED_LINE_S = 1.0
-
-_FATES = {
-    Break.REFUSED: (Fate.NOT_RUN, Reason.NO_SERVER),
-    Break.CLOSED: (Fate.MAY_HAVE_RUN, Reason.SERVER_CRASHED),
-    Break.TRUNCATED: (Fate.MAY_HAVE_RUN, Reason.BAD_ANSWER),
-    Break.MALFORMED: (Fate.MAY_HAVE_RUN, Reason.BAD_ANSWER),
-    Break.CANCELLED: (Fate.MAY_HAVE_RUN, Reason.CANCELLED),
+# overdue calls are cancelled so long after their deadline
+DEADLINE_GRACE_S = 0.3
+# connections that break so long before the server is gone count as crashed
+CRASH_WINDOW_S = 1.0
+REJECTION_LOG_INTERVAL_S = 1.0
+
+_OUTCOMES = {
+    Break.REFUSED: (Outcome.NOT_RUN, Reason.NO_SERVER),
+    Break.CLOSED: (Outcome.MAY_HAVE_RUN, Reason.SERVER_CRASHED),
+    Break.TRUNCATED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
+    Break.MALFORMED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
+    Break.CANCELLED: (Outcome.MAY_HAVE_RUN, Reason.CANCELLED),
 }
 
 
 @define(eq=False)
 class Job:
-    """A call at the gate; ``done`` is called once with its reply.
+    """A call at the dispatcher; ``done`` is called once with its reply.
 
-    It is ``outlived`` when the server has started again since it was sent.
-    ``given_s`` is the time that the server was given for it.
+    ``timeout_s`` is the time that the server was given for the call.
+    ``server_restarted`` is set if the server has restarted since the call was sent.
     """
 
     call: Call
     done: Callable[[Reply], None]
-    sending: Sending | None = None
+    sending: PendingRequest | None = None
     started_s: float = 0.0
-    given_s: float = 0.0
+    timeout_s: float = 0.0
     ended: bool = False
     overdue: bool = False
     silent: bool = False
-    outlived: bool = False
+    server_restarted: bool = False
 
     def was_sent_before(self, now_s: float) -> bool:
-        """Tell whether the server could read the call before a time."""
+        """Return whether the server could have read the call before a time."""
         written = self.sending is not None and self.sending.is_written()
         return written and self.started_s < now_s
 
 
 @define(eq=False)
-class Gate:
-    """Gives the server no more calls than it has slots and queues the others.
-
-    The queue is ordered by the time at which each call is due, which comes sooner the
-    more urgent its request is. A call that would wait too long is refused at once, so
-    that another server can have it, and so is a repeat that the budget doesn't hold.
-    ``is_lost_below`` tells whether a call that a run has made failed, or is still open,
-    and ``claim_loss`` whether a run has failed by such a call.
+class Dispatcher:
+    """Runs as many calls at the server as it has slots, and queues the others.
+
+    The queue is ordered by due time, which is earlier for urgent requests. A call that
+    would wait too long is refused at once, so that another server can run it; so is a
+    retry beyond the retry budget. ``has_lost_call`` returns whether a downstream call
+    of a run has failed or is still open, ``claim_loss`` whether a run failed because of
+    such a call.
     """
 
     server: LocalServer
     pool: BackendPool
-    dialect: Dialect
+    dialect: HeaderCodec
     quarantine: Quarantine
     clock: Callable[[], float]
     budget: RetryBudget
-    ends_chain: Callable[[str], bool] = lambda route_name: True
-    find_allowance: Callable[[Route], float] = lambda route: route.objective_s
-    find_call_limit: Callable[[str], float] = lambda route_name: math.inf
-    on_begin: Callable[[Job], None] = lambda job: None
-    on_end: Callable[[Job, bool], None] = lambda job, well: None
-    is_lost_below: Callable[[Job], bool] = lambda job: False
+    is_leaf: Callable[[str], bool] = lambda route_name: True
+    find_time_allowance: Callable[[Route], float] = lambda route: route.objective_s
+    find_call_timeout: Callable[[str], float] = lambda route_name: math.inf
+    on_run_start: Callable[[Job], None] = lambda job: None
+    on_run_end: Callable[[Job, bool], None] = lambda job, succeeded: None
+    has_lost_call: Callable[[Job], bool] = lambda job: False
     claim_loss: Callable[[Job], bool] = lambda job: False
     on_crash: Callable[[ServerIncarnation, list[Job]], None] = lambda ended, jobs: None
     on_change: Callable[[], None] = lambda: None
@@ -114,127 +111,133 @@
     _queue: list[tuple[float, int, Job]] = field(factory=list)
     _waiting: dict[int, int] = field(factory=dict)
     _numbers: itertools.count[int] = field(factory=itertools.count)
-    _shed_s: float = -SHED_LINE_S
-    _broken: list[tuple[float, Job]] = field(factory=list)
+    _rejection_logged_s: float = -REJECTION_LOG_INTERVAL_S
+    _broken_connections: list[tuple[float, Job]] = field(factory=list)
 
     @property
     def in_flight(self) -> int:
-        """Return how many calls the server has now."""
+        """Return the number of calls running at the server."""
         return len(self.running)
 
-    def offer(self, job: Job) -> None:
-        """Run a job now or later, or refuse it."""
+    def submit(self, job: Job) -> None:
+        """Run, queue or refuse a job."""
         now_s = self.clock()
         reason = self._find_refusal(job.call, now_s)
         if reason is not None:
             self._refuse(job, reason)
             return
-        # what one server after the other refuses would count for several: demand for
-        # three short servers seemed up to three times what it was
-        if not job.call.asked_before:
+        # calls that several servers refuse count as demand only once
+        if not job.call.counted_as_demand:
             self.measures.arrivals += 1
-            self.budget.note_request(job.call.service)
-        has_room = self.in_flight < self.server.compute_limit()
-        if not has_room and self._expect_wait(job.call) > self._allow_wait(job.call):
+            self.budget.count_request(job.call.service)
+        has_free_slot = self.in_flight < self.server.compute_concurrency_limit()
+        if not has_free_slot and self._estimate_wait(job.call) > self._find_max_wait(
+            job.call
+        ):
             self._refuse(job, Reason.OVERLOAD)
             return
-        if not self._charge(job.call):
+        if not self._take_retry(job.call):
             self._refuse(job, Reason.RETRY_BUDGET)
             return
-        if has_room:
+        if has_free_slot:
             self._start(job, now_s)
             return
-        self._integrate(now_s)
+        self._update_queue_time(now_s)
         route = job.call.route
-        slack_s = find_slack(
+        slack_s = compute_slack_s(
             route.objective_s,
-            self.find_allowance(route),
-            self.measures.find_usual(route.name),
+            self.find_time_allowance(route),
+            self.measures.get_usual_run_s(route.name),
         )
-        due_s = now_s + slack_s * find_patience(job.call.origin)
+        due_s = now_s + slack_s * compute_due_factor(job.call.origin)
         heapq.heappush(self._queue, (due_s, next(self._numbers), job))
-        self._count_waiting(job, 1)
-        left_s = job.call.deadline_s - now_s - EXPIRY_MARGIN_S
-        self.call_later(max(0.0, left_s), lambda: self._expire(job))
+        self._change_waiting(job, 1)
+        remaining_s = job.call.deadline_s - now_s - EXPIRY_MARGIN_S
+        self.call_later(max(0.0, remaining_s), lambda: self._expire(job))
 
     def _expire(self, job: Job) -> None:
-        """Refuse a job that still waits shortly before its deadline.
+        """Refuse a job that is still queued shortly before its deadline.
 
-        Whoever waits for it can then say truly that it has not run, which lets clients
-        come back also with what must not run twice.
+        The caller then learns in time that the call has not run, and may retry it even
+        if it is not idempotent.
         """
         if job.ended or job.sending is not None or job in self.running:
             return
-        self._integrate(self.clock())
-        self._count_waiting(job, -1)
+        self._update_queue_time(self.clock())
+        self._change_waiting(job, -1)
         self._refuse(job, Reason.DEADLINE)
 
-    def _charge(self, call: Call) -> bool:
-        """Take a repeat out of the retry budget; tell whether it holds one.
+    def _take_retry(self, call: Call) -> bool:
+        """Return whether the retry budget allows a call, and charge it to the budget.
 
-        It is held here, where the calls of all nodes come together: of many nodes, each
-        has so few requests of a route that its part of a budget is less than a repeat.
+        The budget is kept at the receiving node: each sender has too few requests of a
+        route for a retry of its own.
         """
-        if call.again:
-            ends_chain = self.ends_chain(call.route.name)
-            return self.budget.take(call.service, call.origin, ends_chain)
-        if call.origin.repeated:
-            self.budget.note_inherited(call.service)
+        if call.is_retry:
+            is_leaf = self.is_leaf(call.route.name)
+            return self.budget.take(call.service, call.origin, is_leaf)
+        if call.origin.within_retry:
+            self.budget.count_inherited_retry(call.service)
         return True
 
     def identify(self, health_path: str) -> None:
-        """Ask a server that has not announced itself yet which incarnation it is.
+        """Query the incarnation of a server that has not announced itself.
 
-        A node that starts beside a running server would otherwise refuse calls
-        until the next heartbeat.
+        Without it, a node that starts beside a running server refuses calls until the
+        next heartbeat.
         """
 
-        def note(outcome: ClientAnswer | Break) -> None:
-            if isinstance(outcome, ClientAnswer) and outcome.status == 200:
-                head = self.dialect.read_answer(outcome.headers)
+        def on_answer(answer: ClientAnswer | Break) -> None:
+            if isinstance(answer, ClientAnswer) and answer.status == 200:
+                head = self.dialect.read_answer(answer.headers)
                 if self.server.incarnation is None:
-                    self.server.note_named(head.instance)
-                    known = str(self.server.incarnation)
-                    logger.info("server identified", incarnation=known)
+                    self.server.apply_answer_identity(head.instance)
+                    incarnation = str(self.server.incarnation)
+                    logger.info("server identified", incarnation=incarnation)
                     self.on_change()
 
         data = self.dialect.write_probe(health_path)
-        self.pool.send(self.server.address, data, True, lambda answer: True, note)
+        self.pool.send(self.server.address, data, True, lambda answer: True, on_answer)
 
     def cancel(self, job: Job) -> None:
-        """Give up a job nobody waits for; what must not run twice runs on."""
+        """Cancel a job; calls that have started run on if not idempotent."""
         if job.ended:
             return
         if job.sending is None:
-            self._integrate(self.clock())
+            self._update_queue_time(self.clock())
             job.ended = True
-            self._count_waiting(job, -1)
+            self._change_waiting(job, -1)
         elif job.call.route.idempotent:
-            self._note_silence(job, self.clock())
+            self._count_if_silent(job, self.clock())
             job.sending.cancel()
 
     def sweep(self) -> None:
-        """Give up jobs past their deadline, and count silent ones as failures."""
+        """Cancel overdue jobs, and count silent ones as failures."""
         now_s = self.clock()
-        self._broken = [one for one in self._broken if now_s - one[0] < CRASH_SPAN_S]
+        self._broken_connections = [
+            one for one in self._broken_connections if now_s - one[0] < CRASH_WINDOW_S
+        ]
         for job in list(self.running):
-            self._note_silence(job, now_s)
-            if now_s > job.call.deadline_s + OVERDUE_S and job.sending is not None:
+            self._count_if_silent(job, now_s)
+            if (
+                now_s > job.call.deadline_s + DEADLINE_GRACE_S
+                and job.sending is not None
+            ):
                 job.overdue = True
                 job.sending.cancel()
-        self._fill()
+        self._start_queued()
 
-    def restart(self, ended: ServerIncarnation, begun_s: float) -> None:
-        """Settle what ran on a server that has started again, and begin anew.
+    def handle_restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
+        """Finish the calls that were lost in a restart of the server.
 
-        What was sent before ``begun_s`` may have run at the start that ``ended``, or at
-        the new one where that still reads it, since both have the identity that the
-        call names: so it is neither *not run* nor sent again here. Later calls reached
-        the new start and run on; those in the queue go to it.
+        Calls sent before ``restarted_s`` may have run at the incarnation ``ended`` or
+        at the new one, so that they are neither reported as *not run* nor sent again.
+        Later calls have reached the new incarnation and continue; queued calls are sent
+        to it.
         """
-        running = [job for job in self.running if job.was_sent_before(begun_s)]
-        broken = self._take_broken()
-        suspects = running + [job for job in broken if job.started_s < begun_s]
+        running = [job for job in self.running if job.was_sent_before(restarted_s)]
+        broken = self._pop_broken()
+        suspects = running + [job for job in broken if job.started_s < restarted_s]
         logger.warning(
             "server restarted",
             ended=str(ended),
@@ -244,89 +247,93 @@
         )
         if suspects:
             self.on_crash(ended, suspects)
-        # before anything is sent to the new start, as the ends below do
-        self.pool.forget()
-        self.measures.begin_anew()
+        # must precede the cancellations, which start queued calls
+        self.pool.reset()
+        self.measures.reset()
         for job in running:
-            job.outlived = True
-            # the end of one may have ended another
+            job.server_restarted = True
+            # cancelling one call may have ended another
             if job.sending is not None:
                 job.sending.cancel()
-        self._fill()
+        self._start_queued()
 
     def update_load(self) -> None:
-        """Take what arrived and waited since the last time into the mean load."""
+        """Update the mean load with the arrivals and waits since the last update."""
         now_s = self.clock()
-        self._integrate(now_s)
-        self.measures.update_load(self.server.compute_limit(), now_s)
+        self._update_queue_time(now_s)
+        self.measures.update_load(self.server.compute_concurrency_limit(), now_s)
 
     def forget_routes(self, known: Collection[str]) -> None:
-        """Forget the routes that have left the configuration, once none runs."""
+        """Remove measures of routes that are neither configured nor running."""
         running = {job.call.route.name for job in self.running}
         self.measures.keep_routes({*known, *running})
 
-    def _note_silence(self, job: Job, now_s: float) -> None:
+    def _count_if_silent(self, job: Job, now_s: float) -> None:
         """Count a run as a failure once it takes far longer than usual."""
-        patience_s = self.measures.find_patience(job.call.route)
-        if job.silent or now_s - job.started_s <= patience_s:
+        silence_timeout_s = self.measures.compute_silence_timeout_s(job.call.route)
+        if job.silent or now_s - job.started_s <= silence_timeout_s:
             return
-        if not self.is_lost_below(job):
+        if not self.has_lost_call(job):
             job.silent = True
-            self.measures.count_outcome(True)
+            self.measures.record_outcome(True)
 
-    def _integrate(self, now_s: float) -> None:
-        self.measures.note_queue(self.queued, now_s)
+    def _update_queue_time(self, now_s: float) -> None:
+        self.measures.record_queue_length(self.queued, now_s)
 
     def _find_refusal(self, call: Call, now_s: float) -> Reason | None:
         if call.service != self.server.service:
             return Reason.NO_SERVER
-        reason = self.server.find_refusal(now_s)
+        reason = self.server.find_refusal_reason(now_s)
         if reason is not None:
             return reason
-        if call.deadline_s - now_s < MIN_REMAINING_S:
+        if call.deadline_s - now_s < MIN_RUN_TIME_S:
             return Reason.DEADLINE
         if call.is_quarantined(self.quarantine, now_s):
             return Reason.QUARANTINED
         return None
 
-    def _count_waiting(self, job: Job, change: int) -> None:
+    def _change_waiting(self, job: Job, change: int) -> None:
         priority = job.call.origin.priority
         self._waiting[priority] = self._waiting.get(priority, 0) + change
         self.queued += change
 
-    def _expect_wait(self, call: Call) -> float:
-        """Return the seconds until a call would start, behind those of its priority."""
-        own = call.origin.priority
-        ahead = sum(count for one, count in self._waiting.items() if one <= own)
-        return self.measures.mean_run_s * (ahead + 1) / self.server.compute_limit()
+    def _estimate_wait(self, call: Call) -> float:
+        """Return the expected wait in seconds behind calls as urgent or more so."""
+        priority = call.origin.priority
+        ahead = sum(count for one, count in self._waiting.items() if one <= priority)
+        return (
+            self.measures.mean_run_s
+            * (ahead + 1)
+            / self.server.compute_concurrency_limit()
+        )
 
-    def _allow_wait(self, call: Call) -> float:
-        run_s = self.measures.find_usual(call.route.name)
-        return allow_wait(call.route.objective_s, run_s, call.origin.inner)
+    def _find_max_wait(self, call: Call) -> float:
+        run_s = self.measures.get_usual_run_s(call.route.name)
+        return compute_max_wait_s(call.route.objective_s, run_s, call.origin.downstream)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
         job.ended = True
-        job.done(Reply(Fate.NOT_RUN, reason))
+        job.done(Reply(Outcome.NOT_RUN, reason))
 
     def _start(self, job: Job, now_s: float) -> None:
-        self._integrate(now_s)
+        self._update_queue_time(now_s)
         self.running.add(job)
         job.started_s = now_s
         call = job.call
-        left_s = limit_run(
+        remaining_s = compute_run_timeout_s(
             call.deadline_s - now_s,
-            self.find_call_limit(call.route.name),
-            self.measures.find_usual(call.route.name),
+            self.find_call_timeout(call.route.name),
+            self.measures.get_usual_run_s(call.route.name),
         )
-        given_ms = max(1, int(left_s * 1000))
-        job.given_s = given_ms / 1000
-        self.on_begin(job)
+        timeout_ms = max(1, int(remaining_s * 1000))
+        job.timeout_s = timeout_ms / 1000
+        self.on_run_start(job)
         data = self.dialect.write_request(
             call.method,
             call.target,
             call.head,
             call.body,
-            given_ms,
+            timeout_ms,
             call.caller_service,
             self.server.incarnation.identity,
         )
@@ -341,116 +348,123 @@
             data,
             not call.route.idempotent,
             accepts,
-            lambda outcome: self._end(job, outcome),
+            lambda result: self._finish(job, result),
             call.method == "HEAD",
         )
 
-    def _end(self, job: Job, outcome: ClientAnswer | Break) -> None:
+    def _finish(self, job: Job, result: ClientAnswer | Break) -> None:
         now_s = self.clock()
-        self._integrate(now_s)
+        self._update_queue_time(now_s)
         self.running.discard(job)
-        reply = self._judge(job, outcome, now_s)
-        failed = reply.fate is not Fate.ANSWERED or reply.status >= 500
+        reply = self._create_reply(job, result, now_s)
+        failed = reply.outcome is not Outcome.ANSWERED or reply.status >= 500
         lost = failed and self.claim_loss(job)
-        self.on_end(job, not failed)
+        self.on_run_end(job, not failed)
         job.ended = True
-        # the sending leads back to the job: without this, ended jobs and their bodies
-        # stay until the collector runs
+        # breaks a reference cycle that would keep jobs and their bodies in memory
         job.sending = None
-        self._learn(job, reply, now_s, failed, lost)
-        self._fill()
+        self._update_measures(job, reply, now_s, failed, lost)
+        self._start_queued()
         job.done(reply)
 
-    def _judge(self, job: Job, outcome: ClientAnswer | Break, now_s: float) -> Reply:
-        if isinstance(outcome, ClientAnswer):
-            return self._judge_answer(outcome)
-        fate, reason = _FATES[outcome]
+    def _create_reply(
+        self, job: Job, result: ClientAnswer | Break, now_s: float
+    ) -> Reply:
+        if isinstance(result, ClientAnswer):
+            return self._create_answer_reply(result)
+        outcome, reason = _OUTCOMES[result]
         if job.overdue:
             reason = Reason.DEADLINE
-        elif job.outlived:
+        elif job.server_restarted:
             reason = Reason.SERVER_CRASHED
-        if outcome is Break.REFUSED:
-            self._note_unreachable(now_s)
-        elif outcome is Break.CLOSED:
-            self._broken.append((now_s, job))
-        return Reply(fate, reason)
+        if result is Break.REFUSED:
+            self._handle_unreachable(now_s)
+        elif result is Break.CLOSED:
+            self._broken_connections.append((now_s, job))
+        return Reply(outcome, reason)
 
-    def _judge_answer(self, answer: ClientAnswer) -> Reply:
+    def _create_answer_reply(self, answer: ClientAnswer) -> Reply:
         head = self.dialect.read_answer(answer.headers)
         if answer.status == 421:
-            self.server.note_named(head.instance)
-            return Reply(Fate.NOT_RUN, Reason.NO_SERVER)
+            self.server.apply_answer_identity(head.instance)
+            return Reply(Outcome.NOT_RUN, Reason.NO_SERVER)
         if head.not_run:
-            self._note_shed()
-            return Reply(Fate.NOT_RUN, Reason.SERVER_SHED)
+            self._log_rejection()
+            return Reply(Outcome.NOT_RUN, Reason.SERVER_SHED)
         if 200 <= answer.status < 300 and not head.signed:
-            return Reply(Fate.MAY_HAVE_RUN, Reason.BAD_ANSWER)
-        return Reply(Fate.ANSWERED, None, answer.status, head.passed_on, answer.body)
+            return Reply(Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER)
+        return Reply(
+            Outcome.ANSWERED, None, answer.status, head.forwarded_headers, answer.body
+        )
 
-    def _note_shed(self) -> None:
+    def _log_rejection(self) -> None:
         now_s = self.clock()
-        if now_s - self._shed_s > SHED_LINE_S:
+        if now_s - self._rejection_logged_s > REJECTION_LOG_INTERVAL_S:
             logger.info(
                 "server rejects calls",
                 in_flight=self.in_flight,
-                limit=self.server.compute_limit(),
+                limit=self.server.compute_concurrency_limit(),
             )
-            self._shed_s = now_s
+            self._rejection_logged_s = now_s
 
-    def _note_unreachable(self, now_s: float) -> None:
-        """Suspect what ran when connections broke, now that the server is gone."""
-        self.server.note_unreachable(now_s)
+    def _handle_unreachable(self, now_s: float) -> None:
+        """Report the calls on recently broken connections as suspects of a crash."""
+        self.server.mark_unreachable(now_s)
         self.on_change()
-        suspects = self._take_broken()
+        suspects = self._pop_broken()
         if suspects:
             self.on_crash(self.server.incarnation, suspects)
 
-    def _take_broken(self) -> list[Job]:
-        """Return what ran on connections that have just broken, once."""
+    def _pop_broken(self) -> list[Job]:
+        """Return the calls on recently broken connections, and forget them."""
         now_s = self.clock()
-        found = [job for at_s, job in self._broken if now_s - at_s < CRASH_SPAN_S]
-        self._broken.clear()
+        found = [
+            job
+            for at_s, job in self._broken_connections
+            if now_s - at_s < CRASH_WINDOW_S
+        ]
+        self._broken_connections.clear()
         return found
 
-    def _learn(
+    def _update_measures(
         self, job: Job, reply: Reply, now_s: float, failed: bool, lost: bool
     ) -> None:
-        if job.outlived:
+        if job.server_restarted:
             return
         if reply.reason is Reason.SERVER_SHED:
-            # it has slots left as far as is known, and yet runs nothing
-            self.measures.count_outcome(True)
-        if reply.fate is Fate.NOT_RUN or reply.reason is Reason.CANCELLED:
+            # the server rejects calls although it has free slots
+            self.measures.record_outcome(True)
+        if reply.outcome is Outcome.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
-        if self.quarantine.suspects and reply.fate is Fate.ANSWERED:
+        if self.quarantine.suspects and reply.outcome is Outcome.ANSWERED:
             self.quarantine.note_success(job.call.find_digest(), now_s)
         if lost:
-            self.measures.count_lost()
+            self.measures.record_lost_run()
         elif not (failed and job.silent):
-            self.measures.count_outcome(failed)
+            self.measures.record_outcome(failed)
         route_name = job.call.route.name
         if failed and not job.overdue:
             return
-        allowed_s = self.find_allowance(job.call.route)
+        allowed_s = self.find_time_allowance(job.call.route)
         self.measures.add_run(route_name, now_s - job.started_s, allowed_s)
 
-    def _fill(self) -> None:
-        """Start or refuse queued jobs now that there may be room."""
+    def _start_queued(self) -> None:
+        """Start or refuse queued jobs while slots are free."""
         now_s = self.clock()
-        limit = self.server.compute_limit()
+        limit = self.server.compute_concurrency_limit()
         while self._queue and self.in_flight < limit:
             job = heapq.heappop(self._queue)[-1]
             if job.ended:
                 continue
-            self._integrate(now_s)
-            self._count_waiting(job, -1)
-            reason = self._find_late_refusal(job.call, now_s)
+            self._update_queue_time(now_s)
+            self._change_waiting(job, -1)
+            reason = self._find_queued_refusal(job.call, now_s)
             if reason is None:
                 self._start(job, now_s)
             else:
                 self._refuse(job, reason)
 
-    def _find_late_refusal(self, call: Call, now_s: float) -> Reason | None:
-        """Return why a queued call can't run; a draining server still takes it."""
+    def _find_queued_refusal(self, call: Call, now_s: float) -> Reason | None:
+        """Return why a queued call cannot run; draining servers still run it."""
         reason = self._find_refusal(call, now_s)
         return None if reason is Reason.DRAINING else reason
--- a/eelgrassmount/relay/header_codec.py
+++ b/eelgrassmount/relay/header_codec.py
@@ -1,4 +1,4 @@
-"""How requests and answers are read and written at the edges of a node."""
+"""Interface of the codec for request and answer headers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @define(eq=False)
 class RequestHead:
-    """What a node needs from the headers of a request.
+    """The parsed headers of a request.
 
-    ``remaining_ms`` is how long the client will wait, ``None`` when it doesn't
-    say; ``passed_on`` are the header lines that go on to the server. ``api_key`` is
+    ``remaining_ms`` is the time until the client's deadline, ``None`` without one.
+    ``forwarded_headers`` are the header lines that the server receives. ``api_key`` is
     ``None`` without a key, and empty if there are several.
     """
 
@@ -23,26 +23,27 @@
     request_id: str = ""
     remaining_ms: int | None = None
     api_key: bytes | None = field(default=None, repr=False)
-    passed_on: bytes = b""
+    forwarded_headers: bytes = b""
 
 
 @define(eq=False)
 class AnswerHead:
-    """What a node needs from the headers of a server's answer.
+    """The parsed headers of a server's answer.
 
-    ``signed`` tells that the server vouches for the body, ``not_run`` that it did
-    not run the request, and ``instance`` which incarnation of the server spoke.
+    ``signed`` is set if the answer carries the server's signature, ``not_run`` if the
+    server did not run the request. ``instance`` is the identity of the server.
+    ``forwarded_headers`` are the header lines that the client receives.
     """
 
     signed: bool = False
     not_run: bool = False
     instance: str = ""
-    passed_on: bytes = b""
+    forwarded_headers: bytes = b""
 
 
 @frozen
-class Dialect:
-    """The functions that read and write headers, which an adapter supplies."""
+class HeaderCodec:
+    """The functions of an adapter that parse and write headers."""
 
     read_request: Callable[[list[tuple[bytes, bytes]]], RequestHead]
     write_team: Callable[[str], bytes]
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -1,4 +1,4 @@
-"""Calls that other nodes send to the backend server of this one."""
+"""Inbound links: calls from other nodes to the backend server of this node."""
 
 from __future__ import annotations
 
@@ -11,134 +11,137 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import FrameConnection, FrameKind, encode_frame
-from eelgrassmount.relay.messages import Call, Fate, Origin, Reply
+from eelgrassmount.relay.messages import Call, Origin, Outcome, Reply
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from eelgrassmount.errors import BadFrameError
-    from eelgrassmount.relay.dispatcher import Gate
-    from eelgrassmount.relay.frames import FrameTaker
+    from eelgrassmount.relay.dispatcher import Dispatcher
+    from eelgrassmount.relay.frames import FrameHandler
     from eelgrassmount.relay.routes import Route
 
-# replies to calls that must not run twice are kept for a sender that asks again
-KEEP_REPLY_S = 6.0
-# the numbers of a sender without a connection are kept as long as one of its calls
-# could be asked for again: longer than the time-outs of routes, which are seconds
-KEEP_SENDER_S = 600.0
-# runs whose link broke go on so long for a sender that comes again over a new one,
-# well within the half second in which those that nobody waits for are to end
-JOIN_WAIT_S = 0.3
-# a sender that has been quiet for longer gets no more reports
-ACTIVE_S = 3.0
+# How long a reply is stored for a sender that resumes its call.
+REPLY_RETENTION_S = 6.0
+# How long the highest sequence of a disconnected sender is stored. Must exceed the
+# timeout of every route, so that a resumed call is recognized.
+SENDER_RETENTION_S = 600.0
+# How long idempotent runs continue after their link broke, until the sender reconnects.
+REJOIN_TIMEOUT_S = 0.3
+# A sender that has sent no frame for longer gets only the reports sent to all senders.
+ACTIVE_WINDOW_S = 3.0
 
 
 @define(eq=False)
-class Kept:
-    """A call of another node, and its reply where that is kept."""
+class ReceivedCall:
+    """A call from another node: its running job, or its stored reply."""
 
     key: tuple[str, int]
     connection: InboundConnection
     job: Job | None = None
     reply: Reply | None = None
-    ended_s: float = 0.0
+    finished_s: float = 0.0
 
 
 @define
-class Numbering:
-    """The highest sequence of a sender, and when it last had a connection."""
+class SenderSequence:
+    """The highest sequence of a sender, and when the sender was last connected."""
 
     latest: int
-    seen_s: float
+    last_connected_s: float
 
 
 @define(eq=False)
-class Inbound:
-    """Takes links of other nodes.
-
-    A call is known by its sender's incarnation and sequence, so that one that comes
-    again, over whichever connection and in whichever order, is joined to the first.
-    Replies are kept for calls that must not run twice, and for those that had no
-    connection when they ended. ``senders`` holds the numbering of each sender.
+class InboundLinks:
+    """Accepts links from other nodes.
+
+    A call is identified by its sender, including the sender's incarnation, and its
+    sequence. A call that is received again, over any connection, is therefore matched
+    with the first one. Replies are stored for calls that are not idempotent, and for
+    calls that finished while their sender was disconnected. ``senders`` holds the
+    highest sequence of each sender.
     """
 
     incarnation: str
-    gate: Gate
+    dispatcher: Dispatcher
     clock: Callable[[], float]
     find_route: Callable[[str, bool], Route]
     make_hello: Callable[[], ttypes.RelayHello]
-    note_caller: Callable[[ttypes.RelayHello], bool]
-    take_frame: FrameTaker
+    register_caller: Callable[[ttypes.RelayHello], bool]
+    handle_frame: FrameHandler
     accepting: bool = True
     connections: set[InboundConnection] = field(factory=set)
-    kept: dict[tuple[str, int], Kept] = field(factory=dict)
-    senders: dict[str, Numbering] = field(factory=dict)
+    received_calls: dict[tuple[str, int], ReceivedCall] = field(factory=dict)
+    senders: dict[str, SenderSequence] = field(factory=dict)
     _server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Bind the address, raising `OSError` when that is not possible."""
+        """Listen on the address, raising `OSError` if it can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: InboundConnection(self), host, port, backlog=512, reuse_address=True
         )
 
     def end(self) -> None:
-        """Take nothing more and drop all links."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
-    def tell_all(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
-        """Send a frame to the nodes that send calls here."""
+    def broadcast(self, kind: FrameKind, struct: Any, only_active: bool = True) -> None:
+        """Send a frame to the active senders, or to all connected ones."""
         frame = encode_frame(kind, struct)
-        for connection in self._list_active() if only_active else self.connections:
+        for connection in (
+            self._list_active_connections() if only_active else self.connections
+        ):
             connection.send_encoded(frame)
 
-    def count_active(self) -> int:
-        """Return how many nodes have lately sent calls here."""
-        return len(self._list_active())
+    def count_active_senders(self) -> int:
+        """Return the number of connections that received a frame recently."""
+        return len(self._list_active_connections())
 
-    def _list_active(self) -> list[InboundConnection]:
-        oldest_s = self.clock() - ACTIVE_S
-        return [one for one in self.connections if one.heard_s > oldest_s]
+    def _list_active_connections(self) -> list[InboundConnection]:
+        oldest_s = self.clock() - ACTIVE_WINDOW_S
+        return [one for one in self.connections if one.last_received_s > oldest_s]
 
-    def note_sequence(self, sender: str, sequence: int) -> None:
-        """Take up the number of a call that a sender has made."""
-        numbering = self.senders.get(sender)
-        if numbering is None:
-            self.senders[sender] = Numbering(sequence, self.clock())
+    def record_sequence(self, sender: str, sequence: int) -> None:
+        """Record the sequence of a received call."""
+        sender_sequence = self.senders.get(sender)
+        if sender_sequence is None:
+            self.senders[sender] = SenderSequence(sequence, self.clock())
         else:
-            numbering.latest = max(sequence, numbering.latest)
+            sender_sequence.latest = max(sequence, sender_sequence.latest)
 
-    def find_latest(self, sender: str) -> int:
-        """Return the highest sequence of a sender, 0 when it is not known."""
-        numbering = self.senders.get(sender)
-        return 0 if numbering is None else numbering.latest
+    def find_latest_sequence(self, sender: str) -> int:
+        """Return the highest sequence of a sender, or 0 if the sender is unknown."""
+        sender_sequence = self.senders.get(sender)
+        return 0 if sender_sequence is None else sender_sequence.latest
 
     def expire(self) -> None:
-        """Forget replies and senders that nobody will ask for any more."""
+        """Delete replies and senders whose retention time has passed."""
         now_s = self.clock()
         self._expire_senders(now_s)
-        old = [
+        expired = [
             key
-            for key, kept in self.kept.items()
-            if kept.reply is not None and now_s - kept.ended_s > KEEP_REPLY_S
+            for key, received in self.received_calls.items()
+            if received.reply is not None
+            and now_s - received.finished_s > REPLY_RETENTION_S
         ]
-        for key in old:
-            del self.kept[key]
+        for key in expired:
+            del self.received_calls[key]
 
     def _expire_senders(self, now_s: float) -> None:
         present = {connection.sender for connection in self.connections}
-        for sender, numbering in list(self.senders.items()):
+        for sender, sender_sequence in list(self.senders.items()):
             if sender in present:
-                numbering.seen_s = now_s
-            elif now_s - numbering.seen_s > KEEP_SENDER_S:
+                sender_sequence.last_connected_s = now_s
+            elif now_s - sender_sequence.last_connected_s > SENDER_RETENTION_S:
                 del self.senders[sender]
 
     def count_open(self) -> int:
-        """Return how many calls of other nodes have no reply yet, or not all of it."""
+        """Return the number of open calls, plus connections with unsent bytes."""
         return sum(
             len(connection.jobs) + connection.is_sending()
             for connection in self.connections
@@ -146,37 +149,37 @@
 
 
 class InboundConnection(FrameConnection):
-    """One link of another node."""
+    """A connection that another node has opened."""
 
-    def __init__(self, inbound: Inbound):
+    def __init__(self, inbound: InboundLinks):
         super().__init__()
         self.inbound = inbound
         self.jobs: dict[int, Job] = {}
         self.sender = ""
-        self.heard_s = inbound.clock()
+        self.last_received_s = inbound.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Say who this node is."""
+        """Send a hello (called by the event loop)."""
         super().connection_made(transport)
         self.inbound.connections.add(self)
         self.send(FrameKind.HELLO, self.inbound.make_hello())
 
-    def note_lost(self) -> None:
-        """Give up soon what the sender doesn't ask for again."""
+    def handle_connection_lost(self) -> None:
+        """Cancel idempotent runs unless the sender resumes them in time."""
         if self.jobs:
-            self._wait_to_join(self.inbound.clock())
+            self._schedule_drop(self.inbound.clock())
         else:
             self._drop()
 
-    def _wait_to_join(self, begun_s: float) -> None:
+    def _schedule_drop(self, waiting_since_s: float) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(JOIN_WAIT_S, self._end_wait, begun_s)
+        loop.call_later(REJOIN_TIMEOUT_S, self._drop_unless_paused, waiting_since_s)
 
-    def _end_wait(self, begun_s: float) -> None:
-        """Drop what was not joined, unless this node paused and heard nobody."""
+    def _drop_unless_paused(self, waiting_since_s: float) -> None:
+        """Drop the remaining jobs, or wait again if this process was paused."""
         now_s = self.inbound.clock()
-        if now_s - begun_s > 2 * JOIN_WAIT_S:
-            self._wait_to_join(now_s)
+        if now_s - waiting_since_s > 2 * REJOIN_TIMEOUT_S:
+            self._schedule_drop(now_s)
         else:
             self._drop()
 
@@ -187,72 +190,73 @@
                 self._cancel(sequence)
         self.jobs.clear()
 
-    def note_bad(self, error: BadFrameError) -> None:
-        """Say that the other node sent what is no frame."""
+    def handle_bad_frame(self, error: BadFrameError) -> None:
+        """Log that the peer sent an invalid frame."""
         logger.warning("bad frame", peer=self.sender, cause=str(error))
 
-    def note_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Handle a frame of the other node."""
-        self.heard_s = self.inbound.clock()
+    def handle_frame(self, kind: FrameKind, struct: Any) -> None:
+        """Handle a frame from the peer."""
+        self.last_received_s = self.inbound.clock()
         if kind is FrameKind.CALL:
-            self._take_call(struct)
+            self._handle_call(struct)
         elif kind is FrameKind.CANCEL:
             self._cancel(struct.sequence)
         elif kind is FrameKind.HELLO:
             self.sender = f"{struct.node_name}/{struct.incarnation}"
-            if self.inbound.note_caller(struct):
+            if self.inbound.register_caller(struct):
                 self.send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(0))
         elif kind is FrameKind.PING:
             self.send(FrameKind.PING, struct)
         else:
-            self.inbound.take_frame(kind, struct, self.send)
+            self.inbound.handle_frame(kind, struct, self.send)
 
-    def _take_call(self, frame: ttypes.RelayCall) -> None:
-        if self._join(frame):
+    def _handle_call(self, frame: ttypes.RelayCall) -> None:
+        if self._resume_call(frame):
             return
         sequence = frame.sequence
-        kept = Kept((self.sender, sequence), self)
-        job = Job(self._read_call(frame), lambda reply: self._end(kept, reply))
-        kept.job = job
-        self.inbound.kept[kept.key] = kept
-        self.inbound.note_sequence(self.sender, sequence)
+        received = ReceivedCall((self.sender, sequence), self)
+        job = Job(self._read_call(frame), lambda reply: self._finish(received, reply))
+        received.job = job
+        self.inbound.received_calls[received.key] = received
+        self.inbound.record_sequence(self.sender, sequence)
         self.jobs[sequence] = job
         if self.inbound.accepting:
-            self.inbound.gate.offer(job)
+            self.inbound.dispatcher.submit(job)
         else:
             job.ended = True
-            job.done(Reply(Fate.NOT_RUN, Reason.DRAINING))
+            job.done(Reply(Outcome.NOT_RUN, Reason.DRAINING))
 
-    def _join(self, frame: ttypes.RelayCall) -> bool:
-        """Join a call that has come before; tell whether that settles it."""
-        kept = self.inbound.kept.get((self.sender, frame.sequence))
-        if kept is not None:
-            self._move(kept, frame)
+    def _resume_call(self, frame: ttypes.RelayCall) -> bool:
+        """Match a call with an earlier one; return whether it needs no new run."""
+        received = self.inbound.received_calls.get((self.sender, frame.sequence))
+        if received is not None:
+            self._reattach(received, frame)
             return True
         if self._may_have_run(frame):
-            reply = Reply(Fate.MAY_HAVE_RUN, Reason.PEER_LOST)
+            reply = Reply(Outcome.MAY_HAVE_RUN, Reason.PEER_LOST)
             self._send_reply(frame.sequence, reply)
             return True
         return False
 
-    def _move(self, kept: Kept, frame: ttypes.RelayCall) -> None:
-        if kept.reply is not None:
-            self._send_reply(frame.sequence, kept.reply)
+    def _reattach(self, received: ReceivedCall, frame: ttypes.RelayCall) -> None:
+        if received.reply is not None:
+            self._send_reply(frame.sequence, received.reply)
         elif frame.resumed:
-            # one that is not marked comes late from a connection that is given up
-            kept.connection.jobs.pop(frame.sequence, None)
-            kept.connection = self
-            self.jobs[frame.sequence] = kept.job
+            # A duplicate that is not marked comes late from an abandoned connection.
+            received.connection.jobs.pop(frame.sequence, None)
+            received.connection = self
+            self.jobs[frame.sequence] = received.job
 
     def _may_have_run(self, frame: ttypes.RelayCall) -> bool:
-        """Tell whether a call that is not known has come before, here or elsewhere.
+        """Return whether an unknown call may have run before.
 
-        A sender numbers its calls in the order in which it sends them, also those whose
-        replies have been forgotten.
+        A resumed call for another incarnation of this node may have run there. A sender
+        numbers its calls in increasing order, so that a call whose reply has expired is
+        recognized by its sequence.
         """
         if frame.resumed and frame.incarnation != self.inbound.incarnation:
             return True
-        return frame.sequence <= self.inbound.find_latest(self.sender)
+        return frame.sequence <= self.inbound.find_latest_sequence(self.sender)
 
     def _read_call(self, frame: ttypes.RelayCall) -> Call:
         now_s = self.inbound.clock()
@@ -272,44 +276,44 @@
             frame.again,
         )
 
-    def _end(self, kept: Kept, reply: Reply) -> None:
-        idempotent = kept.job.call.route.idempotent
-        # only the reply is asked for again
-        kept.job = None
-        sequence = kept.key[1]
-        connection = kept.connection
-        wanted = connection.jobs.pop(sequence, None) is not None
-        if idempotent and not (wanted and connection.closed):
-            self.inbound.kept.pop(kept.key, None)
+    def _finish(self, received: ReceivedCall, reply: Reply) -> None:
+        idempotent = received.job.call.route.idempotent
+        # The job is no longer needed: a sender that resumes the call needs the reply.
+        received.job = None
+        sequence = received.key[1]
+        connection = received.connection
+        awaited = connection.jobs.pop(sequence, None) is not None
+        if idempotent and not (awaited and connection.closed):
+            self.inbound.received_calls.pop(received.key, None)
         else:
-            kept.reply = reply
-            kept.ended_s = self.inbound.clock()
-        if wanted:
+            received.reply = reply
+            received.finished_s = self.inbound.clock()
+        if awaited:
             connection._send_reply(sequence, reply)
 
     def _cancel(self, sequence: int) -> None:
         job = self.jobs.pop(sequence, None)
         if job is None:
             return
-        self.inbound.gate.cancel(job)
-        kept = self.inbound.kept.get((self.sender, sequence))
-        if kept is not None and kept.job is job and job.ended:
-            # it waited at the gate, which tells of it no more
-            kept.job = None
-            del self.inbound.kept[kept.key]
+        self.inbound.dispatcher.cancel(job)
+        received = self.inbound.received_calls.get((self.sender, sequence))
+        if received is not None and received.job is job and job.ended:
+            # The dispatcher does not call back for a job cancelled in its queue.
+            received.job = None
+            del self.inbound.received_calls[received.key]
 
     def _send_reply(self, sequence: int, reply: Reply) -> None:
-        gate = self.inbound.gate
+        dispatcher = self.inbound.dispatcher
         self.send(
             FrameKind.REPLY,
             ttypes.RelayReply(
                 sequence,
-                int(reply.fate),
+                int(reply.outcome),
                 reply.reason,
                 reply.status,
                 reply.head,
                 reply.body,
-                gate.in_flight,
-                gate.queued,
+                dispatcher.in_flight,
+                dispatcher.queued,
             ),
         )
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -1,4 +1,4 @@
-"""Requests of the clients and of the server on this VM, as they arrive."""
+"""Entry point for the requests of clients and of the local backend server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from eelgrassmount.relay.messages import Call, Origin
 from eelgrassmount.relay.routes import RouteTable, TargetChooser
-from eelgrassmount.relay.sender import Flow
+from eelgrassmount.relay.sender import PendingRequest
 from eelgrassmount.teams.access import judge_key
 from eelgrassmount.verdict import Reason
 
@@ -18,48 +18,48 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.call_attribution import Lineage, MadeCall
-    from eelgrassmount.relay.header_codec import Dialect, RequestHead
-    from eelgrassmount.relay.responder import Answering
+    from eelgrassmount.relay.call_attribution import CallAttributor, DownstreamCall
+    from eelgrassmount.relay.header_codec import HeaderCodec, RequestHead
+    from eelgrassmount.relay.responder import Responder
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaTaker, QuotaVerdict
 
-# without a deadline of the client, a request is kept this long at most
+# used for requests without a deadline
 DEFAULT_REMAINING_MS = 60_000
 
 
 @define(eq=False)
-class Entry:
-    """Takes requests and decides whether each of them may begin.
-
-    ``note_called`` hears of each route that is asked for on this VM, and
-    ``note_client`` instead where a client must have done so; ``is_inner``
-    tells whether running servers call a route, whose calls are not refused here.
-    ``is_of_clients`` tells whether clients are seen to use a route.
-    ``is_current`` tells whether this node knows what stands on the log now.
+class Ingress:
+    """Receives requests and decides whether to admit them.
+
+    ``record_client_request`` is called for requests that certainly come from a client,
+    ``record_request`` for all others. ``is_called_by_servers`` returns whether running
+    servers call a route; such calls are not subject to admission control.
+    ``is_client_route`` returns whether clients are known to use a route. ``is_current``
+    returns whether this node has read the log up to its end.
     """
 
-    own_service: Callable[[], str]
-    dialect: Dialect
-    answers: Answering
+    get_local_service: Callable[[], str]
+    dialect: HeaderCodec
+    answers: Responder
     admission: Admission
     quarantine: Quarantine
     clock: Callable[[], float]
     rng: random.Random
-    is_inner: Callable[[str], bool]
-    is_of_clients: Callable[[str], bool]
-    note_called: Callable[[str], None]
-    note_client: Callable[[str], None]
-    lineage: Lineage
+    is_called_by_servers: Callable[[str], bool]
+    is_client_route: Callable[[str], bool]
+    record_request: Callable[[str], None]
+    record_client_request: Callable[[str], None]
+    lineage: CallAttributor
     is_current: Callable[[], bool]
     quotas: QuotaTaker
     table: RouteTable = field(factory=RouteTable)
     chooser: TargetChooser = field(factory=TargetChooser)
 
     def handle(self, exchange: Exchange) -> None:
-        """Take a request."""
+        """Handle a new request."""
         head = self.dialect.read_request(exchange.headers)
         table = self.table
         if table.version == 0:
@@ -69,27 +69,27 @@
         path = exchange.target.partition("?")[0]
         route = table.find(head.host, path)
         if route is None:
-            self.answers.answer_unknown(exchange, head)
+            self.answers.answer_unknown_route(exchange, head)
             return
         access = judge_key(table.teams, route.needs_key, head.api_key, self.is_current)
         team = access.team
         if team is not None and team.has_quota():
-            self._take_quota(exchange, head, route, team)
+            self._request_quota(exchange, head, route, team)
         elif access.refusal is None:
             self._admit(exchange, head, route, team)
         elif access.refusal is Reason.API_KEY_UNJUDGED:
             reason = access.refusal
             self.answers.refuse_uninformed(exchange, head, route.name, reason)
         else:
-            self.answers.refuse_access(exchange, head, route.name, access.refusal)
+            self.answers.refuse_unauthorized(exchange, head, route.name, access.refusal)
 
-    def _take_quota(
+    def _request_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
     ) -> None:
-        """Begin a request if its team's quota allows it.
+        """Admit a request if the quota of its team allows it.
 
-        It is asked before all else: what a team may not use must not count as offered,
-        nor keep anything of others waiting.
+        The quota is checked first: requests beyond it must not count as offered load or
+        delay the requests of other teams.
         """
 
         def decide(verdict: QuotaVerdict) -> None:
@@ -106,51 +106,51 @@
     def _admit(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team | None
     ) -> None:
-        """Begin a request unless what it leads to is short of room."""
+        """Forward a request unless it is limited by overload or quarantined."""
         if team is None:
-            self.note_called(route.name)
+            self.record_request(route.name)
         else:
-            self.note_client(route.name)
+            self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
-        made = None
-        # calls of servers have no key
-        if team is None and self._may_be_call(route):
-            made = self._find_caller(exchange, head, route)
-        origin = self._find_origin(route, team, made)
-        call = self._make_call(exchange, head, route, team, deadline_s, origin)
-        counted = team if team is not None and team.has_quota() else None
-        flow = Flow(exchange, call, made, counted)
-        if not origin.inner and not self.admission.allows(call.demand):
-            self.answers.refuse(flow, Reason.OVERLOAD)
+        made_call = None
+        # downstream calls carry no API key
+        if team is None and self._may_be_downstream_call(route):
+            made_call = self._find_caller(exchange, head, route)
+        origin = self._find_origin(route, team, made_call)
+        call = self._create_call(exchange, head, route, team, deadline_s, origin)
+        quota_team = team if team is not None and team.has_quota() else None
+        pending = PendingRequest(exchange, call, made_call, quota_team)
+        if not origin.downstream and not self.admission.try_admit(call.demand):
+            self.answers.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
-            self.answers.refuse(flow, Reason.QUARANTINED)
+            self.answers.refuse(pending, Reason.QUARANTINED)
             return
-        self.answers.begin(flow)
+        self.answers.start(pending)
 
     def _find_origin(
-        self, route: Route, team: Team | None, made: MadeCall | None
+        self, route: Route, team: Team | None, made_call: DownstreamCall | None
     ) -> Origin:
-        """Return the request that a call belongs to; without a known run, a new one."""
-        if made is not None:
-            return made.make_origin()
-        left = self.lineage.count_runs(route.name)
-        if team is None and self.is_inner(route.name):
-            # a call without a known run is refused last
-            return Origin(0, inner=True, left=left)
-        return Origin(self.table.find_rank(route, team), left=left)
-
-    def _may_be_call(self, route: Route) -> bool:
-        """Tell whether a request without a key may be a call of a server."""
-        if self.is_inner(route.name):
+        """Return the client request that a call belongs to, or a new origin."""
+        if made_call is not None:
+            return made_call.make_origin()
+        remaining_runs = self.lineage.count_runs(route.name)
+        if team is None and self.is_called_by_servers(route.name):
+            # unattributed downstream calls get the highest priority
+            return Origin(0, downstream=True, remaining_runs=remaining_runs)
+        return Origin(self.table.find_rank(route, team), remaining_runs=remaining_runs)
+
+    def _may_be_downstream_call(self, route: Route) -> bool:
+        """Return whether a request without a key may be a downstream call."""
+        if self.is_called_by_servers(route.name):
             return True
         keyed = self.table.teams.is_required and not route.needs_key
-        return keyed and not self.is_of_clients(route.name)
+        return keyed and not self.is_client_route(route.name)
 
     def _find_caller(
         self, exchange: Exchange, head: RequestHead, route: Route
-    ) -> MadeCall | None:
-        """Return the run that a call belongs to, as far as it can be told."""
+    ) -> DownstreamCall | None:
+        """Return the run that made a call, ``None`` if unknown."""
         remaining_ms = head.remaining_ms
         if remaining_ms is None:
             remaining_ms = DEFAULT_REMAINING_MS
@@ -167,7 +167,7 @@
             remaining_ms = DEFAULT_REMAINING_MS
         return exchange.arrived_s + min(remaining_ms / 1000, route.timeout_s)
 
-    def _make_call(
+    def _create_call(
         self,
         exchange: Exchange,
         head: RequestHead,
@@ -176,17 +176,17 @@
         deadline_s: float,
         origin: Origin,
     ) -> Call:
-        lines = head.passed_on
+        head_lines = head.forwarded_headers
         if team is not None:
-            lines += self.dialect.write_team(team.name)
+            head_lines += self.dialect.write_team(team.name)
         return Call(
             head.request_id,
             route,
             self.chooser.choose(route, self.rng.random()),
-            self.own_service(),
+            self.get_local_service(),
             exchange.method,
             exchange.target,
-            lines,
+            head_lines,
             exchange.body,
             exchange.arrived_s,
             deadline_s,
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -1,4 +1,4 @@
-"""Calls and what became of them."""
+"""Calls, their origin and their replies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from attrs import define, frozen
 
 from eelgrassmount.context import compute_digest
-from eelgrassmount.policy.shedding import Demand
+from eelgrassmount.policy.shedding import RequestClass
 
 if TYPE_CHECKING:
     from eelgrassmount.relay.routes import Route
@@ -16,8 +16,8 @@
     from eelgrassmount.verdict import Reason
 
 
-class Fate(IntEnum):
-    """Whether a call has its answer, or else whether it may have run."""
+class Outcome(IntEnum):
+    """Whether a call was answered, did not run, or may have run."""
 
     ANSWERED = 0
     NOT_RUN = 1
@@ -26,29 +26,29 @@
 
 @frozen
 class Origin:
-    """The request of a client that a call belongs to, as far as it is known.
+    """The client request that a call belongs to, as far as it is known.
 
-    ``priority`` is the request's rank, of which 0 is refused last. A call is
-    ``inner`` if a running server made it, and ``repeated`` if a run that leads to it
-    was a repeat. ``left`` counts the runs that the request still needs, as far as is
-    known, this one included.
+    ``priority`` is the rank of the request; requests of rank 0 are refused last. A call
+    is ``downstream`` if a running server made it, and ``within_retry`` if a run above
+    it was a retry. ``remaining_runs`` estimates the runs that the request still needs,
+    this one included.
     """
 
     priority: int
-    inner: bool = False
-    repeated: bool = False
-    left: int = 1
+    downstream: bool = False
+    within_retry: bool = False
+    remaining_runs: int = 1
 
 
 @define(eq=False)
 class Reply:
-    """What became of one sending of a call.
+    """The result of one attempt of a call.
 
-    ``head`` holds whole header lines of the server's answer. ``reason`` says why
-    there is no answer.
+    ``head`` holds whole header lines of the server's answer. ``reason`` says why there
+    is no answer.
     """
 
-    fate: Fate
+    outcome: Outcome
     reason: Reason | None = None
     status: int = 0
     head: bytes = b""
@@ -57,12 +57,12 @@
 
 @define(eq=False)
 class Call:
-    """A request on its way to a backend server.
+    """A request that is forwarded to a backend server.
 
-    ``head`` is the block of header lines that goes on to the server unchanged.
-    ``deadline_s`` is on the node's steady clock. It was ``asked_before`` when another
-    gate has counted it, and goes out ``again`` when an earlier sending may have reached
-    a server, so that the retry budget has to hold it.
+    ``head`` is the block of header lines that the server gets unchanged. ``deadline_s``
+    is on the node's monotonic clock. A call that another dispatcher has counted is
+    ``counted_as_demand``. A call ``is_retry`` if an earlier attempt may have reached a
+    server; retries are charged to the retry budget.
     """
 
     request_id: str
@@ -76,24 +76,24 @@
     arrived_s: float
     deadline_s: float
     origin: Origin
-    asked_before: bool = False
-    again: bool = False
+    counted_as_demand: bool = False
+    is_retry: bool = False
     _digest: str = ""
 
     @property
-    def demand(self) -> Demand:
-        """Return the demand that a request of a client belongs to."""
-        return Demand(self.route.name, self.origin.priority)
+    def demand(self) -> RequestClass:
+        """Return the demand of a client request."""
+        return RequestClass(self.route.name, self.origin.priority)
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
-        """Tell whether servers may not be given this content, which crashed others."""
-        # without suspects, the digest is not worked out
+        """Return whether this content is quarantined for crashing servers."""
+        # the digest is only needed if there are suspects
         if not quarantine.suspects:
             return False
         return quarantine.check(self.find_digest(), now_s) is not None
 
     def find_digest(self) -> str:
-        """Return a digest of the content, worked out when it is first needed."""
+        """Return a digest of the content, computed on first use."""
         if not self._digest:
             path = f"{self.caller_service} {self.target}"
             self._digest = compute_digest(self.method, path, self.body)
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -1,4 +1,4 @@
-"""What a node takes up from other nodes, and what it tells them at once."""
+"""Handling of hellos, reports, configurations and crash reports of other nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.controllers import MS, PPM, SCALE
+from eelgrassmount.relay.controllers import MS_PER_S, PER_MILLE, PPM
 from eelgrassmount.relay.frames import QUOTA_KINDS, FrameKind
 from eelgrassmount.relay.rows import read_rows
 from eelgrassmount.retry.quarantine import QUARANTINE_S, Suspect
@@ -18,33 +18,33 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.dispatcher import Job
-    from eelgrassmount.relay.frames import FrameTaker
+    from eelgrassmount.relay.frames import FrameHandler
     from eelgrassmount.relay.heartbeats import ServerIncarnation
     from eelgrassmount.relay.members import Member
-    from eelgrassmount.relay.shared_state import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.topics.readers import LogReaders
 
 
-# a node that was asked for a configuration and does not send it is given so long
-ASK_AGAIN_S = 0.3
+# Time before the same configuration version is requested from another node.
+CONFIG_REQUEST_TIMEOUT_S = 0.3
 
 
 @define(eq=False)
-class News:
-    """What a node takes up from other nodes."""
+class PeerUpdates:
+    """Applies updates from other nodes, and reports crashes to them."""
 
-    beliefs: Beliefs
+    node_state: SharedState
     quarantine: Quarantine
     apply_document: Callable[[bytes], None]
-    tell_all: Callable[[FrameKind, object], None]
+    broadcast: Callable[[FrameKind, object], None]
     readers: LogReaders
-    take_quota_frame: FrameTaker
-    _asked_version: int = 0
-    _asked_s: float = -math.inf
+    handle_quota_frame: FrameHandler
+    _requested_version: int = 0
+    _requested_s: float = -math.inf
 
-    def note_hello(self, member: Member, hello: ttypes.RelayHello) -> None:
-        """Take up who is at the other end of a link."""
+    def handle_hello(self, member: Member, hello: ttypes.RelayHello) -> None:
+        """Check which node accepted a link; replace the member if it is another one."""
         if hello.node_name != member.name or hello.service_name != member.service:
             logger.info(
                 "another node at the address",
@@ -54,134 +54,136 @@
             )
             address = member.address
             domain = member.failure_domain
-            self.beliefs.members.remove(member.name)
-            if hello.node_name != self.beliefs.name:
-                self.beliefs.members.put(
+            self.node_state.members.remove(member.name)
+            if hello.node_name != self.node_state.name:
+                self.node_state.members.put(
                     hello.node_name, address, domain, hello.service_name
                 )
             return
-        self._note_version(member, hello.config_version)
+        self._request_newer_config(member, hello.config_version)
         self.readers.note_linked(member)
 
-    def note_caller(self, hello: ttypes.RelayHello) -> bool:
-        """Take up a node that has opened a link; tell whether it knows more.
+    def register_caller(self, hello: ttypes.RelayHello) -> bool:
+        """Add the node that opened a link; return whether its configuration is newer.
 
-        A node that starts while the log is away learns of the others in this way.
+        This is how a node that starts while the log is unavailable finds its peers.
         """
-        beliefs = self.beliefs
-        if hello.address and hello.node_name != beliefs.name:
-            beliefs.members.put(
+        node_state = self.node_state
+        if hello.address and hello.node_name != node_state.name:
+            node_state.members.put(
                 hello.node_name,
                 hello.address,
                 hello.failure_domain,
                 hello.service_name,
             )
-        return (hello.config_version or 0) > beliefs.table.version
+        return (hello.config_version or 0) > node_state.table.version
 
-    def note_report(self, member: Member, report: ttypes.RelayReport) -> None:
-        """Take up the load of another node's server.
+    def handle_report(self, member: Member, report: ttypes.RelayReport) -> None:
+        """Store the load of another node's backend server.
 
-        What describes one start of the server is replaced by each report, and one is
-        sent as soon as it has started again. Counts and vectors come with few reports
-        and stay in between: they tell of the VM's calls and of what the service's
-        program does, which a restart doesn't change.
+        Each report replaces the values of the current incarnation of the server. Only
+        some reports carry call counts and vectors; the last ones are retained, also
+        when the server restarts, since they don't depend on its incarnation.
         """
         load = member.load
         load.accepting = report.accepting
         load.in_flight = report.in_flight
         load.queued = report.queued
         load.limit = report.limit
-        load.demand = report.demand / SCALE
-        load.wait = report.wait / SCALE
+        load.demand = report.demand / PER_MILLE
+        load.wait = report.wait / PER_MILLE
         load.failure_share = report.failures_ppm / PPM
         load.lost_share = report.lost_ppm / PPM
-        load.run_s = {time.route_name: time.run_ms / MS for time in report.times}
-        load.reported_s = self.beliefs.clock()
+        load.run_s = {time.route_name: time.run_ms / MS_PER_S for time in report.times}
+        load.reported_s = self.node_state.clock()
         if report.counts:
-            load.called = {one.route_name: one.count for one in report.counts}
-        member.sent_since = 0
+            load.request_counts = {one.route_name: one.count for one in report.counts}
+        member.sent_since_report = 0
         if report.calls:
             load.vectors = read_rows(report.calls)
-        self._note_version(member, report.config_version)
+        self._request_newer_config(member, report.config_version)
 
-    def _note_version(self, member: Member, version: int) -> None:
+    def _request_newer_config(self, member: Member, version: int) -> None:
         if member.link is not None:
-            self._ask_for_version(version, member.link.send)
+            self._request_config(version, member.link.send)
 
-    def _ask_for_version(
+    def _request_config(
         self, version: int, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Ask for a later configuration, of one node at a time.
+        """Request a newer configuration, from one node at a time.
 
-        Several tell of it within milliseconds, and with a thousand routes it is long.
+        Several nodes announce a new version at once, and the document can be large.
         """
-        known = self.beliefs.table.version
-        now_s = self.beliefs.clock()
-        asked = version <= self._asked_version and now_s - self._asked_s < ASK_AGAIN_S
-        if version <= known or asked:
+        local_version = self.node_state.table.version
+        now_s = self.node_state.clock()
+        requested = (
+            version <= self._requested_version
+            and now_s - self._requested_s < CONFIG_REQUEST_TIMEOUT_S
+        )
+        if version <= local_version or requested:
             return
-        self._asked_version = version
-        self._asked_s = now_s
-        send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(known))
+        self._requested_version = version
+        self._requested_s = now_s
+        send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(local_version))
 
-    def take_frame(
+    def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Handle a frame that either end of a link may send; ``send`` answers it."""
+        """Handle a frame that either end of a link may send; reply with ``send``."""
         if kind in QUOTA_KINDS:
-            self.take_quota_frame(kind, struct, send)
+            self.handle_quota_frame(kind, struct, send)
         elif kind is FrameKind.SUSPECTS:
-            self.note_suspects(struct)
+            self.record_suspects(struct)
         elif kind is FrameKind.SUBSCRIBE:
             self.readers.note_subscribe(struct, send)
         elif kind is FrameKind.NEWS:
             self.readers.note_news(struct)
-            self._ask_for_version(struct.config_version, send)
+            self._request_config(struct.config_version, send)
         elif kind is FrameKind.CONFIG:
-            self.note_config(struct)
+            self.handle_config(struct)
         elif kind is FrameKind.CONFIG_REQUEST:
-            config = self.find_config(struct.known_version)
+            config = self.find_newer_config(struct.known_version)
             if config is not None:
                 send(FrameKind.CONFIG, config)
 
-    def note_config(self, config: ttypes.RelayConfig) -> None:
-        """Take up a configuration that another node has sooner."""
-        if config.version > self.beliefs.table.version:
+    def handle_config(self, config: ttypes.RelayConfig) -> None:
+        """Apply the configuration of another node if it is newer."""
+        if config.version > self.node_state.table.version:
             self.apply_document(config.document)
 
-    def find_config(self, known_version: int) -> ttypes.RelayConfig | None:
-        """Return the configuration for a node that has an older one."""
-        beliefs = self.beliefs
-        if beliefs.table.version <= known_version:
+    def find_newer_config(self, known_version: int) -> ttypes.RelayConfig | None:
+        """Return the configuration if it is newer than ``known_version``."""
+        node_state = self.node_state
+        if node_state.table.version <= known_version:
             return None
-        return ttypes.RelayConfig(beliefs.table.version, beliefs.document)
+        return ttypes.RelayConfig(node_state.table.version, node_state.document)
 
-    def note_crash(self, ended: ServerIncarnation, jobs: list[Job]) -> None:
-        """Suspect what ran when the server crashed, and tell the other nodes.
+    def handle_crash(self, incarnation: ServerIncarnation, jobs: list[Job]) -> None:
+        """Suspect the requests that ran when the server crashed, and notify all peers.
 
-        A crash that is found in two ways counts once, and those of two starts under
-        one identity count twice. What is suspected outlives the start: the content
-        may crash the next one too.
+        A crash is identified by the server's incarnation: one crash detected twice
+        counts once, and crashes of two incarnations count twice. Suspects outlive the
+        incarnation, since their content may crash the next one too.
         """
-        crash_id = f"{self.beliefs.name}/{ended}"
+        crash_id = f"{self.node_state.name}/{incarnation}"
         digests = [job.call.find_digest() for job in jobs]
         logger.warning(
             "server crashed",
-            incarnation=str(ended),
+            incarnation=str(incarnation),
             running=len(jobs),
             requests=[job.call.request_id for job in jobs[:4]],
         )
         suspects = ttypes.RelaySuspects(crash_id, digests)
-        self.note_suspects(suspects)
-        self.tell_all(FrameKind.SUSPECTS, suspects)
+        self.record_suspects(suspects)
+        self.broadcast(FrameKind.SUSPECTS, suspects)
 
-    def note_suspects(self, suspects: ttypes.RelaySuspects) -> None:
-        """Count a crash against the contents that ran when it came."""
-        now_s = self.beliefs.clock()
-        calls = frozenset([suspects.crash_id])
+    def record_suspects(self, suspects: ttypes.RelaySuspects) -> None:
+        """Count a crash against the request contents that ran at the time."""
+        now_s = self.node_state.clock()
+        crash_ids = frozenset([suspects.crash_id])
         self.quarantine.merge(
             [
-                Suspect(digest, calls, now_s + QUARANTINE_S)
+                Suspect(digest, crash_ids, now_s + QUARANTINE_S)
                 for digest in suspects.digests
             ],
             now_s,
--- a/eelgrassmount/relay/persistent_connections.py
+++ b/eelgrassmount/relay/persistent_connections.py
@@ -1,4 +1,4 @@
-"""Calls over connections that are kept from one to the next."""
+"""HTTP calls over persistent connections."""
 
 from __future__ import annotations
 
@@ -14,45 +14,46 @@
     from eelgrassmount.http1.client import ClientConnection
     from eelgrassmount.util.addresses import Address
 
-CONNECT_LIMIT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 @define(eq=False)
-class KeptConnections:
-    """Connections to one address, one for each kind of call.
+class PersistentConnections:
+    """Persistent connections to one address, one for each kind of call.
 
-    Nothing is sent a second time from here, because a call without an answer may
-    have been done.
+    Calls are never retried here: a call without an answer may have run.
     """
 
     address: Address
     _connections: dict[str, ClientConnection] = field(factory=dict)
 
     async def call(
-        self, kind: str, data: bytes, limit_s: float
+        self, kind: str, data: bytes, timeout_s: float
     ) -> ClientAnswer | StoreFailure:
         """Send a request and return its answer."""
         connection = self._connections.pop(kind, None)
         if connection is None or connection.closed:
             try:
-                connection = await open_connection(self.address, CONNECT_LIMIT_S)
+                connection = await open_connection(self.address, CONNECT_TIMEOUT_S)
             except OSError as error:
                 return StoreFailure(FailureKind.UNREACHABLE, repr(error))
         outcome: asyncio.Future[ClientAnswer | Break] = (
             asyncio.get_running_loop().create_future()
         )
 
-        def note(answer: ClientAnswer | Break) -> None:
+        def on_answer(answer: ClientAnswer | Break) -> None:
             if not outcome.done():
                 outcome.set_result(answer)
 
-        connection.send(data, note)
+        connection.send(data, on_answer)
         try:
-            answer = await asyncio.wait_for(outcome, limit_s)
+            answer = await asyncio.wait_for(outcome, timeout_s)
         except TimeoutError:
-            return StoreFailure(FailureKind.UNANSWERED, f"silent for {limit_s} s")
+            return StoreFailure(
+                FailureKind.UNANSWERED, f"no answer within {timeout_s} s"
+            )
         finally:
-            # a connection on which an answer is missing gives nothing further
+            # a connection with an unanswered request cannot be reused
             if not outcome.done() or outcome.cancelled():
                 connection.cancel()
         if isinstance(answer, Break):
@@ -62,7 +63,7 @@
         return answer
 
     def end(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         for connection in self._connections.values():
             connection.close()
         self._connections.clear()
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -1,4 +1,4 @@
-"""What others sent and was not taken up: counted, and told within bounds."""
+"""Counts and logs rejected messages of peers and of the log."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# a source that goes on is told of again after so long
-LINE_PERIOD_S = 60.0
-# sources and causes that are told apart; those beyond are counted only
-MAX_TOLD = 256
-# characters of a source or an error in a line
-MAX_SHOWN = 200
+# minimum time between lines on the same source and cause
+LOG_INTERVAL_S = 60.0
+# causes beyond this are counted but not logged
+MAX_TRACKED_CAUSES = 256
+# longest source or detail in a line
+MAX_SHOWN_CHARS = 200
 
 
 class MessageKind(StrEnum):
-    """What kind of message was refused; the label of its counter."""
+    """Kind of a rejected message; also the label of its metric."""
 
     ANNOUNCEMENT = "announcement"
     CONFIGURATION = "configuration"
@@ -30,15 +30,14 @@
 
 
 @define(eq=False)
-class RefusedMessages:
-    """Counts messages that were not taken up, by kind.
+class RejectedMessages:
+    """Counts rejected messages by kind and logs them at a limited rate.
 
-    A line is written once in `LINE_PERIOD_S` for each source and cause, so that a
-    writer which never stops does not fill the logs. ``count`` raises the counter of
-    a kind.
+    Each source and cause is logged once per `LOG_INTERVAL_S`, so that a faulty writer
+    cannot flood the logs. ``count`` increments the metric of a kind.
 
-        >>> refused = RefusedMessages(clock=lambda: 0.0)
-        >>> refused.note(MessageKind.NODE, "key-1", "address", "address: 'x'")
+        >>> refused = RejectedMessages(clock=lambda: 0.0)
+        >>> refused.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
         >>> refused.totals["node-record"]
         1
     """
@@ -46,9 +45,9 @@
     clock: Callable[[], float]
     count: Callable[[str, int], None] = lambda kind, messages: None
     totals: dict[str, int] = field(factory=dict)
-    _told_s: dict[tuple[str, str, str], float] = field(factory=dict)
+    _logged_s: dict[tuple[str, str, str], float] = field(factory=dict)
 
-    def note(
+    def record(
         self,
         kind: MessageKind,
         source: str,
@@ -56,36 +55,40 @@
         detail: str,
         messages: int = 1,
     ) -> None:
-        """Count messages; ``cause`` is one of a few, ``detail`` is for people."""
+        """Count messages and log them unless the same cause was logged recently.
+
+        ``cause`` identifies the cause and must come from a small set; ``detail`` is
+        free text.
+        """
         self.totals[kind] = self.totals.get(kind, 0) + messages
         self.count(kind, messages)
-        if self._may_tell((kind, source[:MAX_SHOWN], cause)):
-            # a configuration is the operator's, and meant for all nodes
+        if self._may_log((kind, source[:MAX_SHOWN_CHARS], cause)):
+            # configurations come from the operator and concern all nodes
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
                 "message not taken up",
                 kind=str(kind),
-                source=source[:MAX_SHOWN],
-                cause=detail[:MAX_SHOWN],
+                source=source[:MAX_SHOWN_CHARS],
+                cause=detail[:MAX_SHOWN_CHARS],
                 refused=self.totals[kind],
             )
 
-    def _may_tell(self, key: tuple[str, str, str]) -> bool:
+    def _may_log(self, key: tuple[str, str, str]) -> bool:
         now_s = self.clock()
-        if key not in self._told_s and len(self._told_s) >= MAX_TOLD:
-            self._forget(now_s)
-            if len(self._told_s) >= MAX_TOLD:
+        if key not in self._logged_s and len(self._logged_s) >= MAX_TRACKED_CAUSES:
+            self._remove_expired(now_s)
+            if len(self._logged_s) >= MAX_TRACKED_CAUSES:
                 return False
-        told_s = self._told_s.get(key)
-        if told_s is not None and now_s - told_s < LINE_PERIOD_S:
+        logged_s = self._logged_s.get(key)
+        if logged_s is not None and now_s - logged_s < LOG_INTERVAL_S:
             return False
-        self._told_s[key] = now_s
+        self._logged_s[key] = now_s
         return True
 
-    def _forget(self, now_s: float) -> None:
-        self._told_s = {
-            key: told_s
-            for key, told_s in self._told_s.items()
-            if now_s - told_s < LINE_PERIOD_S
+    def _remove_expired(self, now_s: float) -> None:
+        self._logged_s = {
+            key: logged_s
+            for key, logged_s in self._logged_s.items()
+            if now_s - logged_s < LOG_INTERVAL_S
         }
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -1,4 +1,4 @@
-"""The one answer of each request: a server's, a refusal or a failure."""
+"""Final answers to requests: the reply of a backend server, a refusal or a failure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.relay.messages import Fate
+from eelgrassmount.relay.messages import Outcome
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
@@ -15,110 +15,114 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.call_attribution import Lineage
+    from eelgrassmount.relay.call_attribution import CallAttributor
     from eelgrassmount.relay.decisions import DecisionLog
-    from eelgrassmount.relay.header_codec import Dialect, RequestHead
+    from eelgrassmount.relay.header_codec import HeaderCodec, RequestHead
     from eelgrassmount.relay.messages import Reply
     from eelgrassmount.relay.metrics import RelayMetrics
-    from eelgrassmount.relay.sender import Flow, Sender
+    from eelgrassmount.relay.sender import PendingRequest, Sender
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaVerdict
 
-# parts of the objective after which a refused client is to come back: soon enough
-# for the objective to hold, and spread so that they don't all come at once
-COME_BACK_MIN = 0.25
-COME_BACK_MAX = 0.6
-# a client is told to come back after so long to a node that knows too little to judge
-UNINFORMED_S = 0.5
-# clients that wait for the same quota come back over a time up to so many times as long
-MOST_LATER = 1.2
+# Retry-After of refused requests, as a random share of the route's objective. The
+# spread keeps clients from retrying all at once.
+MIN_RETRY_AFTER_SHARE = 0.25
+MAX_RETRY_AFTER_SHARE = 0.6
+# Retry-After of a node that lacks the data for an admission decision.
+UNINFORMED_RETRY_AFTER_S = 0.5
+# Upper end of the random factor that spreads the retries of clients refused by quota.
+MAX_QUOTA_RETRY_FACTOR = 1.2
 
 UNAUTHORIZED = 401
 NOT_FOUND = 404
-TOO_MANY = 429
-UNAVAILABLE = 503
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
 BAD_GATEWAY = 502
-TIMEOUT = 504
+GATEWAY_TIMEOUT = 504
 
 
 @define(eq=False)
-class Answering:
-    """Gives each request its answer, counts it and writes a line on what went wrong.
+class Responder:
+    """Sends each request its final answer, counts it and logs refusals and failures.
 
-    ``give_back`` hears of requests that count for a quota and have not run, and
-    ``open_flows`` counts those that were begun and have no answer.
+    ``return_quota`` is called for requests that were charged to a quota and did not
+    run. ``open_flows`` is the number of requests that were started and have no answer.
     """
 
-    dialect: Dialect
+    header_codec: HeaderCodec
     sender: Sender
     admission: Admission
     decisions: DecisionLog
     metrics: RelayMetrics
     clock: Callable[[], float]
     rng: random.Random
-    lineage: Lineage
-    give_back: Callable[[Team], None] = lambda team: None
+    call_attribution: CallAttributor
+    return_quota: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
-    def begin(self, flow: Flow) -> None:
-        """Have a request sent to a server."""
+    def start(self, pending: PendingRequest) -> None:
+        """Start sending a request to a backend server."""
         self.open_flows += 1
-        flow.exchange.on_abandon = lambda: self._abandon(flow)
-        self.sender.begin(flow)
+        pending.exchange.on_abandon = lambda: self._abandon(pending)
+        self.sender.start(pending)
 
-    def deliver(self, flow: Flow, reply: Reply) -> None:
-        """Hand the answer of a server on."""
-        self._end(flow)
-        call = flow.call
+    def deliver(self, pending: PendingRequest, reply: Reply) -> None:
+        """Forward the reply of a backend server to the client."""
+        self._finish(pending)
+        call = pending.call
         seconds = self.clock() - call.arrived_s
         self.metrics.count_answer(call.route.name, reply.status, seconds)
         inputs = {
             "route": call.route.name,
-            "server": flow.server,
+            "server": pending.server,
             "seconds": round(seconds, 3),
         }
         if reply.status >= 500:
             outcome = f"status-{reply.status}"
-            self.decisions.note("server failed", call.request_id, outcome, **inputs)
+            self.decisions.record("server failed", call.request_id, outcome, **inputs)
         else:
             self.decisions.sample("answered", call.request_id, **inputs)
-        self._respond(flow, reply.status, reply.head, reply.body)
+        self._respond(pending, reply.status, reply.head, reply.body)
 
-    def give_up(self, flow: Flow) -> None:
-        """Give the final answer of a request that no server answers."""
-        last = flow.last
-        if last is not None and last.fate is Fate.ANSWERED:
-            self.deliver(flow, last)
+    def give_up(self, pending: PendingRequest) -> None:
+        """Answer a request for which no further attempt is made."""
+        last = pending.last_reply
+        if last is not None and last.outcome is Outcome.ANSWERED:
+            self.deliver(pending, last)
             return
-        self._end(flow)
+        self._finish(pending)
         reason = Reason.NO_SERVER if last is None else last.reason
-        if flow.may_have_run:
-            self._fail(flow, BAD_GATEWAY, reason)
+        if pending.may_have_run:
+            self._fail(pending, BAD_GATEWAY, reason)
         else:
-            self.refuse(flow, reason)
+            self.refuse(pending, reason)
 
-    def time_out(self, flow: Flow) -> None:
+    def time_out(self, pending: PendingRequest) -> None:
         """Answer a request at its deadline."""
-        if flow.ended:
+        if pending.ended:
             return
-        sent = flow.current is not None or flow.spare is not None or flow.may_have_run
-        self._end(flow)
+        sent = (
+            pending.current_attempt is not None
+            or pending.silent_attempt is not None
+            or pending.may_have_run
+        )
+        self._finish(pending)
         if sent:
-            self._fail(flow, TIMEOUT, Reason.DEADLINE)
+            self._fail(pending, GATEWAY_TIMEOUT, Reason.DEADLINE)
         else:
-            self.refuse(flow, Reason.DEADLINE)
+            self.refuse(pending, Reason.DEADLINE)
 
-    def refuse(self, flow: Flow, reason: Reason | None) -> None:
-        """Say that a request has not run, and when to come back."""
-        call = flow.call
-        if flow.team is not None:
-            self.give_back(flow.team)
+    def refuse(self, pending: PendingRequest, reason: Reason | None) -> None:
+        """Refuse a request that has not run, with a Retry-After delay."""
+        call = pending.call
+        if pending.team is not None:
+            self.return_quota(pending.team)
         delay_s = call.route.objective_s * self.rng.uniform(
-            COME_BACK_MIN, COME_BACK_MAX
+            MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE
         )
         self.metrics.count_refusal(call.route.name, str(reason))
-        share = self.admission.shares.get(call.demand, 1.0)
-        self.decisions.note(
+        share = self.admission.admitted_fractions.get(call.demand, 1.0)
+        self.decisions.record(
             "refused",
             call.request_id,
             str(reason),
@@ -127,21 +131,26 @@
             share=round(share, 3),
             retry_after_s=round(delay_s, 3),
         )
-        head = self.dialect.write_refusal(call.request_id, delay_s)
-        self._respond(flow, UNAVAILABLE, head)
+        head = self.header_codec.write_refusal(call.request_id, delay_s)
+        self._respond(pending, SERVICE_UNAVAILABLE, head)
 
     def refuse_uninformed(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
-        """Refuse what this node knows too little to judge."""
+        """Refuse a request that this node lacks the data to decide on."""
         self._answer_early(
-            exchange, head, route_name, reason, UNAVAILABLE, UNINFORMED_S
+            exchange,
+            head,
+            route_name,
+            reason,
+            SERVICE_UNAVAILABLE,
+            UNINFORMED_RETRY_AFTER_S,
         )
 
-    def refuse_access(
+    def refuse_unauthorized(
         self, exchange: Exchange, head: RequestHead, route_name: str, reason: Reason
     ) -> None:
-        """Refuse a request whose key is missing or wrong, for good."""
+        """Refuse a request whose key is missing or wrong; a retry would be futile."""
         self._answer_early(exchange, head, route_name, reason, UNAUTHORIZED)
 
     def refuse_quota(
@@ -151,15 +160,15 @@
         route_name: str,
         verdict: QuotaVerdict,
     ) -> None:
-        """Refuse a request for the quota of its team, until some of it is there."""
-        status = UNAVAILABLE
+        """Refuse a request that the quota of its team does not admit now."""
+        status = SERVICE_UNAVAILABLE
         if verdict.refusal is Reason.QUOTA_SPENT:
-            status = TOO_MANY
-        delay_s = verdict.wait_s * self.rng.uniform(1.0, MOST_LATER)
+            status = TOO_MANY_REQUESTS
+        delay_s = verdict.wait_s * self.rng.uniform(1.0, MAX_QUOTA_RETRY_FACTOR)
         self._answer_early(exchange, head, route_name, verdict.refusal, status, delay_s)
 
-    def answer_unknown(self, exchange: Exchange, head: RequestHead) -> None:
-        """Say that there is no such route."""
+    def answer_unknown_route(self, exchange: Exchange, head: RequestHead) -> None:
+        """Answer a request that matches no route with 404."""
         self._answer_early(exchange, head, "", Reason.NO_ROUTE, NOT_FOUND)
 
     def _answer_early(
@@ -171,10 +180,10 @@
         status: int,
         delay_s: float = 0.0,
     ) -> None:
-        """Answer a request of which nothing was begun."""
+        """Answer a request that was not started."""
         self.metrics.count_refusal(route_name, reason)
         inputs = {"route": route_name} if route_name else {"host": head.host}
-        self.decisions.note(
+        self.decisions.record(
             "refused",
             head.request_id,
             reason,
@@ -182,39 +191,47 @@
             retry_after_s=round(delay_s, 3),
             **inputs,
         )
-        exchange.respond(status, self.dialect.write_refusal(head.request_id, delay_s))
+        exchange.respond(
+            status, self.header_codec.write_refusal(head.request_id, delay_s)
+        )
 
-    def _abandon(self, flow: Flow) -> None:
-        if not flow.ended:
-            self._end(flow)
-            self.metrics.count_abandoned(flow.call.route.name)
+    def _abandon(self, pending: PendingRequest) -> None:
+        if not pending.ended:
+            self._finish(pending)
+            self.metrics.count_abandoned(pending.call.route.name)
 
-    def _end(self, flow: Flow) -> None:
-        flow.ended = True
-        self.sender.cancel(flow)
+    def _finish(self, pending: PendingRequest) -> None:
+        pending.ended = True
+        self.sender.cancel(pending)
         self.open_flows -= 1
-        flow.exchange.on_abandon = None
-        if flow.timer is not None:
-            flow.timer.cancel()
-            flow.timer = None
+        pending.exchange.on_abandon = None
+        if pending.timer is not None:
+            pending.timer.cancel()
+            pending.timer = None
 
-    def _fail(self, flow: Flow, status: int, reason: Reason | None) -> None:
-        call = flow.call
+    def _fail(
+        self, pending: PendingRequest, status: int, reason: Reason | None
+    ) -> None:
+        call = pending.call
         self.metrics.count_failure(call.route.name, str(reason))
-        self.decisions.note(
+        self.decisions.record(
             "failed",
             call.request_id,
             str(reason),
             route=call.route.name,
             status=status,
-            attempts=flow.attempts,
-            tried=flow.tried,
+            attempts=pending.attempts,
+            tried=pending.tried,
             seconds=round(self.clock() - call.arrived_s, 3),
         )
-        self._respond(flow, status, self.dialect.write_refusal(call.request_id, 0.0))
+        self._respond(
+            pending, status, self.header_codec.write_refusal(call.request_id, 0.0)
+        )
 
-    def _respond(self, flow: Flow, status: int, head: bytes, body: bytes = b"") -> None:
-        if flow.made is not None:
-            # before the answer goes out, as the next call follows it at once
-            self.lineage.note_answer(flow.made, status < 300)
-        flow.exchange.respond(status, head, body)
+    def _respond(
+        self, pending: PendingRequest, status: int, head: bytes, body: bytes = b""
+    ) -> None:
+        if pending.made_call is not None:
+            # Recorded before the answer is sent, as the next call may follow at once.
+            self.call_attribution.record_answer(pending.made_call, status < 300)
+        pending.exchange.respond(status, head, body)
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.policy.readers import LISTENED, choose_listened
+from eelgrassmount.policy.readers import SUBSCRIBED_READERS, choose_subscribed_readers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.tallies import Tally, add_tallies, read_tally, write_tally
 from eelgrassmount.topics.era import EraWatch
@@ -28,7 +28,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.members import Member
-    from eelgrassmount.relay.shared_state import Beliefs
+    from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.topics.follower import TopicFollower
 
 # a node asks its readers so often, and one that has not answered for as long is
@@ -67,10 +67,10 @@
 
     A node reads while it is among the readers of its failure domain as it knows them,
     while another listens to it, or when it hears from no reader. ``make_tally`` counts
-    for this node alone; the sum over all nodes is in ``beliefs.outlook``.
+    for this node alone; the sum over all nodes is in ``beliefs.cluster_counts``.
     """
 
-    beliefs: Beliefs
+    beliefs: SharedState
     nodes_topic: str
     followers: list[TopicFollower]
     open_link: Callable[[Member], None]
@@ -151,7 +151,7 @@
         self._forget_unconfirmed(now_s)
         readers = self.list_readers(self.beliefs.failure_domain, now_s)
         self.is_reader = self.beliefs.name in readers
-        listened = choose_listened(self.beliefs.name, readers)
+        listened = choose_subscribed_readers(self.beliefs.name, readers)
         if self._hears_far(readers):
             listened += self._choose_far(now_s)
         self.subscriptions = {
@@ -196,7 +196,7 @@
         member = self.beliefs.members.by_name.get(name)
         return (
             member is not None
-            and not member.failures
+            and not member.connect_failures
             and name not in self._silent_until_s
         )
 
@@ -206,7 +206,7 @@
         One reader is enough where all nodes listen to it: with two, bytes between
         failure domains were twice as many.
         """
-        if len(readers) <= LISTENED:
+        if len(readers) <= SUBSCRIBED_READERS:
             return self.is_reader and readers[0] == self.beliefs.name
         return self.is_reader
 
@@ -217,7 +217,7 @@
             name
             for domain in sorted(self.ranking.list_domains())
             if domain != own
-            for name in choose_listened(
+            for name in choose_subscribed_readers(
                 self.beliefs.name, self.list_readers(domain, now_s), 1
             )
         ]
@@ -226,7 +226,7 @@
         member = self.beliefs.members.by_name.get(name)
         if member is None or name == self.beliefs.name or member.is_connected():
             return
-        if now_s >= member.retry_s:
+        if now_s >= member.retry_at_s:
             self.open_link(member)
 
     def _ask(self, name: str, subscription: Subscription, now_s: float) -> None:
@@ -264,14 +264,17 @@
         a surge, all that is begun meanwhile may be lost.
         """
         beliefs = self.beliefs
-        learning = beliefs.called_before and not beliefs.graph.is_mature()
+        learning = beliefs.request_counts and not beliefs.graph.has_learned_calls()
         return LEARNING_PERIOD_S if learning else PERIOD_S
 
     def _find_count_period(self) -> float:
         """Return the seconds between two exchanges of counts."""
         beliefs = self.beliefs
-        known = beliefs.graph.is_mature()
-        short = any(control.level < 1.0 for control in beliefs.levels.values())
+        known = beliefs.graph.has_learned_calls()
+        short = any(
+            control.admitted_fraction < 1.0
+            for control in beliefs.admission_controllers.values()
+        )
         return self._find_period() if short or not known else CALM_PERIOD_S
 
     def note_linked(self, member: Member) -> None:
@@ -417,7 +420,7 @@
         tally = add_tallies([self.make_tally(), *heard])
         domain = self.beliefs.failure_domain
         nodes = len(self.ranking.list_domains().get(domain, []))
-        if len(self.ranking.list_first(domain)) > LISTENED:
+        if len(self.ranking.list_first(domain)) > SUBSCRIBED_READERS:
             # with more readers than a node listens to, each hears only of a part
             tally.scale(nodes / max(1, tally.nodes))
         return tally
@@ -432,4 +435,4 @@
                 (near if same else far).append(one.tally)
         self.sums.update(self._add_near(), far)
         found = [self.sums.total, *near]
-        self.beliefs.outlook = max(found, key=lambda tally: tally.nodes)
+        self.beliefs.cluster_counts = max(found, key=lambda tally: tally.nodes)
--- a/tests/load/test_limiter.py
+++ b/tests/load/test_limiter.py
@@ -1,11 +1,11 @@
-"""The concurrency limit against a simulated server."""
+"""The concurrency limiter with a simulated server."""
 
 from __future__ import annotations
 
 import pytest
 
 from benchmarks.limiter import SCENARIOS, measure
-from eelgrassmount.load.limiter import START_LIMIT, Limiter
+from eelgrassmount.load.limiter import INITIAL_LIMIT, Limiter
 from eelgrassmount.load.port import Sample, SampleKind
 
 _BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
@@ -23,7 +23,9 @@
         ("25, sheds at 30", 3, 10),
     ],
 )
-def test_limit_is_near_the_slots(name: str, from_s: int, to_s: int) -> None:
+def test_limit_approaches_the_number_of_slots(
+    name: str, from_s: int, to_s: int
+) -> None:
     scenario = _BY_NAME[name]
     points = measure(scenario, Limiter(), seconds=to_s).points[from_s:]
     limits = [point.limit for point in points]
@@ -32,14 +34,14 @@
     assert sum(limits) / len(limits) == pytest.approx(1.1 * scenario.slots, rel=0.25)
 
 
-def test_limit_stays_while_few_calls_come() -> None:
+def test_limit_is_unchanged_while_few_calls_arrive() -> None:
     limiter = Limiter()
     for step in range(1000):
         now_s = step * 0.1
-        limiter.note_start(1, now_s)
+        limiter.record_start(1, now_s)
         limiter.record(Sample(SampleKind.COMPLETE, 0.05), 1, now_s + 0.05)
         limiter.adjust(now_s + 0.05)
-    assert limiter.limit == START_LIMIT
+    assert limiter.limit == INITIAL_LIMIT
 
 
 def test_limit_falls_when_calls_time_out() -> None:
@@ -48,8 +50,8 @@
         now_s = step * 0.1
         running = limiter.limit
         for started in range(running):
-            limiter.note_start(started + 1, now_s)
-        for left in range(running, 0, -1):
-            limiter.record(Sample(SampleKind.TIMEOUT, 0.09), left, now_s + 0.095)
+            limiter.record_start(started + 1, now_s)
+        for remaining in range(running, 0, -1):
+            limiter.record(Sample(SampleKind.TIMEOUT, 0.09), remaining, now_s + 0.095)
         limiter.adjust(now_s + 0.099)
     assert limiter.limit == 2
--- a/tests/policy/test_shedding.py
+++ b/tests/policy/test_shedding.py
@@ -1,29 +1,41 @@
-"""Which routes are cut when a service that they lead to is short."""
+"""Shedding by urgency when a service is overloaded."""
 
 from __future__ import annotations
 
 import pytest
 
-from eelgrassmount.policy.shedding import AskedCalls, Demand, divide_level
+from eelgrassmount.policy.shedding import (
+    RequestClass,
+    RequiredCalls,
+    compute_admitted_shares,
+)
 
-BOOK = Demand("shop/book/", 0)
-PRICE = Demand("shop/price/", 2)
-LISTING = Demand("shop/list/", 2)
+BOOK = RequestClass("shop/book/", 0)
+PRICE = RequestClass("shop/price/", 2)
+LISTING = RequestClass("shop/list/", 2)
 
 
 @pytest.mark.parametrize(
-    ("level", "book", "price"),
+    ("fraction", "book", "price"),
     [(1.0, 1.0, 1.0), (0.75, 1.0, 0.5), (0.5, 1.0, 0.0), (0.2, 0.4, 0.0)],
 )
-def test_least_urgent_routes_are_cut_first(level, book, price):
-    asked = [AskedCalls(BOOK, 20.0), AskedCalls(PRICE, 15.0), AskedCalls(LISTING, 5.0)]
-    shares = divide_level(asked, level)
+def test_least_urgent_requests_are_shed_first(fraction, book, price):
+    required = [
+        RequiredCalls(BOOK, 20.0),
+        RequiredCalls(PRICE, 15.0),
+        RequiredCalls(LISTING, 5.0),
+    ]
+    shares = compute_admitted_shares(required, fraction)
     assert shares[BOOK] == pytest.approx(book)
     assert shares[PRICE] == shares[LISTING] == pytest.approx(price)
 
 
-def test_what_is_admitted_asks_for_the_level():
-    asked = [AskedCalls(BOOK, 20.0), AskedCalls(PRICE, 15.0), AskedCalls(LISTING, 5.0)]
-    shares = divide_level(asked, 0.8)
-    admitted = sum(one.calls * shares[one.demand] for one in asked)
+def test_admitted_requests_require_the_admitted_fraction_of_calls():
+    required = [
+        RequiredCalls(BOOK, 20.0),
+        RequiredCalls(PRICE, 15.0),
+        RequiredCalls(LISTING, 5.0),
+    ]
+    shares = compute_admitted_shares(required, 0.8)
+    admitted = sum(one.calls * shares[one.request_class] for one in required)
     assert admitted == pytest.approx(0.8 * 40.0)
--- a/tests/teams/test_fuzz.py
+++ b/tests/teams/test_fuzz.py
@@ -87,7 +87,7 @@
 @given(st.lists(st.tuples(NAMES, VALUES), max_size=8))
 def test_no_header_of_a_client_names_a_key_or_a_team_to_a_server(lines):
     head = headers.read_request(lines)
-    passed = head.passed_on.lower()
+    passed = head.forwarded_headers.lower()
     assert not passed.startswith((b"x-api-key:", b"eelgrassmount-tenant:"))
     assert b"\r\nx-api-key:" not in passed
     assert b"\r\neelgrassmount-tenant:" not in passed
@@ -123,7 +123,7 @@
             await deployment.start()
             deployment.configure(1, LIST, OPEN, teams=[make_team("press", "k-1")])
             vm = await deployment.add("list")
-            await deployment.settle()
+            await deployment.wait_until_connected()
             for number in range(400):
                 lines, good = make_lines(rng)
                 is_open = rng.random() < 0.2
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -9,9 +9,9 @@
 import pytest
 from attrs import asdict
 
-from eelgrassmount.relay.status import read_state
+from eelgrassmount.relay.status import collect_status
 from standins.platform_log import Trouble
-from tests.relay.deployment import Deployment, Vm, ask, make_rule, make_team
+from tests.relay.deployment import Deployment, Vm, make_rule, make_team, send_as_client
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
             deployment.configure(1, LIST, teams=teams or [PRESS, OFFICE])
             for number in range(nodes):
                 await deployment.add("list", "ab"[number % 2])
-            await deployment.settle()
+            await deployment.wait_until_connected()
             await anyio.sleep(FILL_S)
             await scenario(deployment)
             await deployment.end()
@@ -51,7 +51,7 @@
 async def ask_often(vm: Vm, key: str, times: int, pause_s: float = 0.0) -> list[int]:
     statuses = []
     for _ in range(times):
-        statuses.append((await ask(vm, "/list/1", x_api_key=key)).status)
+        statuses.append((await send_as_client(vm, "/list/1", x_api_key=key)).status)
         await anyio.sleep(pause_s)
     return statuses
 
@@ -80,7 +80,7 @@
         statuses = await ask_often(vm, "k-1", 60)
         assert set(statuses) == {200, 429}
         assert 10 <= statuses.count(200) == count_runs(deployment) <= MOST_IN_WINDOW
-        answer = await ask(vm, "/list/1", x_api_key="k-1")
+        answer = await send_as_client(vm, "/list/1", x_api_key="k-1")
         assert answer.status == 429
         assert 0.0 < float(dict(answer.headers)[b"retry-after"]) < 10.0
 
@@ -180,11 +180,13 @@
         await ask_everywhere(deployment, "k-1", 10)
         texts = []
         for vm in deployment.vms:
-            state = read_state(vm.node)
+            state = collect_status(vm.node)
             assert (state.teams.teams, len(state.teams.holders)) == (2, 2)
             texts.append(json.dumps(asdict(state)))
             texts.append(vm.node.metrics.render().decode())
-        held = [one for vm in deployment.vms for one in read_state(vm.node).teams.held]
+        held = [
+            one for vm in deployment.vms for one in collect_status(vm.node).teams.held
+        ]
         assert {one.team for one in held} == {"press"}
         assert sum(one.held_rate for one in held) == pytest.approx(10.0)
         assert 'relay_quota_requests_total{event="refused"}' in "".join(texts)
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -11,7 +11,13 @@
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.platform.topics import LEARNED_KEY
 from standins.platform_log import Trouble
-from tests.relay.deployment import LOG, Deployment, ask, make_document, make_rule
+from tests.relay.deployment import (
+    LOG,
+    Deployment,
+    make_document,
+    make_rule,
+    send_as_client,
+)
 from tests.relay.virtual import run_virtually
 
 if TYPE_CHECKING:
@@ -120,7 +126,7 @@
         assert names <= list_written(deployment)
         for vm in deployment.vms:
             assert names <= vm.node.beliefs.members.by_name.keys()
-            assert (await ask(vm, "/list/1")).status == 200
+            assert (await send_as_client(vm, "/list/1")).status == 200
 
     play(scenario)
 
@@ -150,7 +156,9 @@
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for vm in deployment.vms:
-            vm.node.beliefs.graph.put("shop.example/list/", {"shop.example/desk/": 2.0})
+            vm.node.beliefs.graph.set_calls(
+                "shop.example/list/", {"shop.example/desk/": 2.0}
+            )
         await anyio.sleep(15.0)
         assert LEARNED_KEY in list_written(deployment)
         await come_back(deployment, copy)
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -9,8 +9,8 @@
 import pytest
 from attrs import define
 
-from eelgrassmount.policy.readers import LISTENED
-from eelgrassmount.policy.shedding import Demand
+from eelgrassmount.policy.readers import SUBSCRIBED_READERS
+from eelgrassmount.policy.shedding import RequestClass
 from eelgrassmount.relay.tallies import Tally
 from eelgrassmount.topics.readers import (
     CALM_PERIOD_S,
@@ -28,10 +28,10 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from tests.relay.virtual import Network, Place
+    from tests.relay.virtual import Network, SocketAddress
 
 LIST = make_rule("/list/", "list")
-DEMAND = Demand("shop.example/list/", 0)
+DEMAND = RequestClass("shop.example/list/", 0)
 DOMAINS = ("a", "b", "c")
 NODES = 6
 # the bound of the smallest deployments for a configuration to be in force
@@ -77,7 +77,7 @@
                 await anyio.sleep(0.02)
         assert self.list_behind(version, vms) == []
 
-    def list_places(self, vm: Vm) -> list[Place]:
+    def list_places(self, vm: Vm) -> list[SocketAddress]:
         settings = vm.settings
         return [
             (one.host, one.port)
@@ -95,7 +95,7 @@
     def stand_still(self, vm: Vm) -> None:
         """Let nothing that others send reach a node."""
         for place in self.list_places(vm):
-            self.network.stand_still(place)
+            self.network.pause(place)
 
 
 def play(
@@ -126,14 +126,14 @@
 
     async def scenario(fleet: Fleet) -> None:
         for domain in DOMAINS:
-            assert len(fleet.list_readers(domain)) == LISTENED
+            assert len(fleet.list_readers(domain)) == SUBSCRIBED_READERS
         before = fleet.count_calls()
         for version in range(2, 12):
             fleet.configure(version)
             await fleet.expect_version(version)
             await anyio.sleep(1.0)
         # one read a reader and record
-        assert fleet.count_calls() - before <= 10 * LISTENED * len(DOMAINS)
+        assert fleet.count_calls() - before <= 10 * SUBSCRIBED_READERS * len(DOMAINS)
 
     play(scenario, seed=seed)
 
@@ -153,7 +153,7 @@
 def test_a_start_takes_few_calls_of_each_node():
     async def scenario(fleet: Fleet) -> None:
         # each reads the newest and appends its record; the readers follow two topics
-        readers = LISTENED * len(DOMAINS)
+        readers = SUBSCRIBED_READERS * len(DOMAINS)
         events = len(fleet.vms)
         assert fleet.count_calls() <= 2 * len(fleet.vms) + readers * (4 + events)
         before = fleet.count_calls()
@@ -171,7 +171,7 @@
         fleet.configure(2)
         await fleet.expect_version(2)
         await anyio.sleep(READ_ON_S + HEARD_S + 2.0)
-        assert len(fleet.list_readers("a")) == LISTENED
+        assert len(fleet.list_readers("a")) == SUBSCRIBED_READERS
 
     play(scenario)
 
@@ -232,8 +232,8 @@
         await anyio.sleep(seconds)
         calls = fleet.count_calls() - before
         per_reader = 2 * seconds / 0.75
-        others = len(fleet.vms) - LISTENED * len(DOMAINS)
-        assert calls <= LISTENED * len(DOMAINS) * per_reader + 2 * others * (
+        others = len(fleet.vms) - SUBSCRIBED_READERS * len(DOMAINS)
+        assert calls <= SUBSCRIBED_READERS * len(DOMAINS) * per_reader + 2 * others * (
             seconds / LOST_S[0]
         )
         fleet.deployment.log.trouble = Trouble.NONE
@@ -295,7 +295,7 @@
             vm.node.readers.make_tally = make_tally
         await anyio.sleep(4.0)
         for vm in fleet.vms:
-            outlook = vm.node.beliefs.outlook
+            outlook = vm.node.beliefs.cluster_counts
             assert outlook.nodes == len(fleet.vms)
             assert outlook.offered[DEMAND] == pytest.approx(2.0 * len(fleet.vms))
 
@@ -308,7 +308,7 @@
             fleet.stop(vm)
         await anyio.sleep(2 * HEARD_S + 3.0)
         for vm in fleet.vms:
-            assert vm.node.beliefs.outlook.nodes == len(fleet.vms)
+            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -325,13 +325,15 @@
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
             # calls are known, and no service is short
-            vm.node.beliefs.graph.put("shop.example/list/", {"shop.example/part/": 1.0})
+            vm.node.beliefs.graph.set_calls(
+                "shop.example/list/", {"shop.example/part/": 1.0}
+            )
         await anyio.sleep(CALM_PERIOD_S)
         with mock.patch.object(LogReaders, "note_subscribe", note):
             await anyio.sleep(4 * CALM_PERIOD_S)
         assert 0.0 < sum(asked) / len(asked) < 1.5 * PERIOD_S / CALM_PERIOD_S
         for vm in fleet.vms:
-            assert vm.node.beliefs.outlook.nodes == len(fleet.vms)
+            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -354,9 +356,11 @@
     async def scenario(fleet: Fleet) -> None:
         readers = fleet.vms[0].node.readers
         assert readers._find_period() == PERIOD_S
-        readers.beliefs.called_before["shop.example/list/"] = 3.0
+        readers.beliefs.request_counts["shop.example/list/"] = 3.0
         assert readers._find_period() == LEARNING_PERIOD_S
-        readers.beliefs.graph.put("shop.example/list/", {"shop.example/part/": 1.0})
+        readers.beliefs.graph.set_calls(
+            "shop.example/list/", {"shop.example/part/": 1.0}
+        )
         assert readers._find_period() == PERIOD_S
 
     play(scenario, nodes=2)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -16,9 +16,9 @@
 from eelgrassmount.policy import admission_controller
 from eelgrassmount.relay import admission, budget, dispatcher, routing, sender
 from eelgrassmount.relay.admission import Admission, CallGraph
-from eelgrassmount.relay.admitted_fractions import ServiceLevels
+from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
-from eelgrassmount.relay.call_attribution import Lineage
+from eelgrassmount.relay.call_attribution import CallAttributor
 from eelgrassmount.relay.controllers import Controllers
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
@@ -31,38 +31,42 @@
 
 def admit_all() -> None:
     """Let every request begin."""
-    Admission.allows = lambda self, demand: True
+    Admission.try_admit = lambda self, demand: True
 
 
 def ignore_calls() -> None:
     """Count only the service that a route leads to, and not what its runs call."""
-    walk = CallGraph._walk
-    CallGraph._walk = lambda self, route, table, depth=0: walk(self, route, table, 0)
+    walk = CallGraph._count_runs_to_depth
+    CallGraph._count_runs_to_depth = lambda self, route, table, depth=0: walk(
+        self, route, table, 0
+    )
 
 
 def ignore_priority() -> None:
     """Cut all routes that lead to a short service alike."""
-    admission.divide_level = lambda asked, level: {one.demand: level for one in asked}
+    admission.compute_admitted_shares = lambda required, admitted_fraction: {
+        one.request_class: admitted_fraction for one in required
+    }
 
 
 def ignore_allowance() -> None:
     """Give each call its own objective, whatever its request has left."""
-    CallGraph.find_allowance = lambda self, route, table: route.objective_s
+    CallGraph.find_time_allowance = lambda self, route, table: route.objective_s
 
 
 def ignore_order() -> None:
     """Queue by the due time alone."""
-    dispatcher.find_patience = lambda origin: 1.0
+    dispatcher.compute_due_factor = lambda origin: 1.0
 
 
 def ignore_lineage() -> None:
     """Know no caller of any call."""
-    Lineage.find_caller = lambda self, *asked: None
+    CallAttributor.find_caller = lambda self, *asked: None
 
 
 def share_repeats_alike() -> None:
     """Give repeats to whoever asks first."""
-    budget.find_kept = lambda left, priority: 0.0
+    budget.compute_reserved_share = lambda remaining_runs, priority: 0.0
 
 
 def spend_repeats_at_once() -> None:
@@ -77,12 +81,12 @@
 
 def repeat_in_vain() -> None:
     """Repeat runs that make calls also where all servers fail."""
-    Sender._is_in_vain = lambda self, call: False
+    Sender._is_retry_futile = lambda self, call: False
 
 
 def wait_for_silent() -> None:
     """Stay with a silent server until the deadline."""
-    sender.SILENT_SHARE = math.inf
+    sender.SILENCE_OBJECTIVE_SHARE = math.inf
 
 
 def forget_crashes() -> None:
@@ -92,17 +96,17 @@
 
 def choose_at_random() -> None:
     """Send each call to any server that takes it."""
-    routing.measure_cost = lambda *inputs: random.random()
+    routing.compute_cost = lambda *inputs: random.random()
 
 
 def ignore_failure_domain() -> None:
     """Take all servers for equally near."""
-    routing.measure_far = lambda size_bytes: 0.0
+    routing.compute_cross_domain_share = lambda size_bytes: 0.0
 
 
 def keep_no_connections() -> None:
     """Open a connection for each request to a server."""
-    BackendPool._take = lambda self, fresh: None
+    BackendPool._take_idle = lambda self, fresh: None
 
 
 def keep_nothing_learned() -> None:
@@ -112,7 +116,7 @@
 
 def ask_for_no_reports() -> None:
     """Wait for the reports of a short service."""
-    ServiceLevels._ask_for_reports = lambda self, members, oldest_s: None
+    AdmittedFractions._request_reports = lambda self, members, oldest_s: None
 
 
 def tell_callers_only() -> None:
@@ -124,18 +128,22 @@
     """Seek a level as if the present one had always been in force."""
 
     def update(
-        self: admission_controller.LevelControl,
+        self: admission_controller.AdmissionController,
         demand: float,
         wait: float,
         age_steps: int = 0,
-        foreseen: float = 0.0,
+        forecast: float = 0.0,
     ) -> float:
-        sought = admission_controller.seek_level(self.level, demand, wait, foreseen)
-        return self._move(
-            self.level + admission_controller.STEP_GAIN * (sought - self.level)
+        target_fraction = admission_controller.compute_admitted_fraction(
+            self.admitted_fraction, demand, wait, forecast
+        )
+        return self._set_fraction(
+            self.admitted_fraction
+            + admission_controller.FRACTION_SMOOTHING
+            * (target_fraction - self.admitted_fraction)
         )
 
-    admission_controller.LevelControl.update = update
+    admission_controller.AdmissionController.update = update
 
 
 def count_alone() -> None:
@@ -145,12 +153,14 @@
 
 def foresee_nothing() -> None:
     """Go by the demand that arrives."""
-    admission_controller.combine_offered = lambda counted, foreseen, arriving: counted
+    admission_controller.estimate_offered_load = (
+        lambda measured, forecast, arriving_demand: measured
+    )
 
 
 def blame_servers() -> None:
     """Take runs that failed with a call of theirs for failures of their servers."""
-    Lineage.is_lost = lambda self, job: False
+    CallAttributor.has_lost_call = lambda self, job: False
 
 
 ABLATIONS: dict[str, Callable[[], None]] = {
