--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -18,19 +18,19 @@
 
 from benchmarks.capacity_cluster import read_usage
 from benchmarks.capacity_works import Table, Work
-from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.compose.node import Node, build_node
 from eelgrassmount.config.readers import READERS
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.members.delegates import choose_addresses, summarize_services
-from eelgrassmount.members.pace import DELEGATES
 from eelgrassmount.members.table import (
     Identity,
     Member,
     ServerState,
     ServiceSummary,
 )
+from eelgrassmount.members.timing import DELEGATES
 from eelgrassmount.settings import load_settings
+from eelgrassmount.shared_node_state import LocalServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -9,8 +9,8 @@
 import xxhash
 from attrs import evolve, frozen
 
-from eelgrassmount.members.pace import DELEGATES, MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState, ServerState, ServiceSummary
+from eelgrassmount.members.timing import DELEGATES, MAX_ADDRESSES
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
--- a/eelgrassmount/members/exchange.py
+++ b/eelgrassmount/members/exchange.py
@@ -8,7 +8,8 @@
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.digest import find_bucket, name_summary
 from eelgrassmount.members.merge import rank_member
-from eelgrassmount.members.pace import (
+from eelgrassmount.members.table import ServiceSummary
+from eelgrassmount.members.timing import (
     MAX_ADDRESSES,
     MAX_CROSS_SUMMARIES,
     MAX_JOIN_MEMBERS,
@@ -16,7 +17,6 @@
     MAX_UPDATES,
     MAX_URGENT,
 )
-from eelgrassmount.members.table import ServiceSummary
 from eelgrassmount.members.updates import MemberKey, SummaryKey
 from eelgrassmount.members.wire import (
     decode_members,
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -11,12 +11,12 @@
 from thrift.TSerialization import deserialize, serialize
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.log_port import LogFailure
+from eelgrassmount.log_service import LogFailure
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.pace import MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState
+from eelgrassmount.members.timing import MAX_ADDRESSES
 from eelgrassmount.members.wire import decode_members, encode_member
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.log_port import LogPort, Record
+    from eelgrassmount.log_service import LogPort, Record
     from eelgrassmount.members.roster import Roster
     from eelgrassmount.members.rounds import Rounds
     from eelgrassmount.members.table import Member
--- a/eelgrassmount/members/roster.py
+++ b/eelgrassmount/members/roster.py
@@ -25,13 +25,13 @@
     refutes,
     stops_work,
 )
-from eelgrassmount.members.pace import (
+from eelgrassmount.members.table import Member, MemberState
+from eelgrassmount.members.timing import (
     SENDS_OF_DOMAIN,
     SENDS_OF_LOAD,
     SENDS_OF_STATE,
     Pace,
 )
-from eelgrassmount.members.table import Member, MemberState
 from eelgrassmount.members.updates import MemberKey, SummaryKey, UpdateQueue
 
 if TYPE_CHECKING:
--- a/tests/members/test_merge.py
+++ b/tests/members/test_merge.py
@@ -20,7 +20,6 @@
 )
 from eelgrassmount.members.flapping import Flapping, compute_hold_s
 from eelgrassmount.members.merge import merge_member, merge_summary
-from eelgrassmount.members.pace import MAX_ADDRESSES, Pace
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.table import (
     Identity,
@@ -31,6 +30,7 @@
     ServiceSummary,
     SummaryTable,
 )
+from eelgrassmount.members.timing import MAX_ADDRESSES, Pace
 from eelgrassmount.members.updates import MemberKey, UpdateQueue
 from eelgrassmount.members.wire import decode_member, encode_member
 
