--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -31,7 +31,7 @@
 from eelgrassmount.relay.vectors import REQUEST_COUNT_INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.learned import PERIOD_S
-from eelgrassmount.topics.own import OwnRecord
+from eelgrassmount.topics.local_record import OwnRecord
 from eelgrassmount.topics.store import StoredRecord, StoreFailure
 from eelgrassmount.util.addresses import Address
 from eelgrassmount.util.backoff import Backoff
--- a/eelgrassmount/platform/store.py
+++ b/eelgrassmount/platform/store.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.errors import PlatformDocumentError
 from eelgrassmount.relay.persistent_connections import PersistentConnections
-from eelgrassmount.topics.era import UNKNOWN_ERA, EraWatch
+from eelgrassmount.topics.log_epoch import UNKNOWN_ERA, EraWatch
 from eelgrassmount.topics.store import (
     Batch,
     FailureKind,
--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -12,7 +12,7 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.relay.messages import Outcome
 from eelgrassmount.relay.routes import MAX_RANK
-from eelgrassmount.topics.era import UNKNOWN_ERA
+from eelgrassmount.topics.log_epoch import UNKNOWN_ERA
 from eelgrassmount.util.addresses import parse_address
 from eelgrassmount.util.fields import MAX_NAME_LENGTH, is_printable
 from eelgrassmount.verdict import Reason
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -24,7 +24,7 @@
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
-    from eelgrassmount.teams.taker import QuotaTaker, QuotaVerdict
+    from eelgrassmount.teams.quota_client import QuotaTaker, QuotaVerdict
 
 # used for requests without a deadline
 DEFAULT_REMAINING_MS = 60_000
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -22,7 +22,7 @@
     from eelgrassmount.relay.metrics import RelayMetrics
     from eelgrassmount.relay.sender import PendingRequest, Sender
     from eelgrassmount.teams.directory import Team
-    from eelgrassmount.teams.taker import QuotaVerdict
+    from eelgrassmount.teams.quota_client import QuotaVerdict
 
 # Retry-After of refused requests, as a random share of the route's objective. The
 # spread keeps clients from retrying all at once.
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -12,8 +12,8 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.policy.quotas import choose_allocator
 from eelgrassmount.relay.frames import FrameKind
-from eelgrassmount.teams.holder import FREE_S, Ask, Grant, QuotaHolder
-from eelgrassmount.teams.taker import QuotaTaker
+from eelgrassmount.teams.quota_allocator import FREE_S, Ask, Grant, QuotaHolder
+from eelgrassmount.teams.quota_client import QuotaTaker
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
     from eelgrassmount.relay.members import Member
     from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.teams.directory import Team
-    from eelgrassmount.teams.holder import QuotaEvent
+    from eelgrassmount.teams.quota_allocator import QuotaEvent
     from eelgrassmount.topics.readers import LogReaders
 
 # a node tells the holders of its failure domain so often that it lends them its part
--- a/eelgrassmount/teams/taker.py
+++ b/eelgrassmount/teams/quota_client.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.teams.directory import Team
-    from eelgrassmount.teams.holder import Grant
+    from eelgrassmount.teams.quota_allocator import Grant
 
 # a holder that has not answered after so long is left, and another asked
 ANSWER_LIMIT_S = 0.06
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -17,8 +17,8 @@
 from eelgrassmount.policy.readers import SUBSCRIBED_READERS, choose_subscribed_readers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.tallies import Tally, add_tallies, read_tally, write_tally
-from eelgrassmount.topics.era import EraWatch
-from eelgrassmount.topics.own import find_spread
+from eelgrassmount.topics.local_record import find_spread
+from eelgrassmount.topics.log_epoch import EraWatch
 from eelgrassmount.topics.ranking import Ranking
 from eelgrassmount.topics.records import RecordBook
 from eelgrassmount.topics.store import StoredRecord
--- a/tests/topics/test_era.py
+++ b/tests/topics/test_log_epoch.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from eelgrassmount.topics.era import UNKNOWN_ERA, EraWatch
-from eelgrassmount.topics.own import OwnRecord, find_spread
+from eelgrassmount.topics.local_record import OwnRecord, find_spread
+from eelgrassmount.topics.log_epoch import UNKNOWN_ERA, EraWatch
 from eelgrassmount.topics.records import RecordBook
 from eelgrassmount.topics.store import StoredRecord
 
