--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -27,7 +27,7 @@
 from eelgrassmount.policy.quotas import TokenBucket
 from eelgrassmount.teams.directory import Team
 from tests.relay.virtual import VirtualLoop
-from tests.teams.fleet import BOUNDS, Fleet, find_bound, send_load, step_nodes
+from tests.teams.fleet import BOUNDS, Fleet, compute_max_runs, send_load, step_nodes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -149,7 +149,7 @@
 
     def take(name: str, team: Team) -> None:
         now_s = loop.time()
-        fleet.asked.append((now_s, team.name))
+        fleet.requested.append((now_s, team.name))
         if way.take(name, now_s):
             fleet.ran.append((now_s, team.name))
         else:
@@ -160,7 +160,7 @@
     names = fleet.rng.sample(sorted(fleet.nodes), CLIENTS)
     await send_load(fleet, team.name, names, make_rate(team), END_S, take)
     fleet.frames += way.frames
-    fleet.far_frames += way.frames * (DOMAINS - 1) // DOMAINS
+    fleet.cross_domain_frames += way.frames * (DOMAINS - 1) // DOMAINS
     stepping.cancel()
 
 
@@ -200,16 +200,16 @@
 def judge(fleet: Fleet, team: Team, spent_s: float) -> Result:
     first_s = 1000.0 + FILL_S
     hot = (first_s + HOT_FROM_S, first_s + HOT_UNTIL_S)
-    calm = [one for one in fleet.asked if one[0] < hot[0]]
+    calm = [one for one in fleet.requested if one[0] < hot[0]]
     turned_away = [one for one in fleet.refused if one[0] < hot[0]]
     times = [at for at, _ in fleet.ran if hot[0] <= at < hot[1]]
     gaps = [b - a for a, b in zip([hot[0], *times], [*times, hot[1]], strict=True)]
-    asked = max(1, len(fleet.asked))
+    asked = max(1, len(fleet.requested))
     return Result(
-        fleet.find_most(team.name) / find_bound(team),
+        fleet.find_max_runs(team.name) / compute_max_runs(team),
         len(turned_away) / max(1, len(calm)),
         max(gaps),
-        fleet.far_frames / asked,
+        fleet.cross_domain_frames / asked,
         fleet.frames / asked,
         spent_s / asked * 1e6,
     )
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -21,7 +21,7 @@
 )
 from eelgrassmount.relay.settings import RelaySettings
 from eelgrassmount.relay.tallies import ServiceCounts, Tally, write_tally
-from eelgrassmount.topics.readers import PERIOD_S
+from eelgrassmount.topics.readers import SUBSCRIBE_INTERVAL_S
 from eelgrassmount.util.addresses import Address
 
 LISTENERS = (16, 32, 64, 128)
@@ -64,10 +64,10 @@
     for _ in range(ROUNDS):
         for payload in questions:
             struct = decode_struct(ttypes.RelaySubscribe, payload)
-            node.readers.note_subscribe(struct, send)
+            node.readers.handle_subscribe(struct, send)
         for _ in range(STEPS_PER_ROUND):
-            node.readers._update_outlook(node.beliefs.clock())
-    return (time.process_time() - begun_s) / ROUNDS / PERIOD_S
+            node.readers._update_cluster_counts(node.beliefs.clock())
+    return (time.process_time() - begun_s) / ROUNDS / SUBSCRIBE_INTERVAL_S
 
 
 def main() -> None:
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -149,7 +149,7 @@
         lambda document: node.apply_document(document),
         inbound.broadcast,
         readers,
-        lambda kind, struct, send: quotas.take_frame(kind, struct, send),
+        lambda kind, struct, send: quotas.handle_frame(kind, struct, send),
     )
     quotas = QuotaExchange(
         beliefs,
@@ -199,7 +199,7 @@
         clock,
         rng,
         lineage,
-        quotas.taker.give_back,
+        quotas.client.return_quota,
     )
     sender.answers = answers
     ingress = Ingress(
@@ -216,10 +216,10 @@
         beliefs.record_client_request,
         lineage,
         readers.is_current,
-        quotas.taker,
+        quotas.client,
     )
     learned = LearnedCalls(beliefs, readers.ranking.count_readers)
-    readers.eras.on_rise.append(learned.forget_kept)
+    readers.epoch_tracker.on_advance.append(learned.forget_stored)
     node = RelayNode(
         settings,
         beliefs,
@@ -232,7 +232,7 @@
         news,
         decisions,
         metrics,
-        StoreClient(settings.log_address, readers.eras),
+        StoreClient(settings.log_address, readers.epoch_tracker),
         TimerService(MonotonicClock(), rng, grid_s=TIMER_GRID_S),
         HttpListener(ingress.handle, clock),
         learned,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -114,7 +114,7 @@
         budget.ratio = settings.retry_ratio
         budget.window_s = settings.retry_window_s
         budget.slack = settings.retry_slack
-        self.quotas.holder.bounds = settings.find_quota_bounds()
+        self.quotas.allocator.bounds = settings.find_quota_bounds()
         self.settings = evolve(
             self.settings,
             service=settings.service,
@@ -184,7 +184,7 @@
     def _take_record(self, record: StoredRecord) -> None:
         if record.key == LEARNED_KEY:
             if record.value:
-                self.learned.take(record.value)
+                self.learned.apply(record.value)
         elif record.key == self.settings.name:
             # nobody else knows better what this node is
             return
@@ -242,8 +242,8 @@
         state.labels("members").set(len(self.beliefs.members.by_name))
         state.labels("reads_log").set(self.readers.reading)
         state.labels("log_subscribers").set(len(self.readers.subscribers))
-        state.labels("log_era").set(self.readers.eras.current)
-        state.labels("log_next_offset").set(self.readers.book.next_offset)
+        state.labels("log_era").set(self.readers.epoch_tracker.current)
+        state.labels("log_next_offset").set(self.readers.record_table.next_offset)
         state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
         state.labels("open_requests").set(self.ingress.answers.open_flows)
         state.labels("lines_left_out").set(self.decisions.failures.dropped)
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -30,8 +30,8 @@
 from eelgrassmount.relay.stalls import StallWatch, read_process_times
 from eelgrassmount.relay.vectors import REQUEST_COUNT_INTERVAL_S
 from eelgrassmount.topics.follower import TopicFollower
-from eelgrassmount.topics.learned import PERIOD_S
-from eelgrassmount.topics.local_record import OwnRecord
+from eelgrassmount.topics.learned import RECORD_CHECK_INTERVAL_S
+from eelgrassmount.topics.local_record import LocalRecord
 from eelgrassmount.topics.store import StoredRecord, StoreFailure
 from eelgrassmount.util.addresses import Address
 from eelgrassmount.util.backoff import Backoff
@@ -207,9 +207,9 @@
         take = node.take_nodes
     follower = TopicFollower(node.store, topic, take, node.rng, node.note_unreadable)
     if topic == NODES_TOPIC:
-        follower.on_read = node.readers.note_read
-        follower.next_offset = node.readers.book.next_offset or None
-    follower.want(node.readers.reading)
+        follower.on_read = node.readers.record_read
+        follower.next_offset = node.readers.record_table.next_offset or None
+    follower.set_wanted(node.readers.reading)
     node.followers.append(follower)
     node.readers.step()
     await follower.run()
@@ -224,12 +224,12 @@
     own = make_own_record(node)
     backoff = Backoff(node.rng, RECORD_RETRY_S, RECORD_RETRY_LIMIT_S)
     while not await _put_record(node, own):
-        node.readers.begin()
+        node.readers.start()
         await anyio.sleep(backoff.fail())
         # a copy under another key would not lead anybody here
-        if node.readers.book.find(own.key) == own:
+        if node.readers.record_table.find(own.key) == own:
             break
-    node.readers.begin()
+    node.readers.start()
     await _follow(node, NODES_TOPIC)
 
 
@@ -250,12 +250,12 @@
 
     Return whether it does now.
     """
-    book = node.readers.book
+    book = node.readers.record_table
     snapshot = await node.store.read_newest(NODES_TOPIC)
     if isinstance(snapshot, StoreFailure):
         return False
     node.take_nodes(snapshot.records)
-    book.take(snapshot.records, snapshot.end)
+    book.apply(snapshot.records, snapshot.end)
     if book.find(own.key) == own:
         return True
     offset = await node.store.append(NODES_TOPIC, own.key, own.value)
@@ -268,17 +268,17 @@
 async def _keep_records(node: RelayNode) -> None:
     """Write what has to stand on the log, again if it is gone."""
     beliefs = node.beliefs
-    own = OwnRecord(
+    own = LocalRecord(
         make_own_record(node),
-        node.readers.book,
+        node.readers.record_table,
         lambda: len(beliefs.members.by_name),
         beliefs.clock,
         node.rng,
     )
     while True:
-        await anyio.sleep(PERIOD_S)
+        await anyio.sleep(RECORD_CHECK_INTERVAL_S)
         await _keep_learned(node)
-        if node.readers.begun and not beliefs.stopping and own.is_due():
+        if node.readers.started and not beliefs.stopping and own.is_due():
             await _write_own(node, own.record)
 
 
@@ -288,12 +288,12 @@
         logger.warning("own record not written", kind=offset.kind)
         return
     logger.info("own record written again", offset=offset)
-    node.readers.book.put(evolve(record, offset=offset))
+    node.readers.record_table.put(evolve(record, offset=offset))
 
 
 async def _keep_learned(node: RelayNode) -> None:
     """Write what all nodes have learned when it has changed for good."""
-    value = node.learned.find_record() if node.readers.is_reader else None
+    value = node.learned.build_due_record() if node.readers.is_reader else None
     if value is None:
         return
     offset = await node.store.append(NODES_TOPIC, LEARNED_KEY, value)
@@ -301,5 +301,5 @@
         # it is written later by the same chance, here or elsewhere
         logger.warning("learned calls not kept", kind=offset.kind)
     else:
-        node.learned.take(value)
+        node.learned.apply(value)
         logger.info("learned calls kept", offset=offset)
--- a/eelgrassmount/platform/store.py
+++ b/eelgrassmount/platform/store.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.errors import PlatformDocumentError
 from eelgrassmount.relay.persistent_connections import PersistentConnections
-from eelgrassmount.topics.log_epoch import UNKNOWN_ERA, EraWatch
+from eelgrassmount.topics.log_epoch import UNKNOWN_EPOCH, EpochTracker
 from eelgrassmount.topics.store import (
     Batch,
     FailureKind,
@@ -42,7 +42,7 @@
 _PAGE = "page of the newest records"
 
 _KINDS = {
-    503: FailureKind.TURNED_AWAY,
+    503: FailureKind.REJECTED,
     429: FailureKind.LIMITED,
     409: FailureKind.CONFLICT,
     412: FailureKind.CONFLICT,
@@ -59,7 +59,7 @@
     """
 
     address: Address
-    eras: EraWatch = field(factory=EraWatch)
+    eras: EpochTracker = field(factory=EpochTracker)
     _connections: PersistentConnections = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -150,7 +150,7 @@
         if isinstance(answer, StoreFailure):
             return answer
         era = _read_era(answer.headers)
-        if not self.eras.note_answer(era, asked_in):
+        if not self.eras.check_answer(era, asked_in):
             return StoreFailure(FailureKind.OUTDATED, f"era {era}")
         if answer.status != 200:
             kind = _KINDS.get(answer.status, FailureKind.MALFORMED)
@@ -164,7 +164,7 @@
         digits = value.strip()
         if name == ERA and digits.isdigit() and len(digits) <= MAX_ERA_DIGITS:
             return int(digits)
-    return UNKNOWN_ERA
+    return UNKNOWN_EPOCH
 
 
 def _cut_records(content: bytes, offset: int) -> Batch | StoreFailure:
--- a/eelgrassmount/relay/checks.py
+++ b/eelgrassmount/relay/checks.py
@@ -12,7 +12,7 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.relay.messages import Outcome
 from eelgrassmount.relay.routes import MAX_RANK
-from eelgrassmount.topics.log_epoch import UNKNOWN_ERA
+from eelgrassmount.topics.log_epoch import UNKNOWN_EPOCH
 from eelgrassmount.util.addresses import parse_address
 from eelgrassmount.util.fields import MAX_NAME_LENGTH, is_printable
 from eelgrassmount.verdict import Reason
@@ -193,8 +193,8 @@
 
 
 def _check_era(struct: ttypes.RelaySubscribe | ttypes.RelayNews) -> None:
-    if not UNKNOWN_ERA <= struct.era <= MAX_COUNTER:
-        _raise_invalid(struct, "era", f"not between {UNKNOWN_ERA} and {MAX_COUNTER}")
+    if not UNKNOWN_EPOCH <= struct.era <= MAX_COUNTER:
+        _raise_invalid(struct, "era", f"not between {UNKNOWN_EPOCH} and {MAX_COUNTER}")
 
 
 def _check_news(news: ttypes.RelayNews) -> None:
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -9,7 +9,7 @@
 from eelgrassmount.relay.messages import Call, Origin
 from eelgrassmount.relay.routes import RouteTable, TargetChooser
 from eelgrassmount.relay.sender import PendingRequest
-from eelgrassmount.teams.access import judge_key
+from eelgrassmount.teams.access import check_api_key
 from eelgrassmount.verdict import Reason
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from eelgrassmount.relay.routes import Route
     from eelgrassmount.retry.quarantine import Quarantine
     from eelgrassmount.teams.directory import Team
-    from eelgrassmount.teams.quota_client import QuotaTaker, QuotaVerdict
+    from eelgrassmount.teams.quota_client import QuotaClient, QuotaVerdict
 
 # used for requests without a deadline
 DEFAULT_REMAINING_MS = 60_000
@@ -54,7 +54,7 @@
     record_client_request: Callable[[str], None]
     lineage: CallAttributor
     is_current: Callable[[], bool]
-    quotas: QuotaTaker
+    quotas: QuotaClient
     table: RouteTable = field(factory=RouteTable)
     chooser: TargetChooser = field(factory=TargetChooser)
 
@@ -71,7 +71,9 @@
         if route is None:
             self.answers.answer_unknown_route(exchange, head)
             return
-        access = judge_key(table.teams, route.needs_key, head.api_key, self.is_current)
+        access = check_api_key(
+            table.teams, route.needs_key, head.api_key, self.is_current
+        )
         team = access.team
         if team is not None and team.has_quota():
             self._request_quota(exchange, head, route, team)
@@ -99,8 +101,8 @@
             else:
                 self.answers.refuse_quota(exchange, head, route.name, verdict)
 
-        waiting = self.quotas.take(team, decide)
-        if not waiting.ended:
+        waiting = self.quotas.request(team, decide)
+        if not waiting.finished:
             exchange.on_abandon = lambda: self.quotas.cancel(waiting)
 
     def _admit(
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -61,7 +61,7 @@
                 )
             return
         self._request_newer_config(member, hello.config_version)
-        self.readers.note_linked(member)
+        self.readers.handle_connected(member)
 
     def register_caller(self, hello: ttypes.RelayHello) -> bool:
         """Add the node that opened a link; return whether its configuration is newer.
@@ -135,9 +135,9 @@
         elif kind is FrameKind.SUSPECTS:
             self.record_suspects(struct)
         elif kind is FrameKind.SUBSCRIBE:
-            self.readers.note_subscribe(struct, send)
+            self.readers.handle_subscribe(struct, send)
         elif kind is FrameKind.NEWS:
-            self.readers.note_news(struct)
+            self.readers.handle_news(struct)
             self._request_config(struct.config_version, send)
         elif kind is FrameKind.CONFIG:
             self.handle_config(struct)
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -217,17 +217,17 @@
         readers.reading,
         readers.is_reader,
         len(readers.subscribers),
-        readers.eras.current,
-        readers.book.next_offset,
-        readers.beliefs.cluster_counts.nodes,
+        readers.epoch_tracker.current,
+        readers.record_table.next_offset,
+        readers.state.cluster_counts.nodes,
         [
             ReaderStatus(
                 name,
                 subscription.reads,
                 subscription.hears,
                 None
-                if math.isinf(subscription.heard_s)
-                else round(now_s - subscription.heard_s, 3),
+                if math.isinf(subscription.received_s)
+                else round(now_s - subscription.received_s, 3),
             )
             for name, subscription in sorted(readers.subscriptions.items())
         ],
@@ -237,7 +237,7 @@
 def _collect_teams(node: RelayNode, now_s: float) -> TeamStatus:
     teams = node.beliefs.table.teams.teams
     held = []
-    for name, quota in sorted(node.quotas.holder.held.items()):
+    for name, quota in sorted(node.quotas.allocator.quotas.items()):
         quota.bucket.refill(now_s)
         if name in teams and quota.bucket.rate:
             held.append(
@@ -247,10 +247,10 @@
                     teams[name].burst,
                     round(quota.bucket.rate, 2),
                     round(quota.bucket.tokens, 2),
-                    round(quota.asked_per_s, 2),
+                    round(quota.requested_per_s, 2),
                 )
             )
-    return TeamStatus(len(teams), list(node.quotas.near), held)
+    return TeamStatus(len(teams), list(node.quotas.local_allocators), held)
 
 
 def _collect_server(node: RelayNode, now_s: float) -> ServerStatus:
--- a/eelgrassmount/teams/access.py
+++ b/eelgrassmount/teams/access.py
@@ -25,10 +25,10 @@
     refusal: Reason | None = None
 
 
-OPEN = Access()
+NO_TEAM = Access()
 
 
-def judge_key(
+def check_api_key(
     directory: TeamDirectory,
     needs_key: bool,
     key: bytes | None,
@@ -41,7 +41,7 @@
     request again whose key is wrong.
     """
     if not needs_key or not directory.is_required:
-        return OPEN
+        return NO_TEAM
     team = directory.find(key) if key else None
     if team is not None:
         return Access(team)
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -12,8 +12,13 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.policy.quotas import choose_allocator
 from eelgrassmount.relay.frames import FrameKind
-from eelgrassmount.teams.quota_allocator import FREE_S, Ask, Grant, QuotaHolder
-from eelgrassmount.teams.quota_client import QuotaTaker
+from eelgrassmount.teams.quota_allocator import (
+    UNGRANTED_PERIOD_S,
+    Grant,
+    QuotaAllocator,
+    QuotaRequest,
+)
+from eelgrassmount.teams.quota_client import QuotaClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,9 +31,9 @@
     from eelgrassmount.topics.readers import LogReaders
 
 # a node tells the holders of its failure domain so often that it lends them its part
-LEND_PERIOD_S = 0.5
+LENDER_REPORT_INTERVAL_S = 0.5
 # the longest time to come back that a holder tells
-MAX_WAIT_S = 60.0
+MAX_REPORTED_WAIT_S = 60.0
 
 
 def call_later(delay_s: float, action: Callable[[], None]) -> asyncio.Handle:
@@ -46,212 +51,231 @@
     the others.
     """
 
-    beliefs: SharedState
+    state: SharedState
     readers: LogReaders
     bounds: QuotaBounds
     open_link: Callable[[Member], None]
     count: Callable[[QuotaEvent, float], None] = lambda event, requests: None
-    taker: QuotaTaker = field(init=False)
-    holder: QuotaHolder = field(init=False)
-    near: tuple[str, ...] = ()
-    far: dict[str, tuple[str, ...]] = field(factory=dict)
-    asked_by: dict[str, Callable[[FrameKind, Any], None]] = field(factory=dict)
-    _lent_s: float = -math.inf
+    client: QuotaClient = field(init=False)
+    allocator: QuotaAllocator = field(init=False)
+    local_allocators: tuple[str, ...] = ()
+    remote_allocators: dict[str, tuple[str, ...]] = field(factory=dict)
+    reply_senders: dict[str, Callable[[FrameKind, Any], None]] = field(factory=dict)
+    _lender_reported_s: float = -math.inf
     _version: int = -1
-    _limited: list[Team] = field(factory=list)
+    _teams_with_quota: list[Team] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         """Make the two sides."""
-        clock = self.beliefs.clock
-        self.taker = QuotaTaker(clock, call_later, self.list_holders, self._ask, FREE_S)
-        self.holder = QuotaHolder(
-            self.beliefs.name,
+        clock = self.state.clock
+        self.client = QuotaClient(
+            clock,
+            call_later,
+            self.list_allocators,
+            self._send_client_request,
+            UNGRANTED_PERIOD_S,
+        )
+        self.allocator = QuotaAllocator(
+            self.state.name,
             self.bounds,
             clock,
             call_later,
-            lambda: len(self.beliefs.members.by_name),
-            self.list_lenders,
-            self._borrow,
-            self._tell_node,
+            lambda: len(self.state.members.by_name),
+            self.list_remote_allocators,
+            self._send_borrow,
+            self._send_grant,
             self.count,
         )
 
     def step(self) -> None:
         """Find out who holds the quotas, and lend this node's part to them."""
-        if self.beliefs.table.version != self._version:
-            self._note_teams()
-        if not self._limited:
+        if self.state.table.version != self._version:
+            self._update_teams()
+        if not self._teams_with_quota:
             return
-        self.holder.step(self._limited)
-        self.taker.step()
-        before = self.near
-        self._find_holders()
-        now_s = self.beliefs.clock()
-        if self.near == before and now_s - self._lent_s < LEND_PERIOD_S:
+        self.allocator.step(self._teams_with_quota)
+        self.client.step()
+        previous = self.local_allocators
+        self._update_allocators()
+        now_s = self.state.clock()
+        if (
+            self.local_allocators == previous
+            and now_s - self._lender_reported_s < LENDER_REPORT_INTERVAL_S
+        ):
             return
-        self._lent_s = now_s
-        for name in before:
-            if name not in self.near:
-                self._lend_to(name, ())
-        for name in self.near:
-            self._lend_to(name, self.near)
-
-    def list_holders(self, team_name: str) -> list[str]:
+        self._lender_reported_s = now_s
+        for name in previous:
+            if name not in self.local_allocators:
+                self._report_to(name, ())
+        for name in self.local_allocators:
+            self._report_to(name, self.local_allocators)
+
+    def list_allocators(self, team_name: str) -> list[str]:
         """Return the holders of a team, that of the own failure domain first."""
-        near = choose_allocator(team_name, self.near)
-        return [*([near] if near else []), *self.list_lenders(team_name)]
+        local = choose_allocator(team_name, self.local_allocators)
+        return [*([local] if local else []), *self.list_remote_allocators(team_name)]
 
-    def list_lenders(self, team_name: str) -> list[str]:
+    def list_remote_allocators(self, team_name: str) -> list[str]:
         """Return the holders of a team in other failure domains."""
-        found = [choose_allocator(team_name, names) for names in self.far.values()]
+        found = [
+            choose_allocator(team_name, names)
+            for names in self.remote_allocators.values()
+        ]
         return [name for name in found if name]
 
-    def take_frame(
+    def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
     ) -> None:
         """Handle a frame about quotas; ``send`` answers it."""
         if kind is FrameKind.QUOTA_ASK:
-            self._take_ask(struct, send)
+            self._handle_request(struct, send)
         elif kind is FrameKind.QUOTA_GRANTS:
             for one in struct.grants:
-                self.taker.note_grant(struct.number, _read_grant(one))
+                self.client.handle_grant(struct.number, _read_grant(one))
         elif kind is FrameKind.QUOTA_BORROW:
-            self._take_borrow(struct, send)
+            self._handle_borrow(struct, send)
         elif kind is FrameKind.QUOTA_LOAN:
-            team = self._find_team(self.holder.find_team(struct.number) or "")
-            self.holder.note_loan(struct.number, struct.amount, team)
-
-    def _note_teams(self) -> None:
-        self._version = self.beliefs.table.version
-        teams = self.beliefs.table.teams.teams
-        self._limited = [team for team in teams.values() if team.has_quota()]
-        names = {team.name for team in self._limited}
-        if self._limited and not self.holder.held:
+            team = self._find_team(self.allocator.find_loan_team(struct.number) or "")
+            self.allocator.handle_loan(struct.number, struct.amount, team)
+
+    def _update_teams(self) -> None:
+        self._version = self.state.table.version
+        teams = self.state.table.teams.teams
+        self._teams_with_quota = [team for team in teams.values() if team.has_quota()]
+        names = {team.name for team in self._teams_with_quota}
+        if self._teams_with_quota and not self.allocator.quotas:
             logger.info(
-                "quotas in force", teams=len(names), **asdict(self.holder.bounds)
+                "quotas in force", teams=len(names), **asdict(self.allocator.bounds)
             )
-        self.taker.keep_teams(names)
-        self.holder.keep_teams(names)
+        self.client.keep_teams(names)
+        self.allocator.keep_teams(names)
 
     def _find_team(self, name: str) -> Team | None:
-        team = self.beliefs.table.teams.teams.get(name)
+        team = self.state.table.teams.teams.get(name)
         return team if team is not None and team.has_quota() else None
 
-    def _find_holders(self) -> None:
-        now_s = self.beliefs.clock()
-        own = self.beliefs.failure_domain
+    def _update_allocators(self) -> None:
+        now_s = self.state.clock()
+        local_domain = self.state.failure_domain
         found = {
             domain: tuple(self.readers.list_readers(domain, now_s))
             for domain in sorted(self.readers.ranking.list_domains())
         }
-        self.near = found.pop(own, ())
-        self.far = found
-        for name in self.near:
+        self.local_allocators = found.pop(local_domain, ())
+        self.remote_allocators = found
+        for name in self.local_allocators:
             self._connect(name)
-        if self.beliefs.name in self.near:
-            for names in self.far.values():
+        if self.state.name in self.local_allocators:
+            for names in self.remote_allocators.values():
                 for name in names:
                     self._connect(name)
 
     def _connect(self, name: str) -> Member | None:
         """Return another node if it can be sent a frame at once."""
-        member = self.beliefs.members.by_name.get(name)
-        if member is None or name == self.beliefs.name:
+        member = self.state.members.by_name.get(name)
+        if member is None or name == self.state.name:
             return None
         if member.is_connected():
             return member
-        if self.beliefs.clock() >= member.retry_at_s:
+        if self.state.clock() >= member.retry_at_s:
             self.open_link(member)
         return None
 
-    def _send(self, name: str, kind: FrameKind, struct: Any) -> bool:
+    def _send_frame(self, name: str, kind: FrameKind, struct: Any) -> bool:
         member = self._connect(name)
         if member is not None:
             member.link.send(kind, struct)
         return member is not None
 
-    def _lend_to(self, name: str, holders: tuple[str, ...]) -> None:
+    def _report_to(self, name: str, allocators: tuple[str, ...]) -> None:
         uses = [
-            ttypes.QuotaUse(team_name, self.taker.drain_used(team_name), 0)
-            for team_name, taking in self.taker.teams.items()
-            if taking.used and choose_allocator(team_name, self.near) == name
+            ttypes.QuotaUse(team_name, self.client.drain_unreported(team_name), 0)
+            for team_name, quota in self.client.quotas.items()
+            if quota.unreported
+            and choose_allocator(team_name, self.local_allocators) == name
         ]
-        ask = ttypes.RelayQuotaAsk(self.beliefs.name, 0, list(holders), uses)
-        if self._send_ask(name, ask):
+        request = ttypes.RelayQuotaAsk(self.state.name, 0, list(allocators), uses)
+        if self._send_request(name, request):
             return
         for use in uses:
-            self.taker.teams[use.team_name].used += use.used
+            self.client.quotas[use.team_name].unreported += use.used
 
-    def _take_own(self, kind: FrameKind, struct: Any) -> None:
+    def _handle_local_frame(self, kind: FrameKind, struct: Any) -> None:
         """Take what this node as a holder tells itself."""
-        self.take_frame(kind, struct, self._take_own)
+        self.handle_frame(kind, struct, self._handle_local_frame)
 
-    def _ask(
-        self, holder: str, number: int, team: Team, used: int, wanted: int
+    def _send_client_request(
+        self, allocator: str, number: int, team: Team, used: int, wanted: int
     ) -> bool:
         use = ttypes.QuotaUse(team.name, used, wanted)
-        ask = ttypes.RelayQuotaAsk(self.beliefs.name, number, list(self.near), [use])
-        return self._send_ask(holder, ask)
+        request = ttypes.RelayQuotaAsk(
+            self.state.name, number, list(self.local_allocators), [use]
+        )
+        return self._send_request(allocator, request)
 
-    def _send_ask(self, holder: str, ask: ttypes.RelayQuotaAsk) -> bool:
-        if holder != self.beliefs.name:
-            return self._send(holder, FrameKind.QUOTA_ASK, ask)
-        self._take_ask(ask, self._take_own)
+    def _send_request(self, allocator: str, request: ttypes.RelayQuotaAsk) -> bool:
+        if allocator != self.state.name:
+            return self._send_frame(allocator, FrameKind.QUOTA_ASK, request)
+        self._handle_request(request, self._handle_local_frame)
         return True
 
-    def _take_ask(
-        self, ask: ttypes.RelayQuotaAsk, send: Callable[[FrameKind, Any], None]
+    def _handle_request(
+        self, request: ttypes.RelayQuotaAsk, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        self.holder.note_lender(ask.node_name, tuple(ask.holders))
-        self.asked_by[ask.node_name] = send
-        for use in ask.uses:
+        self.allocator.record_lender(request.node_name, tuple(request.holders))
+        self.reply_senders[request.node_name] = send
+        for use in request.uses:
             team = self._find_team(use.team_name)
             if team is None:
                 # the asking node has another configuration, and asks elsewhere
                 continue
             if use.used:
-                self.holder.note_used(team, use.used)
+                self.allocator.record_usage(team, use.used)
             if use.wanted:
-                self._take_question(ask, use, team, send)
+                self._allocate(request, use, team, send)
 
-    def _take_question(
+    def _allocate(
         self,
-        ask: ttypes.RelayQuotaAsk,
+        request: ttypes.RelayQuotaAsk,
         use: ttypes.QuotaUse,
         team: Team,
         send: Callable[[FrameKind, Any], None],
     ) -> None:
         def answer(grant: Grant) -> None:
-            send(FrameKind.QUOTA_GRANTS, self._write_grant(ask.number, grant))
+            send(FrameKind.QUOTA_GRANTS, self._write_grant(request.number, grant))
 
-        self.holder.ask(team, Ask(ask.node_name, ask.number, use.wanted, answer))
+        self.allocator.request(
+            team, QuotaRequest(request.node_name, request.number, use.wanted, answer)
+        )
 
     def _write_grant(self, number: int, grant: Grant) -> ttypes.RelayQuotaGrants:
         row = ttypes.QuotaGrant(
             grant.team_name,
             grant.wanted,
             grant.granted,
-            grant.is_free,
-            min(MAX_WAIT_S, grant.wait_s),
-            grant.gap_s,
+            grant.allows_ungranted,
+            min(MAX_REPORTED_WAIT_S, grant.wait_s),
+            grant.interval_s,
         )
-        return ttypes.RelayQuotaGrants(self.beliefs.name, number, [row])
+        return ttypes.RelayQuotaGrants(self.state.name, number, [row])
 
-    def _tell_node(self, name: str, grant: Grant) -> None:
-        send = self.asked_by.get(name)
+    def _send_grant(self, name: str, grant: Grant) -> None:
+        send = self.reply_senders.get(name)
         if send is not None:
             send(FrameKind.QUOTA_GRANTS, self._write_grant(0, grant))
 
-    def _borrow(self, holder: str, number: int, team_name: str, wanted: float) -> bool:
-        struct = ttypes.RelayQuotaBorrow(self.beliefs.name, number, team_name, wanted)
-        return self._send(holder, FrameKind.QUOTA_BORROW, struct)
+    def _send_borrow(
+        self, allocator: str, number: int, team_name: str, wanted: float
+    ) -> bool:
+        struct = ttypes.RelayQuotaBorrow(self.state.name, number, team_name, wanted)
+        return self._send_frame(allocator, FrameKind.QUOTA_BORROW, struct)
 
-    def _take_borrow(
+    def _handle_borrow(
         self, borrow: ttypes.RelayQuotaBorrow, send: Callable[[FrameKind, Any], None]
     ) -> None:
         team = self._find_team(borrow.team_name)
-        amount = self.holder.lend(team, borrow.wanted) if team is not None else 0.0
-        loan = ttypes.RelayQuotaLoan(self.beliefs.name, borrow.number, amount)
+        amount = self.allocator.lend(team, borrow.wanted) if team is not None else 0.0
+        loan = ttypes.RelayQuotaLoan(self.state.name, borrow.number, amount)
         send(FrameKind.QUOTA_LOAN, loan)
 
 
--- a/eelgrassmount/teams/quota_allocator.py
+++ b/eelgrassmount/teams/quota_allocator.py
@@ -24,16 +24,16 @@
 
 # a node that has not asked for so long lends its part to this holder no longer. It asks
 # twice within the time
-LENT_S = 1.25
+LENDER_TIMEOUT_S = 1.25
 # a node may take without asking for so long, unless it is told otherwise
-FREE_S = 0.5
+UNGRANTED_PERIOD_S = 0.5
 # loans that have not come after so long are not waited for
-LOAN_LIMIT_S = 0.03
+LOAN_TIMEOUT_S = 0.03
 # holders that had nothing to lend are asked again after so long, doubled each time
-BORROW_AGAIN_S = 0.1
-BORROW_AGAIN_LIMIT_S = 1.0
+MIN_BORROW_RETRY_DELAY_S = 0.1
+MAX_BORROW_RETRY_DELAY_S = 1.0
 # the rate of what is asked for is a mean over about so long
-RATE_S = 1.0
+RATE_WINDOW_S = 1.0
 
 
 class QuotaEvent(StrEnum):
@@ -46,7 +46,7 @@
 
 
 @define(eq=False)
-class Ask:
+class QuotaRequest:
     """A question of one node for requests of a team."""
 
     node_name: str
@@ -65,21 +65,21 @@
     team_name: str
     wanted: int = 0
     granted: int = 0
-    is_free: bool = False
+    allows_ungranted: bool = False
     wait_s: float = 0.0
-    gap_s: float = 0.0
+    interval_s: float = 0.0
 
 
 @define(eq=False)
-class Borrowing:
+class PendingLoans:
     """Requests that other holders were asked for, by number, while loans may come."""
 
     open_numbers: set[int]
-    borrowed: float = 0.0
+    loaned: float = 0.0
 
 
 @define(eq=False)
-class HeldQuota:
+class AllocatedQuota:
     """What this node hands out of one team's quota.
 
     ``free_until_s`` holds the nodes that may take without asking, ``waiting`` the
@@ -88,26 +88,28 @@
     """
 
     bucket: TokenBucket
-    asked_per_s: float = 0.0
-    promised: float = 0.0
-    read_s: float = 0.0
-    free_until_s: dict[str, float] = field(factory=dict)
-    waiting: deque[Ask] = field(factory=deque)
-    borrowing: Borrowing | None = None
-    borrow_again_s: float = 0.0
-    borrow_delay_s: float = BORROW_AGAIN_S
-
-    def note_asked(self, count: int, now_s: float) -> None:
+    requested_per_s: float = 0.0
+    deferred: float = 0.0
+    updated_s: float = 0.0
+    ungranted_until_s: dict[str, float] = field(factory=dict)
+    waiting: deque[QuotaRequest] = field(factory=deque)
+    pending_loans: PendingLoans | None = None
+    next_borrow_s: float = 0.0
+    borrow_delay_s: float = MIN_BORROW_RETRY_DELAY_S
+
+    def record_requests(self, count: int, now_s: float) -> None:
         """Take up that so many requests came, and let the mean fade."""
-        passed_s = max(0.0, now_s - self.read_s)
-        self.read_s = now_s
-        kept = max(0.0, 1.0 - passed_s / RATE_S)
-        self.asked_per_s = kept * self.asked_per_s + max(0, count) / RATE_S
-        self.promised = max(0.0, self.promised - self.bucket.rate * passed_s)
+        elapsed_s = max(0.0, now_s - self.updated_s)
+        self.updated_s = now_s
+        remaining_weight = max(0.0, 1.0 - elapsed_s / RATE_WINDOW_S)
+        self.requested_per_s = (
+            remaining_weight * self.requested_per_s + max(0, count) / RATE_WINDOW_S
+        )
+        self.deferred = max(0.0, self.deferred - self.bucket.rate * elapsed_s)
 
 
 @define(eq=False)
-class QuotaHolder:
+class QuotaAllocator:
     """Hands out a part of each quota to the nodes that ask.
 
     The part follows from the nodes that lend theirs. What it doesn't have it borrows
@@ -124,27 +126,27 @@
     clock: Callable[[], float]
     call_later: Callable[[float, Callable[[], None]], object]
     count_nodes: Callable[[], int]
-    list_lenders: Callable[[str], list[str]]
-    borrow: Callable[[str, int, str, float], bool]
-    tell_node: Callable[[str, Grant], None]
+    list_remote_allocators: Callable[[str], list[str]]
+    send_borrow: Callable[[str, int, str, float], bool]
+    send_grant: Callable[[str, Grant], None]
     count: Callable[[QuotaEvent, float], None] = lambda event, requests: None
-    held: dict[str, HeldQuota] = field(factory=dict)
-    lent: dict[str, tuple[tuple[str, ...], float]] = field(factory=dict)
-    _numbers: int = 0
-    _open: dict[int, str] = field(factory=dict)
-    _lenders: Counter[tuple[str, ...]] = field(factory=Counter)
-    _sized: dict[str, tuple[Team, float, QuotaBounds]] = field(factory=dict)
-    _known: object = None
-
-    def note_lender(self, node_name: str, holders: tuple[str, ...]) -> None:
+    quotas: dict[str, AllocatedQuota] = field(factory=dict)
+    allocators_by_lender: dict[str, tuple[tuple[str, ...], float]] = field(factory=dict)
+    _last_number: int = 0
+    _teams_by_loan: dict[int, str] = field(factory=dict)
+    _lender_counts: Counter[tuple[str, ...]] = field(factory=Counter)
+    _sizes: dict[str, tuple[Team, float, QuotaBounds]] = field(factory=dict)
+    _last_inputs: object = None
+
+    def record_lender(self, node_name: str, allocators: tuple[str, ...]) -> None:
         """Take up to which holders a node lends its part."""
         now_s = self.clock()
-        known = self.lent.get(node_name)
-        if known is None or known[0] != holders:
+        known = self.allocators_by_lender.get(node_name)
+        if known is None or known[0] != allocators:
             if known is not None:
-                self._lenders[known[0]] -= 1
-            self._lenders[holders] += 1
-        self.lent[node_name] = (holders, now_s + LENT_S)
+                self._lender_counts[known[0]] -= 1
+            self._lender_counts[allocators] += 1
+        self.allocators_by_lender[node_name] = (allocators, now_s + LENDER_TIMEOUT_S)
 
     def step(self, teams: list[Team]) -> None:
         """Forget nodes that have not asked for long, and hold what others lend.
@@ -152,173 +154,185 @@
         A quota is held before anybody asks for it, so that it is there by then.
         """
         now_s = self.clock()
-        for name, (holders, until_s) in list(self.lent.items()):
+        for name, (allocators, until_s) in list(self.allocators_by_lender.items()):
             if until_s < now_s:
-                del self.lent[name]
-                self._lenders[holders] -= 1
-        self._lenders += Counter()
-        known = (dict(self._lenders), self.count_nodes(), self.bounds, teams)
-        if known == self._known:
+                del self.allocators_by_lender[name]
+                self._lender_counts[allocators] -= 1
+        self._lender_counts += Counter()
+        known = (dict(self._lender_counts), self.count_nodes(), self.bounds, teams)
+        if known == self._last_inputs:
             return
-        self._known = known
+        self._last_inputs = known
         for team in teams:
-            if team.name in self.held or self._find_portion(team.name):
-                self._find(team)
+            if team.name in self.quotas or self._compute_share(team.name):
+                self._get_quota(team)
 
     def keep_teams(self, names: set[str]) -> None:
         """Forget the quotas of all other teams."""
-        self.held = {name: one for name, one in self.held.items() if name in names}
-        self._sized = {name: one for name, one in self._sized.items() if name in names}
+        self.quotas = {name: one for name, one in self.quotas.items() if name in names}
+        self._sizes = {name: one for name, one in self._sizes.items() if name in names}
 
-    def note_used(self, team: Team, used: int) -> None:
+    def record_usage(self, team: Team, used: int) -> None:
         """Take up what a node let begin without asking, or gives back."""
-        held = self._find(team)
-        held.note_asked(used, self.clock())
-        held.bucket.charge(used, self.clock())
-        self._call_in(team.name, held)
+        quota = self._get_quota(team)
+        quota.record_requests(used, self.clock())
+        quota.bucket.charge(used, self.clock())
+        self._revoke_if_low(team.name, quota)
 
-    def ask(self, team: Team, ask: Ask) -> None:
+    def request(self, team: Team, request: QuotaRequest) -> None:
         """Answer a question, now or once other holders have answered."""
-        held = self._find(team)
+        quota = self._get_quota(team)
         now_s = self.clock()
-        held.note_asked(ask.wanted, now_s)
-        if held.waiting:
-            held.waiting.append(ask)
+        quota.record_requests(request.wanted, now_s)
+        if quota.waiting:
+            quota.waiting.append(request)
             return
-        missing = ask.wanted - held.bucket.compute_available(now_s)
-        if missing > 0.0 and self._start_borrowing(team, held, missing, now_s):
-            held.waiting.append(ask)
+        missing = request.wanted - quota.bucket.compute_available(now_s)
+        if missing > 0.0 and self._request_loans(team, quota, missing, now_s):
+            quota.waiting.append(request)
         else:
-            self._answer(team, held, ask, now_s)
+            self._answer(team, quota, request, now_s)
 
     def lend(self, team: Team, wanted: float) -> float:
         """Return the requests that another holder may have, which are gone here."""
-        held = self._find(team)
+        quota = self._get_quota(team)
         now_s = self.clock()
-        held.note_asked(0, now_s)
+        quota.record_requests(0, now_s)
         spare = compute_spare_tokens(
-            held.bucket.compute_available(now_s), held.asked_per_s
+            quota.bucket.compute_available(now_s), quota.requested_per_s
         )
-        lent = min(wanted, spare)
-        held.bucket.charge(lent, now_s)
-        self.count(QuotaEvent.LENT, lent)
-        self._call_in(team.name, held)
-        return lent
+        loan = min(wanted, spare)
+        quota.bucket.charge(loan, now_s)
+        self.count(QuotaEvent.LENT, loan)
+        self._revoke_if_low(team.name, quota)
+        return loan
 
-    def note_loan(self, number: int, amount: float, team: Team | None) -> None:
+    def handle_loan(self, number: int, amount: float, team: Team | None) -> None:
         """Take up a loan, once; one that comes too late is lost."""
-        team_name = self._open.pop(number, None)
-        held = self.held.get(team_name or "")
-        if team is None or held is None or held.borrowing is None:
+        team_name = self._teams_by_loan.pop(number, None)
+        quota = self.quotas.get(team_name or "")
+        if team is None or quota is None or quota.pending_loans is None:
             return
-        held.bucket.refill(self.clock())
-        held.bucket.tokens += amount
+        quota.bucket.refill(self.clock())
+        quota.bucket.tokens += amount
         self.count(QuotaEvent.BORROWED, amount)
-        held.borrowing.borrowed += amount
-        held.borrowing.open_numbers.discard(number)
-        if not held.borrowing.open_numbers:
-            self._end_borrowing(team, held)
+        quota.pending_loans.loaned += amount
+        quota.pending_loans.open_numbers.discard(number)
+        if not quota.pending_loans.open_numbers:
+            self._finish_borrowing(team, quota)
 
-    def find_team(self, number: int) -> str | None:
+    def find_loan_team(self, number: int) -> str | None:
         """Return the team that a loan is for, ``None`` if nothing is waited for."""
-        return self._open.get(number)
+        return self._teams_by_loan.get(number)
 
-    def _find(self, team: Team) -> HeldQuota:
+    def _get_quota(self, team: Team) -> AllocatedQuota:
         now_s = self.clock()
-        held = self.held.get(team.name)
-        if held is None:
-            held = self.held[team.name] = HeldQuota(TokenBucket(now_s), read_s=now_s)
-        portion = self._find_portion(team.name)
-        size = (team, portion, self.bounds)
-        if self._sized.get(team.name) != size:
-            self._sized[team.name] = size
-            whole = team.rate * self.bounds.window_s + team.burst
-            held.bucket.resize(
-                portion * team.rate,
-                portion * team.burst,
-                portion * self.bounds.compute_max_debt(team),
-                whole,
+        quota = self.quotas.get(team.name)
+        if quota is None:
+            quota = self.quotas[team.name] = AllocatedQuota(
+                TokenBucket(now_s), updated_s=now_s
+            )
+        share = self._compute_share(team.name)
+        size = (team, share, self.bounds)
+        if self._sizes.get(team.name) != size:
+            self._sizes[team.name] = size
+            window_quota = team.rate * self.bounds.window_s + team.burst
+            quota.bucket.resize(
+                share * team.rate,
+                share * team.burst,
+                share * self.bounds.compute_max_debt(team),
+                window_quota,
                 now_s,
             )
-        return held
+        return quota
 
-    def _find_portion(self, team_name: str) -> float:
+    def _compute_share(self, team_name: str) -> float:
         lenders = sum(
             count
-            for holders, count in self._lenders.items()
-            if count and choose_allocator(team_name, holders) == self.name
+            for allocators, count in self._lender_counts.items()
+            if count and choose_allocator(team_name, allocators) == self.name
         )
         return compute_allocator_share(lenders, self.count_nodes())
 
-    def _start_borrowing(
-        self, team: Team, held: HeldQuota, missing: float, now_s: float
+    def _request_loans(
+        self, team: Team, quota: AllocatedQuota, missing: float, now_s: float
     ) -> bool:
-        if now_s < held.borrow_again_s:
+        if now_s < quota.next_borrow_s:
             return False
-        amount = compute_loan_request(missing, held.asked_per_s)
+        amount = compute_loan_request(missing, quota.requested_per_s)
         numbers = set()
-        for name in self.list_lenders(team.name):
-            self._numbers += 1
-            if self.borrow(name, self._numbers, team.name, amount):
-                numbers.add(self._numbers)
-                self._open[self._numbers] = team.name
+        for name in self.list_remote_allocators(team.name):
+            self._last_number += 1
+            if self.send_borrow(name, self._last_number, team.name, amount):
+                numbers.add(self._last_number)
+                self._teams_by_loan[self._last_number] = team.name
         if not numbers:
             return False
-        borrowing = held.borrowing = Borrowing(numbers)
+        pending_loans = quota.pending_loans = PendingLoans(numbers)
 
-        def give_up() -> None:
-            if held.borrowing is borrowing:
-                self._end_borrowing(team, held)
+        def time_out() -> None:
+            if quota.pending_loans is pending_loans:
+                self._finish_borrowing(team, quota)
 
-        self.call_later(LOAN_LIMIT_S, give_up)
+        self.call_later(LOAN_TIMEOUT_S, time_out)
         return True
 
-    def _end_borrowing(self, team: Team, held: HeldQuota) -> None:
+    def _finish_borrowing(self, team: Team, quota: AllocatedQuota) -> None:
         now_s = self.clock()
-        borrowing = held.borrowing
-        held.borrowing = None
-        for number in borrowing.open_numbers:
-            self._open.pop(number, None)
-        if borrowing.borrowed:
-            held.borrow_delay_s = BORROW_AGAIN_S
+        pending_loans = quota.pending_loans
+        quota.pending_loans = None
+        for number in pending_loans.open_numbers:
+            self._teams_by_loan.pop(number, None)
+        if pending_loans.loaned:
+            quota.borrow_delay_s = MIN_BORROW_RETRY_DELAY_S
         else:
-            held.borrow_again_s = now_s + held.borrow_delay_s
-            held.borrow_delay_s = min(BORROW_AGAIN_LIMIT_S, 2 * held.borrow_delay_s)
-        waiting, held.waiting = held.waiting, deque()
-        for ask in waiting:
-            self._answer(team, held, ask, now_s)
-
-    def _answer(self, team: Team, held: HeldQuota, ask: Ask, now_s: float) -> None:
-        grant = Grant(team.name, ask.wanted, held.bucket.take(ask.wanted, now_s))
+            quota.next_borrow_s = now_s + quota.borrow_delay_s
+            quota.borrow_delay_s = min(
+                MAX_BORROW_RETRY_DELAY_S, 2 * quota.borrow_delay_s
+            )
+        waiting, quota.waiting = quota.waiting, deque()
+        for request in waiting:
+            self._answer(team, quota, request, now_s)
+
+    def _answer(
+        self, team: Team, quota: AllocatedQuota, request: QuotaRequest, now_s: float
+    ) -> None:
+        grant = Grant(
+            team.name, request.wanted, quota.bucket.take(request.wanted, now_s)
+        )
         self.count(QuotaEvent.GRANTED, grant.granted)
-        if grant.granted < ask.wanted:
-            self.count(QuotaEvent.REFUSED, ask.wanted - grant.granted)
-            grant.wait_s = held.bucket.compute_wait_s(held.promised, now_s)
-            grant.gap_s = held.bucket.compute_interval_s()
-            promised = held.promised + ask.wanted - grant.granted
+        if grant.granted < request.wanted:
+            self.count(QuotaEvent.REFUSED, request.wanted - grant.granted)
+            grant.wait_s = quota.bucket.compute_wait_s(quota.deferred, now_s)
+            grant.interval_s = quota.bucket.compute_interval_s()
+            deferred = quota.deferred + request.wanted - grant.granted
             # who is told to come back later than this mostly doesn't
-            most = held.bucket.rate * self.bounds.window_s
-            held.promised = min(promised, most)
-        grant.is_free = self._may_be_free(held, ask.node_name, now_s)
-        ask.answer(grant)
-        self._call_in(team.name, held)
-
-    def _may_be_free(self, held: HeldQuota, node_name: str, now_s: float) -> bool:
-        held.free_until_s = {
+            max_deferred = quota.bucket.rate * self.bounds.window_s
+            quota.deferred = min(deferred, max_deferred)
+        grant.allows_ungranted = self._may_admit_without_grant(
+            quota, request.node_name, now_s
+        )
+        request.answer(grant)
+        self._revoke_if_low(team.name, quota)
+
+    def _may_admit_without_grant(
+        self, quota: AllocatedQuota, node_name: str, now_s: float
+    ) -> bool:
+        quota.ungranted_until_s = {
             name: until_s
-            for name, until_s in held.free_until_s.items()
+            for name, until_s in quota.ungranted_until_s.items()
             if until_s > now_s and name != node_name
         }
-        if not held.bucket.may_admit_without_grant(len(held.free_until_s)):
+        if not quota.bucket.may_admit_without_grant(len(quota.ungranted_until_s)):
             return False
-        held.free_until_s[node_name] = now_s + FREE_S
+        quota.ungranted_until_s[node_name] = now_s + UNGRANTED_PERIOD_S
         return True
 
-    def _call_in(self, team_name: str, held: HeldQuota) -> None:
+    def _revoke_if_low(self, team_name: str, quota: AllocatedQuota) -> None:
         """Let all nodes ask again once little is left."""
-        if not held.free_until_s or not held.bucket.requires_grants():
+        if not quota.ungranted_until_s or not quota.bucket.requires_grants():
             return
-        names = list(held.free_until_s)
-        held.free_until_s.clear()
-        for name in names:
-            self.tell_node(name, Grant(team_name))
+        nodes = list(quota.ungranted_until_s)
+        quota.ungranted_until_s.clear()
+        for name in nodes:
+            self.send_grant(name, Grant(team_name))
--- a/eelgrassmount/teams/quota_client.py
+++ b/eelgrassmount/teams/quota_client.py
@@ -18,23 +18,23 @@
     from eelgrassmount.teams.quota_allocator import Grant
 
 # a holder that has not answered after so long is left, and another asked
-ANSWER_LIMIT_S = 0.06
+ANSWER_TIMEOUT_S = 0.06
 # holders that are asked for one request
-MAX_ASKED = 2
+MAX_ALLOCATORS_PER_REQUEST = 2
 # requests that were granted and not used go back after so long
-KEEP_S = 0.5
+GRANT_LIFETIME_S = 0.5
 # requests that are asked for ahead, as the time for which they are likely to last
-AHEAD_S = 0.1
+PREFETCH_PERIOD_S = 0.1
 # what was begun without asking is told after so long
-TELL_S = 0.01
+USAGE_REPORT_DELAY_S = 0.01
 # a node that no holder answers lets some requests begin within this time after a holder
 # has said that most of a quota is left: as many as usually come in the second time
-TRUST_S = 1.0
-TRUSTED_S = 0.3
+FALLBACK_PERIOD_S = 1.0
+FALLBACK_QUOTA_S = 0.3
 # all others are told to come back after so long
-UNHEARD_WAIT_S = 0.3
+UNJUDGED_WAIT_S = 0.3
 # the rate of requests is a mean over about so long
-RATE_S = 0.5
+RATE_WINDOW_S = 0.5
 
 
 @frozen
@@ -49,16 +49,16 @@
 
 
 @define(eq=False)
-class Waiting:
+class WaitingRequest:
     """A request that waits for quota; ``decide`` is called once."""
 
     decide: Callable[[QuotaVerdict], None]
-    tried: list[str] = field(factory=list)
-    ended: bool = False
+    tried_allocators: list[str] = field(factory=list)
+    finished: bool = False
 
 
 @define(eq=False)
-class TeamTaking:
+class TeamQuota:
     """What a node has of one team's quota, and asks for.
 
     ``in_hand`` requests were granted and may begin until ``keep_until_s``. Until
@@ -67,37 +67,37 @@
     ``is_short`` while less is granted than asked for.
     """
 
-    in_hand: int = 0
-    keep_until_s: float = -math.inf
-    free_until_s: float = -math.inf
-    trust_until_s: float = -math.inf
-    trusted: int = 0
-    used: int = 0
+    unused_grants: int = 0
+    grants_expire_s: float = -math.inf
+    ungranted_until_s: float = -math.inf
+    fallback_until_s: float = -math.inf
+    fallback_requests: int = 0
+    unreported: int = 0
     rate: float = 0.0
-    read_s: float = -math.inf
-    waiting: deque[Waiting] = field(factory=deque)
-    is_short: bool = False
-    is_asking: bool = False
-    is_telling: bool = False
+    updated_s: float = -math.inf
+    waiting: deque[WaitingRequest] = field(factory=deque)
+    is_exhausted: bool = False
+    is_request_due: bool = False
+    is_report_due: bool = False
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Take up a request into the mean rate."""
-        kept = max(0.0, 1.0 - (now_s - self.read_s) / RATE_S)
-        self.rate = kept * self.rate + 1.0 / RATE_S
-        self.read_s = now_s
+        remaining_weight = max(0.0, 1.0 - (now_s - self.updated_s) / RATE_WINDOW_S)
+        self.rate = remaining_weight * self.rate + 1.0 / RATE_WINDOW_S
+        self.updated_s = now_s
 
 
 @define(eq=False)
-class OpenQuestion:
+class OpenRequest:
     """What was asked of a holder: the requests that wait for its answer."""
 
     team: Team
-    holder: str
-    waiting: list[Waiting]
+    allocator: str
+    waiting: list[WaitingRequest]
 
 
 @define(eq=False)
-class QuotaTaker:
+class QuotaClient:
     """Asks the holder of a team's quota for each request of its clients.
 
     Where most of a quota is left, requests begin at once and the holder is told. One
@@ -108,179 +108,195 @@
 
     clock: Callable[[], float]
     call_later: Callable[[float, Callable[[], None]], object]
-    list_holders: Callable[[str], list[str]]
-    ask: Callable[[str, int, Team, int, int], bool]
-    free_s: float
-    teams: dict[str, TeamTaking] = field(factory=dict)
-    _numbers: int = 0
-    _open: dict[int, OpenQuestion] = field(factory=dict)
-
-    def take(self, team: Team, decide: Callable[[QuotaVerdict], None]) -> Waiting:
+    list_allocators: Callable[[str], list[str]]
+    send_request: Callable[[str, int, Team, int, int], bool]
+    ungranted_period_s: float
+    quotas: dict[str, TeamQuota] = field(factory=dict)
+    _last_number: int = 0
+    _open_requests: dict[int, OpenRequest] = field(factory=dict)
+
+    def request(
+        self, team: Team, decide: Callable[[QuotaVerdict], None]
+    ) -> WaitingRequest:
         """Decide on one request of a team, now or within some milliseconds.
 
         A request whose client leaves meanwhile is ended by ``cancel``.
         """
         now_s = self.clock()
-        taking = self.teams.setdefault(team.name, TeamTaking())
-        taking.note_request(now_s)
-        waiting = Waiting(decide)
-        if taking.in_hand and now_s < taking.keep_until_s:
-            taking.in_hand -= 1
+        quota = self.quotas.setdefault(team.name, TeamQuota())
+        quota.record_request(now_s)
+        waiting = WaitingRequest(decide)
+        if quota.unused_grants and now_s < quota.grants_expire_s:
+            quota.unused_grants -= 1
             self._decide(waiting, ALLOWED)
-        elif now_s < taking.free_until_s:
-            self._use(team, taking)
+        elif now_s < quota.ungranted_until_s:
+            self._record_usage(team, quota)
             self._decide(waiting, ALLOWED)
         else:
-            taking.waiting.append(waiting)
-            if not taking.is_asking:
+            quota.waiting.append(waiting)
+            if not quota.is_request_due:
                 # those of one turn of the loop are asked for together
-                taking.is_asking = True
-                self.call_later(0.0, lambda: self._ask(team, taking))
+                quota.is_request_due = True
+                self.call_later(0.0, lambda: self._request_grants(team, quota))
         return waiting
 
-    def give_back(self, team: Team) -> None:
+    def return_quota(self, team: Team) -> None:
         """Take a request back that may begin and does not run."""
-        taking = self.teams.setdefault(team.name, TeamTaking())
-        self._use(team, taking, -1)
+        quota = self.quotas.setdefault(team.name, TeamQuota())
+        self._record_usage(team, quota, -1)
 
-    def cancel(self, waiting: Waiting) -> None:
+    def cancel(self, waiting: WaitingRequest) -> None:
         """End a request that nobody waits for."""
-        waiting.ended = True
+        waiting.finished = True
 
-    def note_grant(self, number: int, grant: Grant) -> None:
+    def handle_grant(self, number: int, grant: Grant) -> None:
         """Take up the answer to a question, or the word that the node must ask."""
-        taking = self.teams.get(grant.team_name)
-        if taking is None:
+        quota = self.quotas.get(grant.team_name)
+        if quota is None:
             return
         now_s = self.clock()
-        taking.free_until_s = now_s + self.free_s if grant.is_free else -math.inf
-        if grant.is_free:
-            taking.trust_until_s = now_s + TRUST_S
-            taking.trusted = max(1, math.floor(TRUSTED_S * taking.rate))
+        quota.ungranted_until_s = (
+            now_s + self.ungranted_period_s if grant.allows_ungranted else -math.inf
+        )
+        if grant.allows_ungranted:
+            quota.fallback_until_s = now_s + FALLBACK_PERIOD_S
+            quota.fallback_requests = max(1, math.floor(FALLBACK_QUOTA_S * quota.rate))
         elif grant.granted < grant.wanted:
-            taking.trusted = 0
+            quota.fallback_requests = 0
         if grant.wanted:
-            taking.is_short = grant.granted < grant.wanted
-        question = self._open.pop(number, None)
-        if question is not None:
-            self._share_out(taking, question, grant, now_s)
+            quota.is_exhausted = grant.granted < grant.wanted
+        request = self._open_requests.pop(number, None)
+        if request is not None:
+            self._distribute_grant(quota, request, grant, now_s)
 
     def step(self) -> None:
         """Give back what was granted and not used."""
         now_s = self.clock()
-        for taking in self.teams.values():
-            if taking.in_hand and now_s >= taking.keep_until_s:
-                taking.used -= taking.in_hand
-                taking.in_hand = 0
+        for quota in self.quotas.values():
+            if quota.unused_grants and now_s >= quota.grants_expire_s:
+                quota.unreported -= quota.unused_grants
+                quota.unused_grants = 0
 
-    def drain_used(self, name: str) -> int:
+    def drain_unreported(self, name: str) -> int:
         """Return what was begun without asking since it was last told."""
-        taking = self.teams.get(name)
-        if taking is None:
+        quota = self.quotas.get(name)
+        if quota is None:
             return 0
-        used, taking.used = taking.used, 0
+        used, quota.unreported = quota.unreported, 0
         return used
 
     def keep_teams(self, names: set[str]) -> None:
         """Forget all other teams, unless their requests wait."""
-        self.teams = {
+        self.quotas = {
             name: one
-            for name, one in self.teams.items()
+            for name, one in self.quotas.items()
             if name in names or one.waiting
         }
 
-    def _use(self, team: Team, taking: TeamTaking, count: int = 1) -> None:
-        taking.used += count
-        if not taking.is_telling:
-            taking.is_telling = True
-            self.call_later(TELL_S, lambda: self._tell(team, taking))
-
-    def _tell(self, team: Team, taking: TeamTaking) -> None:
-        taking.is_telling = False
-        holder = next(iter(self.list_holders(team.name)), None)
-        if holder is None or not taking.used:
+    def _record_usage(self, team: Team, quota: TeamQuota, count: int = 1) -> None:
+        quota.unreported += count
+        if not quota.is_report_due:
+            quota.is_report_due = True
+            self.call_later(
+                USAGE_REPORT_DELAY_S, lambda: self._report_usage(team, quota)
+            )
+
+    def _report_usage(self, team: Team, quota: TeamQuota) -> None:
+        quota.is_report_due = False
+        allocator = next(iter(self.list_allocators(team.name)), None)
+        if allocator is None or not quota.unreported:
             return
-        self._numbers += 1
-        used = self.drain_used(team.name)
-        if not self.ask(holder, self._numbers, team, used, 0):
-            taking.used += used
+        self._last_number += 1
+        used = self.drain_unreported(team.name)
+        if not self.send_request(allocator, self._last_number, team, used, 0):
+            quota.unreported += used
 
-    def _ask(self, team: Team, taking: TeamTaking) -> None:
+    def _request_grants(self, team: Team, quota: TeamQuota) -> None:
         """Ask for all requests that wait."""
-        taking.is_asking = False
-        found = [one for one in taking.waiting if not one.ended]
-        taking.waiting.clear()
-        ahead = 0 if taking.is_short else math.floor(AHEAD_S * taking.rate)
-        if found:
-            self._send(team, taking, found, ahead)
+        quota.is_request_due = False
+        requests = [one for one in quota.waiting if not one.finished]
+        quota.waiting.clear()
+        prefetch = (
+            0 if quota.is_exhausted else math.floor(PREFETCH_PERIOD_S * quota.rate)
+        )
+        if requests:
+            self._send(team, quota, requests, prefetch)
 
     def _send(
-        self, team: Team, taking: TeamTaking, found: list[Waiting], ahead: int
+        self,
+        team: Team,
+        quota: TeamQuota,
+        requests: list[WaitingRequest],
+        prefetch: int,
     ) -> None:
-        tried = found[0].tried
-        for holder in self.list_holders(team.name):
-            if holder in tried or len(tried) >= MAX_ASKED:
+        tried = requests[0].tried_allocators
+        for allocator in self.list_allocators(team.name):
+            if allocator in tried or len(tried) >= MAX_ALLOCATORS_PER_REQUEST:
                 continue
-            for one in found:
-                one.tried.append(holder)
-            self._numbers += 1
-            number = self._numbers
+            for one in requests:
+                one.tried_allocators.append(allocator)
+            self._last_number += 1
+            number = self._last_number
             # before the question goes out, as a holder may answer at once
-            self._open[number] = OpenQuestion(team, holder, found)
-            used = self.drain_used(team.name)
-            if self.ask(holder, number, team, used, len(found) + ahead):
-                self.call_later(ANSWER_LIMIT_S, partial(self._leave, number))
+            self._open_requests[number] = OpenRequest(team, allocator, requests)
+            used = self.drain_unreported(team.name)
+            if self.send_request(
+                allocator, number, team, used, len(requests) + prefetch
+            ):
+                self.call_later(
+                    ANSWER_TIMEOUT_S, partial(self._try_next_allocator, number)
+                )
                 return
-            del self._open[number]
-            taking.used += used
-        self._decide_alone(team, taking, found)
+            del self._open_requests[number]
+            quota.unreported += used
+        self._decide_without_allocator(team, quota, requests)
 
-    def _leave(self, number: int) -> None:
+    def _try_next_allocator(self, number: int) -> None:
         """Ask another holder for what one has not answered."""
-        question = self._open.pop(number, None)
-        if question is None:
+        request = self._open_requests.pop(number, None)
+        if request is None:
             return
-        taking = self.teams.setdefault(question.team.name, TeamTaking())
-        found = [one for one in question.waiting if not one.ended]
-        if found:
-            self._send(question.team, taking, found, 0)
+        quota = self.quotas.setdefault(request.team.name, TeamQuota())
+        requests = [one for one in request.waiting if not one.finished]
+        if requests:
+            self._send(request.team, quota, requests, 0)
 
-    def _decide_alone(
-        self, team: Team, taking: TeamTaking, found: list[Waiting]
+    def _decide_without_allocator(
+        self, team: Team, quota: TeamQuota, requests: list[WaitingRequest]
     ) -> None:
-        if self.clock() >= taking.trust_until_s:
-            taking.trusted = 0
-        for one in found:
-            if taking.trusted:
-                taking.trusted -= 1
-                self._use(team, taking)
+        if self.clock() >= quota.fallback_until_s:
+            quota.fallback_requests = 0
+        for one in requests:
+            if quota.fallback_requests:
+                quota.fallback_requests -= 1
+                self._record_usage(team, quota)
                 self._decide(one, ALLOWED)
             else:
-                refusal = QuotaVerdict(Reason.QUOTA_UNJUDGED, UNHEARD_WAIT_S)
+                refusal = QuotaVerdict(Reason.QUOTA_UNJUDGED, UNJUDGED_WAIT_S)
                 self._decide(one, refusal)
 
-    def _share_out(
-        self, taking: TeamTaking, question: OpenQuestion, grant: Grant, now_s: float
+    def _distribute_grant(
+        self, quota: TeamQuota, request: OpenRequest, grant: Grant, now_s: float
     ) -> None:
-        left = grant.granted
+        remaining = grant.granted
         wait_s = grant.wait_s
-        for one in question.waiting:
-            if one.ended:
+        for one in request.waiting:
+            if one.finished:
                 continue
-            if left:
-                left -= 1
+            if remaining:
+                remaining -= 1
                 self._decide(one, ALLOWED)
             else:
                 self._decide(one, QuotaVerdict(Reason.QUOTA_SPENT, wait_s))
-                wait_s += grant.gap_s
-        if left:
-            if now_s >= taking.keep_until_s:
-                taking.used -= taking.in_hand
-                taking.in_hand = 0
-            taking.in_hand += left
-            taking.keep_until_s = now_s + KEEP_S
-
-    def _decide(self, waiting: Waiting, verdict: QuotaVerdict) -> None:
-        if not waiting.ended:
-            waiting.ended = True
+                wait_s += grant.interval_s
+        if remaining:
+            if now_s >= quota.grants_expire_s:
+                quota.unreported -= quota.unused_grants
+                quota.unused_grants = 0
+            quota.unused_grants += remaining
+            quota.grants_expire_s = now_s + GRANT_LIFETIME_S
+
+    def _decide(self, waiting: WaitingRequest, verdict: QuotaVerdict) -> None:
+        if not waiting.finished:
+            waiting.finished = True
             waiting.decide(verdict)
--- a/eelgrassmount/topics/follower.py
+++ b/eelgrassmount/topics/follower.py
@@ -19,11 +19,11 @@
 
 # a read waits this long for news; connections that fell silent are found by the
 # system's probes, so that a long wait costs nothing but saves calls
-WAIT_S = 25.0
+READ_WAIT_S = 25.0
 # records that come in quick succession are read together
-GATHER_S = 0.2
-RETRY_BASE_S = 0.2
-RETRY_LIMIT_S = 1.5
+BATCH_DELAY_S = 0.2
+BASE_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 1.5
 
 
 @define(eq=False)
@@ -39,23 +39,23 @@
 
     store: Store
     topic: str
-    take: Callable[[tuple[StoredRecord, ...]], None]
+    apply: Callable[[tuple[StoredRecord, ...]], None]
     rng: random.Random
     on_unreadable: Callable[[str, int], None] = lambda topic, count: None
     on_read: Callable[[tuple[StoredRecord, ...], int], None] = lambda records, end: None
     reachable: bool = True
-    retry_limit_s: float = RETRY_LIMIT_S
+    retry_limit_s: float = MAX_RETRY_DELAY_S
     next_offset: int | None = None
     _backoff: Backoff = field(init=False)
-    _wanted: anyio.Event | None = None
+    _resume: anyio.Event | None = None
     _scope: anyio.CancelScope | None = None
     _is_wanted: bool = True
     _has_read: bool = False
-    _is_back: bool = False
+    _skip_wait: bool = False
 
     def __attrs_post_init__(self) -> None:
         """Prepare the waits between failures."""
-        self._backoff = Backoff(self.rng, RETRY_BASE_S, RETRY_LIMIT_S)
+        self._backoff = Backoff(self.rng, BASE_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
 
     def is_current(self) -> bool:
         """Tell whether the topic is read, as far as is known.
@@ -64,13 +64,13 @@
         """
         return self._is_wanted and self.reachable and self._has_read
 
-    def want(self, wanted: bool) -> None:
+    def set_wanted(self, wanted: bool) -> None:
         """Begin to read, or stop; a read that waits for records is given up."""
         if wanted == self._is_wanted:
             return
         self._is_wanted = wanted
-        if wanted and self._wanted is not None:
-            self._wanted.set()
+        if wanted and self._resume is not None:
+            self._resume.set()
         elif not wanted and self._scope is not None:
             self._scope.cancel()
 
@@ -82,7 +82,7 @@
         if self.next_offset is None or offset > self.next_offset:
             self.next_offset = offset
 
-    def begin_anew(self) -> None:
+    def restart(self) -> None:
         """Read the newest records again, as offsets mean something else now."""
         self.next_offset = None
         if self._scope is not None:
@@ -92,50 +92,50 @@
         """Follow the topic until cancelled."""
         while True:
             if not self._is_wanted:
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
+                self._resume = anyio.Event()
+                await self._resume.wait()
             with anyio.CancelScope() as self._scope:
                 await self._read_once()
 
     async def _read_once(self) -> None:
-        failure = await self._read_on()
+        failure = await self._read_next()
         if failure is None:
-            self._note_reached()
+            self._record_success()
             return
-        self._is_back = True
+        self._skip_wait = True
         if failure.kind is FailureKind.OUTDATED:
             return
         if failure.kind in (FailureKind.DELETED, FailureKind.MALFORMED):
             self.next_offset = None
         if failure.kind is FailureKind.DELETED:
-            logger.info("history of the log deleted", topic=self.topic)
+            logger.info("records of the log deleted", topic=self.topic)
         else:
-            self._note_failure(failure)
+            self._record_failure(failure)
         self._backoff.limit_s = self.retry_limit_s
         await anyio.sleep(self._backoff.fail())
 
-    async def _read_on(self) -> StoreFailure | None:
+    async def _read_next(self) -> StoreFailure | None:
         if self.next_offset is None:
             snapshot = await self.store.read_newest(self.topic)
             if isinstance(snapshot, StoreFailure):
                 return snapshot
             self.next_offset = snapshot.end
-            self._hand_on(snapshot)
+            self._apply_batch(snapshot)
             self.on_read(snapshot.records, snapshot.end)
             return None
-        wait_s = 0.0 if self._is_back else WAIT_S
+        wait_s = 0.0 if self._skip_wait else READ_WAIT_S
         batch = await self.store.read(self.topic, self.next_offset, wait_s)
         if isinstance(batch, StoreFailure):
             return batch
-        self._is_back = False
+        self._skip_wait = False
         self.next_offset = max(self.next_offset, batch.next_offset)
         if batch.records or batch.unreadable:
-            self._hand_on(batch)
+            self._apply_batch(batch)
             self.on_read(batch.records, batch.next_offset)
-            await anyio.sleep(GATHER_S)
+            await anyio.sleep(BATCH_DELAY_S)
         return None
 
-    def _hand_on(self, read: Snapshot | Batch) -> None:
+    def _apply_batch(self, read: Snapshot | Batch) -> None:
         """Hand records on together, or one by one if one of them can't be taken.
 
         A record that nobody foresaw must not end the follower, and the node with it.
@@ -143,26 +143,26 @@
         if read.unreadable:
             self.on_unreadable(self.topic, read.unreadable)
         try:
-            self.take(read.records)
+            self.apply(read.records)
         except Exception:
-            logger.exception("records not taken together", topic=self.topic)
+            logger.exception("batch of records not applied", topic=self.topic)
             for record in read.records:
-                self._hand_on_one(record)
+                self._apply_record(record)
 
-    def _hand_on_one(self, record: StoredRecord) -> None:
+    def _apply_record(self, record: StoredRecord) -> None:
         try:
-            self.take((record,))
+            self.apply((record,))
         except Exception:
-            logger.exception("record not taken", topic=self.topic, key=record.key)
+            logger.exception("record not applied", topic=self.topic, key=record.key)
 
-    def _note_reached(self) -> None:
+    def _record_success(self) -> None:
         self._has_read = True
         self._backoff.reset()
         if not self.reachable:
             self.reachable = True
             logger.info("log regained", topic=self.topic)
 
-    def _note_failure(self, failure: StoreFailure) -> None:
+    def _record_failure(self, failure: StoreFailure) -> None:
         if self.reachable:
             self.reachable = False
             logger.warning(
--- a/eelgrassmount/topics/learned.py
+++ b/eelgrassmount/topics/learned.py
@@ -16,11 +16,11 @@
     from eelgrassmount.relay.shared_state import SharedState
 
 # what is kept is looked at so often
-PERIOD_S = 1.0
+RECORD_CHECK_INTERVAL_S = 1.0
 # calls that were learned have to stay the same for so long before they are kept
-SETTLED_S = 5.0
+SETTLING_TIME_S = 5.0
 # a count that differs by less than this part is the same
-SAME_SHARE = 0.3
+COUNT_TOLERANCE_SHARE = 0.3
 
 # routes that records may add; an installation has some hundred
 MAX_ROUTES = 10_000
@@ -36,59 +36,65 @@
     among all.
     """
 
-    beliefs: SharedState
+    state: SharedState
     count_writers: Callable[[], int]
-    _kept: dict[str, dict[str, float]] = field(factory=dict)
-    _seen: dict[str, dict[str, float]] = field(factory=dict)
-    _since_s: float = 0.0
+    _stored: dict[str, dict[str, float]] = field(factory=dict)
+    _latest: dict[str, dict[str, float]] = field(factory=dict)
+    _unchanged_since_s: float = 0.0
 
-    def take(self, value: bytes) -> None:
+    def apply(self, value: bytes) -> None:
         """Take up a record; what was learned since goes first.
 
         Raises `BadFrameError` for one that can't be used, which changes nothing.
         """
         record = decode_struct(ttypes.LearnedRecord, value)
-        self._kept = read_rows(record.calls)
-        graph = self.beliefs.graph
-        for name, calls in self._kept.items():
-            room = len(graph.calls_per_run) < MAX_ROUTES
-            new = name not in graph.calls_per_run
-            if new and room and self.beliefs.knows_route(name):
+        self._stored = read_rows(record.calls)
+        graph = self.state.graph
+        for name, calls in self._stored.items():
+            has_room = len(graph.calls_per_run) < MAX_ROUTES
+            is_new = name not in graph.calls_per_run
+            if is_new and has_room and self.state.knows_route(name):
                 graph.set_calls(name, calls)
 
-    def forget_kept(self) -> None:
+    def forget_stored(self) -> None:
         """Suppose that nothing is kept, until a record is found."""
-        self._kept = {}
+        self._stored = {}
 
-    def find_record(self) -> bytes | None:
+    def build_due_record(self) -> bytes | None:
         """Return the record to write now, ``None`` if there is nothing to say."""
-        beliefs = self.beliefs
-        now_s = beliefs.clock()
-        vectors = {
-            name: calls for name, calls in beliefs.graph.calls_per_run.items() if calls
+        state = self.state
+        now_s = state.clock()
+        calls_by_route = {
+            name: calls for name, calls in state.graph.calls_per_run.items() if calls
         }
-        if not is_same(vectors, self._seen):
-            self._seen = vectors
-            self._since_s = now_s
-        settled = now_s - self._since_s >= SETTLED_S
-        if not vectors or not settled or is_same(vectors, self._kept):
+        if not is_similar(calls_by_route, self._latest):
+            self._latest = calls_by_route
+            self._unchanged_since_s = now_s
+        settled = now_s - self._unchanged_since_s >= SETTLING_TIME_S
+        if (
+            not calls_by_route
+            or not settled
+            or is_similar(calls_by_route, self._stored)
+        ):
             return None
-        if beliefs.rng.random() * self.count_writers() > 1.0:
+        if state.rng.random() * self.count_writers() > 1.0:
             return None
-        return encode_struct(ttypes.LearnedRecord(write_rows(vectors)))
+        return encode_struct(ttypes.LearnedRecord(write_rows(calls_by_route)))
 
 
-def is_same(
-    vectors: dict[str, dict[str, float]], others: dict[str, dict[str, float]]
+def is_similar(
+    calls_by_route: dict[str, dict[str, float]], others: dict[str, dict[str, float]]
 ) -> bool:
     """Tell whether the same routes make about as many of the same calls."""
-    if vectors.keys() != others.keys():
+    if calls_by_route.keys() != others.keys():
         return False
-    for name, calls in vectors.items():
-        known = others[name]
-        if calls.keys() != known.keys():
+    for name, calls in calls_by_route.items():
+        other_calls = others[name]
+        if calls.keys() != other_calls.keys():
             return False
         for called, count in calls.items():
-            if abs(count - known[called]) > SAME_SHARE * max(count, known[called]):
+            if abs(count - other_calls[called]) > COUNT_TOLERANCE_SHARE * max(
+                count, other_calls[called]
+            ):
                 return False
     return True
--- a/eelgrassmount/topics/local_record.py
+++ b/eelgrassmount/topics/local_record.py
@@ -12,28 +12,28 @@
     import random
     from collections.abc import Callable
 
-    from eelgrassmount.topics.records import RecordBook
+    from eelgrassmount.topics.records import RecordTable
     from eelgrassmount.topics.store import StoredRecord
 
 # nodes that write again in one second when the records of all are gone: all together
 # stay below what the log takes
-WRITES_PER_S = 200.0
-LEAST_SPREAD_S = 1.0
+MAX_WRITES_PER_S = 200.0
+MIN_SPREAD_S = 1.0
 # a record that could not be written is tried again after so long
-RETRY_S = 2.0
+RETRY_DELAY_S = 2.0
 
 
-def find_spread(nodes: int) -> float:
+def compute_write_spread_s(nodes: int) -> float:
     """Return the seconds over which so many nodes write their records again.
 
-    >>> find_spread(70), find_spread(10_000)
+    >>> compute_write_spread_s(70), compute_write_spread_s(10_000)
     (1.0, 50.0)
     """
-    return max(LEAST_SPREAD_S, nodes / WRITES_PER_S)
+    return max(MIN_SPREAD_S, nodes / MAX_WRITES_PER_S)
 
 
 @define(eq=False)
-class OwnRecord:
+class LocalRecord:
     """Finds out when the record of this node has to be written again.
 
     It is missing once the log has come back from a copy that was made before it was
@@ -41,7 +41,7 @@
     """
 
     record: StoredRecord
-    book: RecordBook
+    record_table: RecordTable
     count_nodes: Callable[[], int]
     clock: Callable[[], float]
     rng: random.Random
@@ -49,15 +49,18 @@
 
     def is_due(self) -> bool:
         """Tell whether to write the record now."""
-        if not self.book.next_offset or self.book.find(self.record.key) == self.record:
+        if (
+            not self.record_table.next_offset
+            or self.record_table.find(self.record.key) == self.record
+        ):
             self._due_s = math.inf
             return False
         now_s = self.clock()
         if math.isinf(self._due_s):
-            spread_s = find_spread(self.count_nodes())
+            spread_s = compute_write_spread_s(self.count_nodes())
             self._due_s = now_s + self.rng.uniform(0.0, spread_s)
             logger.info("own record missing on the log", spread_s=spread_s)
         if now_s < self._due_s:
             return False
-        self._due_s = now_s + RETRY_S
+        self._due_s = now_s + RETRY_DELAY_S
         return True
--- a/eelgrassmount/topics/log_epoch.py
+++ b/eelgrassmount/topics/log_epoch.py
@@ -11,11 +11,11 @@
     from collections.abc import Callable
 
 # stands for an era that is not known
-UNKNOWN_ERA = -1
+UNKNOWN_EPOCH = -1
 
 
 @define(eq=False)
-class EraWatch:
+class EpochTracker:
     """Knows the era of the log: how often it has come back from an older copy.
 
     Records that were written since that copy was made are gone then, and offsets are
@@ -24,47 +24,47 @@
     that are missing or fall change nothing: they come from somebody else's programs.
     """
 
-    current: int = UNKNOWN_ERA
-    on_rise: list[Callable[[], None]] = field(factory=list)
-    _told: set[str] = field(factory=set)
+    current: int = UNKNOWN_EPOCH
+    on_advance: list[Callable[[], None]] = field(factory=list)
+    _warned_causes: set[str] = field(factory=set)
 
-    def note_answer(self, era: int, asked_in: int) -> bool:
+    def check_answer(self, epoch: int, request_epoch: int) -> bool:
         """Take up the era of an answer; tell whether the answer can be used.
 
         ``asked_in`` is the era that was known when the question went out.
         """
-        if era == UNKNOWN_ERA:
-            if self.current != UNKNOWN_ERA:
-                self._tell_once("missing", era)
+        if epoch == UNKNOWN_EPOCH:
+            if self.current != UNKNOWN_EPOCH:
+                self._warn_once("missing", epoch)
             return True
-        if era > self.current:
-            return not self.note_heard(era)
-        if era < self.current and asked_in != self.current:
+        if epoch > self.current:
+            return not self.advance_to(epoch)
+        if epoch < self.current and request_epoch != self.current:
             # the answer was on its way as the log came back
             return False
-        if era < self.current:
-            self._tell_once("fallen", era)
+        if epoch < self.current:
+            self._warn_once("fallen", epoch)
         return True
 
-    def note_heard(self, era: int) -> bool:
+    def advance_to(self, epoch: int) -> bool:
         """Take up the era that another node knows; tell whether it rose for this one.
 
         The first one that is known is no rise: nothing was read in one before.
         """
-        if era <= self.current:
+        if epoch <= self.current:
             return False
-        before = self.current
-        self.current = era
-        if before == UNKNOWN_ERA:
+        previous = self.current
+        self.current = epoch
+        if previous == UNKNOWN_EPOCH:
             return False
-        logger.warning("log came back older", era=era, before=before)
-        for notify in self.on_rise:
+        logger.warning("log restored from an older copy", era=epoch, before=previous)
+        for notify in self.on_advance:
             notify()
         return True
 
-    def _tell_once(self, cause: str, era: int) -> None:
-        if cause not in self._told:
-            self._told.add(cause)
+    def _warn_once(self, cause: str, epoch: int) -> None:
+        if cause not in self._warned_causes:
+            self._warned_causes.add(cause)
             logger.warning(
-                "era of the log not taken up", cause=cause, era=era, known=self.current
+                "era of the log ignored", cause=cause, era=epoch, known=self.current
             )
--- a/eelgrassmount/topics/ranking.py
+++ b/eelgrassmount/topics/ranking.py
@@ -12,31 +12,35 @@
     from collections.abc import Callable
 
     from eelgrassmount.relay.members import MemberTable
-    from eelgrassmount.topics.records import RecordBook
+    from eelgrassmount.topics.records import RecordTable
 
 
 @define(eq=False)
-class Ranking:
+class ReaderRanking:
     """Ranks the nodes of each failure domain by their records, once for each change."""
 
     members: MemberTable
-    book: RecordBook
+    record_table: RecordTable
     _ranked: dict[str, list[str]] = field(factory=dict)
-    _ranked_for: tuple[int, int, int] = (-1, -1, -1)
+    _ranked_state: tuple[int, int, int] = (-1, -1, -1)
 
     def list_domains(self) -> dict[str, list[str]]:
         """Return the nodes of each failure domain in their order."""
-        state = (self.members.changes, self.book.next_offset, self.book.begun)
-        if state != self._ranked_for:
-            self._ranked_for = state
+        state = (
+            self.members.changes,
+            self.record_table.next_offset,
+            self.record_table.resets,
+        )
+        if state != self._ranked_state:
+            self._ranked_state = state
             self._ranked = {}
             for member in self.members.by_name.values():
                 self._ranked.setdefault(member.failure_domain, []).append(member.name)
             for names in self._ranked.values():
-                names.sort(key=lambda name: (self.book.find_rank(name), name))
+                names.sort(key=lambda name: (self.record_table.find_rank(name), name))
         return self._ranked
 
-    def list_first(self, failure_domain: str) -> list[str]:
+    def list_preferred(self, failure_domain: str) -> list[str]:
         """Return the nodes that would be readers if all could be reached."""
         ranked = self.list_domains().get(failure_domain, [])
         return ranked[: count_readers(len(ranked))]
--- a/eelgrassmount/topics/records.py
+++ b/eelgrassmount/topics/records.py
@@ -17,7 +17,7 @@
 
 
 @define(eq=False)
-class RecordBook:
+class RecordTable:
     """What is known of a topic up to an offset.
 
     Another node that knows the topic up to an earlier offset gets from here what came
@@ -31,31 +31,33 @@
     """
 
     next_offset: int = 0
-    begun: int = 0
+    resets: int = 0
     _newest: dict[str, StoredRecord] = field(factory=dict)
-    _ranks: dict[str, int] = field(factory=dict)
+    _previous_offsets: dict[str, int] = field(factory=dict)
 
-    def take(self, records: Iterable[StoredRecord], next_offset: int) -> None:
+    def apply(self, records: Iterable[StoredRecord], next_offset: int) -> None:
         """Take up records that end before an offset, in their order."""
         for record in records:
             if record.key in self._newest or len(self._newest) < MAX_KEYS:
                 self._newest[record.key] = record
         self.next_offset = max(self.next_offset, next_offset)
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Forget all records, and keep only the order in which they stood."""
-        self.begun += 1
-        self._ranks.update({one.key: one.offset for one in self._newest.values()})
+        self.resets += 1
+        self._previous_offsets.update(
+            {one.key: one.offset for one in self._newest.values()}
+        )
         self._newest.clear()
         self.next_offset = 0
 
     def list_unconfirmed(self) -> list[str]:
         """Return the keys that stood here before and don't yet stand here again."""
-        return [key for key in self._ranks if self.find(key) is None]
+        return [key for key in self._previous_offsets if self.find(key) is None]
 
-    def forget_before(self) -> None:
+    def forget_previous(self) -> None:
         """Forget the order of before."""
-        self._ranks.clear()
+        self._previous_offsets.clear()
 
     def put(self, record: StoredRecord) -> None:
         """Take up a record alone, while others before it may not be known."""
@@ -73,7 +75,7 @@
         the first part of the topic rank the keys in it as all do.
         """
         found = self.find(key)
-        offset = self._ranks.get(key, -1) if found is None else found.offset
+        offset = self._previous_offsets.get(key, -1) if found is None else found.offset
         return math.inf if offset < 0 else offset
 
     def list_since(self, offset: int) -> list[StoredRecord]:
--- a/eelgrassmount/topics/store.py
+++ b/eelgrassmount/topics/store.py
@@ -13,7 +13,7 @@
     """Why a call to the log gave no result."""
 
     UNREACHABLE = "unreachable"  # no connection: nothing was done
-    TURNED_AWAY = "turned-away"  # nothing was done, the log is busy or refuses us
+    REJECTED = "turned-away"  # nothing was done, the log is busy or refuses us
     LIMITED = "limited"  # too many calls
     CONFLICT = "conflict"  # the condition does not hold
     DELETED = "deleted"  # the records are gone
--- a/eelgrassmount/topics/subscriptions.py
+++ b/eelgrassmount/topics/subscriptions.py
@@ -15,7 +15,7 @@
     from eelgrassmount.relay.frames import FrameKind
 
 # what another node has said is believed for so long
-HEARD_S = 2.5
+MAX_NEWS_AGE_S = 2.5
 
 
 @define(eq=False)
@@ -27,17 +27,17 @@
     itself or ``hears`` from another that does.
     """
 
-    waiting_s: float = math.inf
+    unanswered_since_s: float = math.inf
     sent_s: float = -math.inf
-    counted_s: float = -math.inf
-    heard_s: float = -math.inf
+    counts_sent_s: float = -math.inf
+    received_s: float = -math.inf
     reads: bool = False
     hears: bool = False
     tally: Tally = field(factory=Tally)
 
     def is_fresh(self, now_s: float) -> bool:
         """Tell whether the reader was heard lately."""
-        return now_s - self.heard_s <= HEARD_S
+        return now_s - self.received_s <= MAX_NEWS_AGE_S
 
 
 @define(eq=False)
@@ -45,24 +45,24 @@
     """A node that listens to this one; ``send`` takes a frame for it."""
 
     send: Callable[[FrameKind, Any], None]
-    near: bool
-    heard_s: float
+    is_local: bool
+    received_s: float
     next_offset: int
     tally: Tally
 
 
 @define
-class Sums:
+class CountSums:
     """Counts added up: those of the own failure domain, and all that are heard of.
 
     They hold what nodes say of themselves or of their own failure domain. What a reader
     has added up of others is never added again, as it would go round among them.
     """
 
-    near: Tally = field(factory=Tally)
+    local: Tally = field(factory=Tally)
     total: Tally = field(factory=Tally)
 
-    def update(self, near: Tally, far: Iterable[Tally]) -> None:
+    def update(self, local: Tally, remote: Iterable[Tally]) -> None:
         """Take up the sum of the own failure domain, and those of others."""
-        self.near = near
-        self.total = add_tallies([near, *far])
+        self.local = local
+        self.total = add_tallies([local, *remote])
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -148,5 +148,5 @@
         random.Random(1),
         on_unreadable=lambda topic, count: told.append((topic, count)),
     )
-    assert anyio.run(follower._read_on) is None
+    assert anyio.run(follower._read_next) is None
     assert told == [("keyed.nodes", 1)]
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -152,7 +152,7 @@
     assert graph.calls_per_run == {}
     assert not graph.is_called_by_servers(setup.list_name)
     record = ttypes.LearnedRecord(write_rows(learned))
-    setup.node.learned.take(encode_struct(record))
+    setup.node.learned.apply(encode_struct(record))
     assert graph.calls_per_run == {}
 
 
--- a/tests/relay/test_status.py
+++ b/tests/relay/test_status.py
@@ -60,7 +60,7 @@
 def test_status_lists_the_nodes_that_forward_the_log(node, show):
     node.put_own()
     assert "log            heard from nobody" in show()
-    reader = Subscription(heard_s=node.beliefs.clock(), reads=True)
+    reader = Subscription(received_s=node.beliefs.clock(), reads=True)
     node.readers.subscriptions = {"n7": reader, "n9": Subscription()}
     text = show()
     assert "heard from n7 (0.0" in text
--- a/tests/teams/fleet.py
+++ b/tests/teams/fleet.py
@@ -25,12 +25,12 @@
     from eelgrassmount.relay.frames import FrameKind
 
 BOUNDS = QuotaBounds(window_s=5.0, overage=0.1, slack=20.0)
-NEAR_S = 0.0004
-FAR_S = 0.001
-STEP_S = 0.2
+LOCAL_LATENCY_S = 0.0004
+REMOTE_LATENCY_S = 0.001
+STEP_INTERVAL_S = 0.2
 # other nodes find out so late that one is silent
-SILENT_S = 0.75
-READERS = 2
+FAILURE_DETECTION_S = 0.75
+READERS_PER_DOMAIN = 2
 
 
 @define(eq=False)
@@ -43,10 +43,12 @@
 
     def is_up(self) -> bool:
         other = self.fleet.nodes.get(self.target)
-        return other is not None and not self.fleet.is_noticed(self.owner, other)
+        return other is not None and not self.fleet.is_known_unreachable(
+            self.owner, other
+        )
 
     def send(self, kind: FrameKind, struct: Any) -> None:
-        self.fleet.carry(self.owner, self.target, kind, struct)
+        self.fleet.deliver(self.owner, self.target, kind, struct)
 
 
 class Members:
@@ -80,9 +82,9 @@
     started: int = 0
 
     def __attrs_post_init__(self) -> None:
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start anew, knowing nothing of before."""
         self.started += 1
         self.alive = True
@@ -114,31 +116,31 @@
             name
             for name in self.list_domains()[domain]
             if name == self.name
-            or not self.fleet.is_noticed(self, self.fleet.nodes[name])
+            or not self.fleet.is_known_unreachable(self, self.fleet.nodes[name])
         ]
-        return usable[:READERS]
+        return usable[:READERS_PER_DOMAIN]
 
     def step(self) -> None:
         if self.alive and not self.paused:
             self.members.refresh()
             self.exchange.step()
 
-    def take(self, team: Team) -> None:
+    def send_request(self, team: Team) -> None:
         """Let a client of a team send a request."""
-        self.fleet.asked.append((self.clock(), team.name))
+        self.fleet.requested.append((self.clock(), team.name))
         if not self.alive or self.paused:
             return
-        begun = self.started
+        incarnation = self.started
 
         def decide(verdict: Any) -> None:
-            if begun != self.started:
+            if incarnation != self.started:
                 return
             if verdict.refusal is None:
                 self.fleet.ran.append((self.clock(), team.name))
             else:
                 self.fleet.refused.append((self.clock(), team.name, verdict.wait_s))
 
-        self.exchange.taker.take(team, decide)
+        self.exchange.client.request(team, decide)
 
 
 @define(eq=False)
@@ -148,14 +150,14 @@
     rng: random.Random
     nodes: dict[str, Node] = field(factory=dict)
     table: RouteTable = field(factory=RouteTable)
-    asked: list[tuple[float, str]] = field(factory=list)
+    requested: list[tuple[float, str]] = field(factory=list)
     ran: list[tuple[float, str]] = field(factory=list)
     refused: list[tuple[float, str, float]] = field(factory=list)
-    cut: set[str] = field(factory=set)
+    partitioned: set[str] = field(factory=set)
     silent_since_s: dict[tuple[str, str], float] = field(factory=dict)
-    far_frames: int = 0
+    cross_domain_frames: int = 0
     frames: int = 0
-    lose: Callable[[FrameKind], bool] = lambda kind: False
+    drops_frame: Callable[[FrameKind], bool] = lambda kind: False
 
     def build(self, domains: int, nodes: int) -> None:
         for number in range(nodes):
@@ -176,50 +178,52 @@
         teams[name] = evolve(teams[name], **changes)
         self.configure(*teams.values())
 
-    def is_apart(self, one: Node, other: Node) -> bool:
+    def is_disconnected(self, one: Node, other: Node) -> bool:
         """Tell whether nothing comes through between two nodes."""
         if not (one.alive and other.alive) or one.paused or other.paused:
             return True
         if one.failure_domain == other.failure_domain:
             return False
-        return bool(self.cut & {one.failure_domain, other.failure_domain})
+        return bool(self.partitioned & {one.failure_domain, other.failure_domain})
 
-    def is_noticed(self, one: Node, other: Node) -> bool:
+    def is_known_unreachable(self, one: Node, other: Node) -> bool:
         """Tell whether one node knows that it can't reach another."""
         if one is other:
             return False
         if not other.alive:
             return True
         key = (one.name, other.name)
-        if not self.is_apart(one, other):
+        if not self.is_disconnected(one, other):
             self.silent_since_s.pop(key, None)
             return False
         now_s = one.clock()
-        return now_s - self.silent_since_s.setdefault(key, now_s) >= SILENT_S
+        return now_s - self.silent_since_s.setdefault(key, now_s) >= FAILURE_DETECTION_S
 
-    def carry(self, one: Node, target: str, kind: FrameKind, struct: Any) -> None:
+    def deliver(self, one: Node, target: str, kind: FrameKind, struct: Any) -> None:
         other = self.nodes[target]
         self.frames += 1
-        far = one.failure_domain != other.failure_domain
-        self.far_frames += far
-        if not one.alive or not other.alive or self.lose(kind):
+        is_remote = one.failure_domain != other.failure_domain
+        self.cross_domain_frames += is_remote
+        if not one.alive or not other.alive or self.drops_frame(kind):
             return
-        if self.cut & {one.failure_domain, other.failure_domain} and far:
+        if self.partitioned & {one.failure_domain, other.failure_domain} and is_remote:
             return
-        begun = (one.started, other.started)
+        incarnations = (one.started, other.started)
 
         def answer(kind: FrameKind, struct: Any) -> None:
-            self.carry(other, one.name, kind, struct)
+            self.deliver(other, one.name, kind, struct)
 
         def arrive() -> None:
-            if begun != (one.started, other.started) or not other.alive:
+            if incarnations != (one.started, other.started) or not other.alive:
                 return
             if other.paused:
                 other.inbox.append(arrive)
             else:
-                other.exchange.take_frame(kind, struct, answer)
+                other.exchange.handle_frame(kind, struct, answer)
 
-        delay_s = (FAR_S if far else NEAR_S) * self.rng.uniform(1.0, 3.0)
+        delay_s = (
+            REMOTE_LATENCY_S if is_remote else LOCAL_LATENCY_S
+        ) * self.rng.uniform(1.0, 3.0)
         asyncio.get_running_loop().call_later(delay_s, arrive)
 
     # faults
@@ -231,12 +235,12 @@
 
     def restart(self, *names: str) -> None:
         for name in names:
-            self.nodes[name].begin()
+            self.nodes[name].start()
 
     def pause(self, name: str) -> None:
         self.nodes[name].paused = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         node = self.nodes[name]
         node.paused = False
         inbox, node.inbox = node.inbox, []
@@ -245,23 +249,23 @@
 
     # what is judged
 
-    def find_most(
+    def find_max_runs(
         self, team_name: str, since_s: float = 0.0, window_s: float = BOUNDS.window_s
     ) -> int:
         """Return the most requests of a team that ran in any window after a time."""
         times = [at for at, name in self.ran if name == team_name and at >= since_s]
-        most = first = 0
+        max_runs = first = 0
         for last, at in enumerate(times):
             while at - times[first] > window_s:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            max_runs = max(max_runs, last - first + 1)
+        return max_runs
 
     def count(self, events: list, team_name: str, since_s: float = 0.0) -> int:
         return sum(1 for one in events if one[1] == team_name and one[0] >= since_s)
 
 
-def find_bound(team: Team) -> float:
+def compute_max_runs(team: Team) -> float:
     """Return the most requests of a team that may run in a window."""
     quota = team.rate * BOUNDS.window_s + team.burst
     return quota * (1.0 + BOUNDS.overage) + BOUNDS.slack
@@ -271,7 +275,7 @@
     while True:
         for node in list(fleet.nodes.values()):
             node.step()
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(STEP_INTERVAL_S)
 
 
 async def send_load(
@@ -280,26 +284,26 @@
     names: list[str],
     rate: Callable[[float], float],
     until_s: float,
-    take: Callable[[str, Team], None] | None = None,
+    send: Callable[[str, Team], None] | None = None,
 ) -> None:
     """Send requests at random times to some nodes, at a rate that changes.
 
     ``take`` stands in for the nodes.
     """
     loop = asyncio.get_running_loop()
-    begun_s = loop.time()
-    while loop.time() - begun_s < until_s:
-        now = rate(loop.time() - begun_s)
-        if now <= 0.0:
+    start_s = loop.time()
+    while loop.time() - start_s < until_s:
+        present_rate = rate(loop.time() - start_s)
+        if present_rate <= 0.0:
             await asyncio.sleep(0.05)
             continue
-        await asyncio.sleep(fleet.rng.expovariate(now))
+        await asyncio.sleep(fleet.rng.expovariate(present_rate))
         name = fleet.rng.choice(names)
         team = fleet.find_team(team_name)
-        if take is None:
-            fleet.nodes[name].take(team)
+        if send is None:
+            fleet.nodes[name].send_request(team)
         else:
-            take(name, team)
+            send(name, team)
 
 
 def play(
--- a/tests/teams/test_access.py
+++ b/tests/teams/test_access.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassmount.teams.access import judge_key
+from eelgrassmount.teams.access import check_api_key
 from eelgrassmount.teams.directory import Team, TeamDirectory, TeamKeys
 from eelgrassmount.verdict import Reason
 
@@ -12,13 +12,13 @@
 DIRECTORY = TeamDirectory.build([TeamKeys(PRESS, ("k-1",))])
 
 
-def judge(needs_key: bool, key: bytes | None, is_current: bool = True):
-    return judge_key(DIRECTORY, needs_key, key, lambda: is_current)
+def check_key(needs_key: bool, key: bytes | None, is_current: bool = True):
+    return check_api_key(DIRECTORY, needs_key, key, lambda: is_current)
 
 
 @pytest.mark.parametrize("is_current", [True, False])
-def test_known_key_is_good_on_every_node(is_current):
-    access = judge(True, b"k-1", is_current)
+def test_known_key_is_accepted_on_every_node(is_current):
+    access = check_key(True, b"k-1", is_current)
     assert (access.team, access.refusal) == (PRESS, None)
 
 
@@ -30,23 +30,23 @@
         (b"k-2", Reason.API_KEY_UNKNOWN),
     ],
 )
-def test_request_without_a_good_key_is_refused_for_good(key, reason):
-    assert judge(True, key).refusal is reason
+def test_request_without_a_valid_key_is_refused_permanently(key, reason):
+    assert check_key(True, key).refusal is reason
 
 
 # A key that was added while the log could not be read was told that it is wrong, and
 # its client never came again.
 @pytest.mark.parametrize("key", [None, b"", b"k-2"])
-def test_node_without_word_of_the_log_leaves_unknown_keys_unjudged(key):
-    assert judge(True, key, is_current=False).refusal is Reason.API_KEY_UNJUDGED
+def test_node_without_current_records_does_not_reject_unknown_keys(key):
+    assert check_key(True, key, is_current=False).refusal is Reason.API_KEY_UNJUDGED
 
 
 @pytest.mark.parametrize("key", [None, b"", b"k-1", b"k-2"])
-def test_route_without_keys_belongs_to_no_team(key):
-    access = judge(False, key)
+def test_request_on_a_route_without_keys_has_no_team(key):
+    access = check_key(False, key)
     assert (access.team, access.refusal) == (None, None)
 
 
-def test_keys_mean_nothing_where_there_are_no_teams():
-    access = judge_key(TeamDirectory(), True, b"k-1", lambda: True)
+def test_keys_are_ignored_without_configured_teams():
+    access = check_api_key(TeamDirectory(), True, b"k-1", lambda: True)
     assert (access.team, access.refusal) == (None, None)
--- a/tests/teams/test_directory.py
+++ b/tests/teams/test_directory.py
@@ -25,7 +25,7 @@
         assert directory.find(key) is None
 
 
-def test_keys_stand_in_no_text_on_a_directory():
+def test_repr_contains_no_keys():
     entry = TeamKeys(PRESS, ("k-1",))
     assert "k-1" not in repr(entry)
     directory = TeamDirectory.build([entry])
@@ -35,6 +35,6 @@
 
 # A digest without a secret could be worked out by anybody for a guessed key, whose
 # place in the table, and with it the time of a look-up, would follow from it.
-def test_directories_hold_different_digests_of_one_key():
+def test_directories_store_different_digests_of_a_key():
     digests = [set(make_directory()._by_digest) for _ in range(2)]
     assert not digests[0] & digests[1]
--- a/tests/teams/test_fuzz.py
+++ b/tests/teams/test_fuzz.py
@@ -33,7 +33,9 @@
     | st.integers()
     | st.floats(allow_nan=False, allow_infinity=False)
     | st.text(),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner),
+    lambda children: (
+        st.lists(children, max_size=3) | st.dictionaries(st.text(), children)
+    ),
     max_leaves=6,
 )
 FIELDS = st.sampled_from(["name", "apiKeys", "priority", "ratePerS", "burst"])
@@ -48,7 +50,7 @@
 
 
 @given(JSON)
-def test_teams_of_any_form_are_sound_or_refused(teams):
+def test_any_list_of_teams_is_valid_or_rejected(teams):
     try:
         directory = read_teams(teams)
     except PlatformDocumentError as error:
@@ -59,7 +61,7 @@
 
 
 @given(FIELDS, JSON)
-def test_field_of_a_team_of_any_form_is_sound_or_refused(name, value):
+def test_any_field_of_a_team_is_valid_or_rejected(name, value):
     team = {"name": "press", "apiKeys": ["k-1"], "priority": 1}
     try:
         directory = read_teams([{**team, name: value}])
@@ -85,7 +87,7 @@
 
 
 @given(st.lists(st.tuples(NAMES, VALUES), max_size=8))
-def test_no_header_of_a_client_names_a_key_or_a_team_to_a_server(lines):
+def test_no_client_header_forwards_a_key_or_a_team(lines):
     head = headers.read_request(lines)
     passed = head.forwarded_headers.lower()
     assert not passed.startswith((b"x-api-key:", b"eelgrassmount-tenant:"))
@@ -111,11 +113,11 @@
     if rng.random() < 0.2:
         lines.append(f"Connection: {rng.choice(['x-api-key', 'eelgrassmount-tenant'])}")
     rng.shuffle(lines)
-    good = len(keys) == 1 and keys[0].strip() == "k-1"
-    return "\r\n".join(lines).encode("latin-1"), good
+    is_valid = len(keys) == 1 and keys[0].strip() == "k-1"
+    return "\r\n".join(lines).encode("latin-1"), is_valid
 
 
-def test_requests_with_odd_headers_run_only_with_a_good_key():
+def test_requests_with_random_headers_run_only_with_a_valid_key():
     async def main(network: Network) -> None:
         rng = random.Random(5)
         async with anyio.create_task_group() as group:
@@ -125,7 +127,7 @@
             vm = await deployment.add("list")
             await deployment.wait_until_connected()
             for number in range(400):
-                lines, good = make_lines(rng)
+                lines, is_valid = make_lines(rng)
                 is_open = rng.random() < 0.2
                 target = b"/open/1" if is_open else b"/list/1"
                 data = b"GET %s HTTP/1.1\r\nhost: %s\r\n" % (target, HOST.encode())
@@ -134,7 +136,7 @@
                 data += lines + b"\r\n\r\n" if lines else b"\r\n"
                 answer = await send(connection, data)
                 connection.close()
-                assert answer.status == (200 if good or is_open else 401), lines
+                assert answer.status == (200 if is_valid or is_open else 401), lines
                 if answer.status == 200:
                     seen = vm.server.seen[-1]
                     team = None if is_open else b"press"
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -31,10 +31,10 @@
 OPEN = make_rule("/open/", "list", anonymous=True)
 PRESS = make_team("press", "k-1", "k-2")
 OFFICE = make_team("office", "k-3", priority=0)
-TEAM_LINE = b"eelgrassmount-tenant"
-KEY_LINE = b"x-api-key"
+TEAM_HEADER = b"eelgrassmount-tenant"
+KEY_HEADER = b"x-api-key"
 # within this time a configuration is in force on all nodes
-APPLY_S = 2.0
+MAX_APPLY_TIME_S = 2.0
 
 
 def play(
@@ -64,19 +64,21 @@
     return sum(len(vm.server.runs) for vm in deployment.vms)
 
 
-async def ask_with(vm: Vm, key: str, target: str = "/list/1", **names: str) -> int:
+async def request_with_key(
+    vm: Vm, key: str, target: str = "/list/1", **names: str
+) -> int:
     return (await send_as_client(vm, target, x_api_key=key, **names)).status
 
 
-def test_request_runs_in_the_name_of_its_team():
+def test_request_runs_with_the_name_of_its_team():
     async def scenario(deployment: Deployment) -> None:
         for vm in deployment.vms:
-            assert await ask_with(vm, "k-1", request_id="p") == 200
-            assert await ask_with(vm, "k-3", request_id="o") == 200
+            assert await request_with_key(vm, "k-1", request_id="p") == 200
+            assert await request_with_key(vm, "k-3", request_id="o") == 200
         for seen in list_seen(deployment):
             team = {b"p": b"press", b"o": b"office"}[seen[b"eelgrassmount-attempt-id"]]
-            assert seen[TEAM_LINE] == team
-            assert KEY_LINE not in seen
+            assert seen[TEAM_HEADER] == team
+            assert KEY_HEADER not in seen
 
     play(scenario)
 
@@ -86,7 +88,7 @@
     async def scenario(deployment: Deployment) -> None:
         for vm in deployment.vms:
             expected = 200 if key.strip() == "k-1" else 401
-            assert await ask_with(vm, key) == expected
+            assert await request_with_key(vm, key) == expected
         assert count_runs(deployment) == (3 if key.strip() == "k-1" else 0)
 
     play(scenario)
@@ -104,31 +106,31 @@
     play(scenario)
 
 
-def test_team_that_a_client_claims_is_left_out():
+def test_team_header_of_a_client_is_dropped():
     async def scenario(deployment: Deployment) -> None:
         vm = deployment.vms[0]
         claims = {"Eelgrassmount_Tenant": "office", "EELGRASSMOUNT_TENANT": "office"}
-        assert await ask_with(vm, "k-1", **claims) == 200
-        assert await ask_with(vm, "k-9", target="/open/1", **claims) == 200
+        assert await request_with_key(vm, "k-1", **claims) == 200
+        assert await request_with_key(vm, "k-9", target="/open/1", **claims) == 200
         with_key, without = list_seen(deployment)
-        if TEAM_LINE not in with_key:
+        if TEAM_HEADER not in with_key:
             with_key, without = without, with_key
-        assert with_key[TEAM_LINE] == b"press"
-        assert TEAM_LINE not in without
-        assert KEY_LINE not in without
+        assert with_key[TEAM_HEADER] == b"press"
+        assert TEAM_HEADER not in without
+        assert KEY_HEADER not in without
 
     play(scenario)
 
 
-def test_key_that_was_taken_away_is_refused_on_an_open_connection():
+def test_removed_key_is_refused_on_an_open_connection():
     async def scenario(deployment: Deployment) -> None:
         vm = deployment.vms[0]
         connection = await connect(vm.settings.caller_address)
         data = make_request("GET", "/list/1", x_api_key="k-1")
         assert (await send(connection, data)).status == 200
-        fewer = make_team("press", "k-2")
-        deployment.configure(2, LIST, OPEN, teams=[fewer, OFFICE])
-        await anyio.sleep(APPLY_S)
+        reduced = make_team("press", "k-2")
+        deployment.configure(2, LIST, OPEN, teams=[reduced, OFFICE])
+        await anyio.sleep(MAX_APPLY_TIME_S)
         assert (await send(connection, data)).status == 401
         data = make_request("GET", "/list/1", x_api_key="k-2")
         assert (await send(connection, data)).status == 200
@@ -138,45 +140,45 @@
     play(scenario)
 
 
-def test_keys_follow_versions_in_quick_succession_on_all_nodes():
+def test_all_nodes_apply_versions_in_quick_succession():
     async def scenario(deployment: Deployment) -> None:
-        swapped = [make_team("press", "k-3"), make_team("office", "k-1", "k-2")]
+        swapped_teams = [make_team("press", "k-3"), make_team("office", "k-1", "k-2")]
         for version in range(2, 9):
-            teams = swapped if version % 2 else [PRESS, OFFICE]
+            teams = swapped_teams if version % 2 else [PRESS, OFFICE]
             deployment.configure(version, LIST, OPEN, teams=teams)
             await anyio.sleep(0.05)
-        deployment.configure(9, LIST, OPEN, teams=swapped)
-        await anyio.sleep(APPLY_S)
+        deployment.configure(9, LIST, OPEN, teams=swapped_teams)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         for vm in deployment.vms:
-            assert await ask_with(vm, "k-1") == 200
-        assert {seen[TEAM_LINE] for seen in list_seen(deployment)} == {b"office"}
+            assert await request_with_key(vm, "k-1") == 200
+        assert {seen[TEAM_HEADER] for seen in list_seen(deployment)} == {b"office"}
 
     play(scenario)
 
 
-def test_team_that_loses_all_its_keys_is_refused_everywhere():
+def test_team_without_keys_is_refused_on_all_nodes():
     async def scenario(deployment: Deployment) -> None:
         deployment.configure(2, LIST, OPEN, teams=[make_team("press"), OFFICE])
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         for vm in deployment.vms:
-            assert await ask_with(vm, "k-1") == 401
-            assert await ask_with(vm, "k-2") == 401
-            assert await ask_with(vm, "k-3") == 200
+            assert await request_with_key(vm, "k-1") == 401
+            assert await request_with_key(vm, "k-2") == 401
+            assert await request_with_key(vm, "k-3") == 200
         deployment.configure(3, LIST, OPEN, teams=[])
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         for vm in deployment.vms:
-            assert await ask_with(vm, "k-3") == 401
+            assert await request_with_key(vm, "k-3") == 401
             assert (await send_as_client(vm, "/open/1")).status == 200
 
     play(scenario)
 
 
-def test_key_is_taken_away_while_the_log_turns_away_a_restarted_node():
+def test_restarted_node_without_the_log_refuses_a_removed_key():
     """What its neighbours know reaches a node that can't read the log itself."""
 
     async def scenario(deployment: Deployment) -> None:
         deployment.configure(2, LIST, OPEN, teams=[make_team("press", "k-2"), OFFICE])
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         deployment.log.trouble = Trouble.TURNED_AWAY
         started = await deployment.add("list", "a")
         # it knows no other node, and none opens a link to one that it can't know
@@ -184,16 +186,16 @@
             vm.node.beliefs.members.put(
                 started.settings.name, str(started.settings.peer_address), "a", "list"
             )
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         for vm in deployment.vms:
-            assert await ask_with(vm, "k-2") == 200
-            assert await ask_with(vm, "k-1") in (401, 503)
-        assert all(seen[TEAM_LINE] == b"press" for seen in list_seen(deployment))
+            assert await request_with_key(vm, "k-2") == 200
+            assert await request_with_key(vm, "k-1") in (401, 503)
+        assert all(seen[TEAM_HEADER] == b"press" for seen in list_seen(deployment))
 
     play(scenario)
 
 
-def test_new_key_is_not_called_wrong_while_the_log_is_away():
+def test_unknown_key_is_not_rejected_while_the_log_is_unreachable():
     async def scenario(deployment: Deployment) -> None:
         deployment.log.trouble = Trouble.RESET
         asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
@@ -202,22 +204,22 @@
             answer = await send_as_client(vm, "/list/1", x_api_key="k-9")
             assert answer.status == 503
             assert dict(answer.headers)[b"retry-after"]
-            assert await ask_with(vm, "k-1") == 200
+            assert await request_with_key(vm, "k-1") == 200
 
     play(scenario)
 
 
-def test_node_without_a_configuration_judges_no_key():
+def test_node_without_a_configuration_refuses_keys_temporarily():
     async def scenario(deployment: Deployment) -> None:
         deployment.log.trouble = Trouble.SILENT
         vm = await deployment.add("other", "c")
         vm.node.ingress.table = type(vm.node.ingress.table)()
-        assert await ask_with(vm, "k-1") == 503
+        assert await request_with_key(vm, "k-1") == 503
 
     play(scenario)
 
 
-def test_requests_with_good_and_bad_keys_on_one_connection_are_told_apart():
+def test_requests_on_one_connection_are_checked_separately():
     async def scenario(deployment: Deployment) -> None:
         vm = deployment.vms[0]
         connection = await connect(vm.settings.caller_address)
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -23,7 +23,7 @@
 PRESS = make_team("press", "k-1", ratePerS=10, burst=10)
 OFFICE = make_team("office", "k-2")
 # the bound of the settings in these tests: 0.1 of 60 requests and 10 more
-MOST_IN_WINDOW = 60 * 1.1 + 10
+MAX_RUNS_IN_WINDOW = 60 * 1.1 + 10
 FILL_S = 12.0
 
 
@@ -48,7 +48,9 @@
     run_virtually(main)
 
 
-async def ask_often(vm: Vm, key: str, times: int, pause_s: float = 0.0) -> list[int]:
+async def send_requests(
+    vm: Vm, key: str, times: int, pause_s: float = 0.0
+) -> list[int]:
     statuses = []
     for _ in range(times):
         statuses.append((await send_as_client(vm, "/list/1", x_api_key=key)).status)
@@ -56,17 +58,17 @@
     return statuses
 
 
-async def ask_everywhere(
+async def send_to_all_nodes(
     deployment: Deployment, key: str, times: int, pause_s: float = 0.0
 ) -> list[int]:
     found: list[int] = []
 
-    async def ask_one(vm: Vm) -> None:
-        found.extend(await ask_often(vm, key, times, pause_s))
+    async def send_to_node(vm: Vm) -> None:
+        found.extend(await send_requests(vm, key, times, pause_s))
 
     async with anyio.create_task_group() as group:
         for vm in deployment.vms:
-            group.start_soon(ask_one, vm)
+            group.start_soon(send_to_node, vm)
     return found
 
 
@@ -74,12 +76,12 @@
     return sum(len(vm.server.runs) for vm in deployment.vms)
 
 
-def test_team_over_its_quota_is_told_when_to_come_back():
+def test_team_over_its_quota_gets_a_retry_time():
     async def scenario(deployment: Deployment) -> None:
         vm = deployment.vms[0]
-        statuses = await ask_often(vm, "k-1", 60)
+        statuses = await send_requests(vm, "k-1", 60)
         assert set(statuses) == {200, 429}
-        assert 10 <= statuses.count(200) == count_runs(deployment) <= MOST_IN_WINDOW
+        assert 10 <= statuses.count(200) == count_runs(deployment) <= MAX_RUNS_IN_WINDOW
         answer = await send_as_client(vm, "/list/1", x_api_key="k-1")
         assert answer.status == 429
         assert 0.0 < float(dict(answer.headers)[b"retry-after"]) < 10.0
@@ -87,55 +89,55 @@
     play(scenario)
 
 
-def test_quota_holds_over_all_nodes_and_other_teams_are_not_touched():
+def test_quota_applies_over_all_nodes_and_to_its_team_only():
     async def scenario(deployment: Deployment) -> None:
         found: dict[str, list[int]] = {}
 
         async def run(key: str, pause_s: float) -> None:
-            found[key] = await ask_everywhere(deployment, key, 50, pause_s)
+            found[key] = await send_to_all_nodes(deployment, key, 50, pause_s)
 
         async with anyio.create_task_group() as group:
             group.start_soon(run, "k-1", 0.05)
             group.start_soon(run, "k-2", 0.05)
         assert found["k-2"] == [200] * 300
         # within less than a window
-        assert 20 <= found["k-1"].count(200) <= MOST_IN_WINDOW
+        assert 20 <= found["k-1"].count(200) <= MAX_RUNS_IN_WINDOW
         assert set(found["k-1"]) == {200, 429}
 
     play(scenario)
 
 
-def test_team_under_its_quota_is_served_at_any_node_while_the_log_is_away():
+def test_team_below_its_quota_is_served_while_the_log_is_unreachable():
     async def scenario(deployment: Deployment) -> None:
         deployment.log.trouble = Trouble.RESET
         for vm in deployment.vms:
-            assert await ask_often(vm, "k-1", 10, 0.2) == [200] * 10
+            assert await send_requests(vm, "k-1", 10, 0.2) == [200] * 10
 
     play(scenario)
 
 
-def test_quota_is_held_by_others_once_a_holder_ends():
+def test_other_nodes_allocate_quotas_after_allocators_stop():
     async def scenario(deployment: Deployment) -> None:
         # the first two of each failure domain hold all quotas
         for vm in deployment.vms[:4]:
             vm.node.end()
-            vm.node.readers.begun = False
+            vm.node.readers.started = False
         del deployment.vms[:4]
         await anyio.sleep(3.0)
-        statuses = await ask_everywhere(deployment, "k-1", 25, 0.4)
+        statuses = await send_to_all_nodes(deployment, "k-1", 25, 0.4)
         assert statuses.count(200) >= 30
         assert set(statuses) <= {200, 429}
 
     play(scenario, nodes=8)
 
 
-def test_raised_quota_counts_at_once():
+def test_raised_quota_applies_at_once():
     async def scenario(deployment: Deployment) -> None:
-        await ask_everywhere(deployment, "k-1", 20)
-        more = make_team("press", "k-1", ratePerS=1000, burst=1000)
-        deployment.configure(2, LIST, teams=[more, OFFICE])
+        await send_to_all_nodes(deployment, "k-1", 20)
+        raised = make_team("press", "k-1", ratePerS=1000, burst=1000)
+        deployment.configure(2, LIST, teams=[raised, OFFICE])
         await anyio.sleep(2.0)
-        statuses = await ask_everywhere(deployment, "k-1", 20)
+        statuses = await send_to_all_nodes(deployment, "k-1", 20)
         assert statuses == [200] * len(statuses)
 
     play(scenario)
@@ -143,9 +145,9 @@
 
 def test_team_without_a_rate_is_not_limited():
     async def scenario(deployment: Deployment) -> None:
-        statuses = await ask_everywhere(deployment, "k-2", 60)
+        statuses = await send_to_all_nodes(deployment, "k-2", 60)
         assert statuses == [200] * len(statuses)
-        assert not any(vm.node.quotas.holder.held for vm in deployment.vms)
+        assert not any(vm.node.quotas.allocator.quotas for vm in deployment.vms)
 
     play(scenario, teams=[OFFICE, make_team("free", "k-1", ratePerS=0, burst=5)])
 
@@ -157,16 +159,16 @@
 
 # A request that no server takes has not run, and does not count.
 @pytest.mark.parametrize("refused", [True, False])
-def test_request_that_does_not_run_leaves_its_quota_to_others(refused):
+def test_request_that_does_not_run_returns_its_quota(refused):
     async def scenario(deployment: Deployment) -> None:
         set_draining(deployment, refused)
-        first = await ask_everywhere(deployment, "k-1", 3)
+        first = await send_to_all_nodes(deployment, "k-1", 3)
         assert set(first) == ({503} if refused else {200})
         set_draining(deployment, False)
         for vm in deployment.vms:
             vm.node.controllers.report_now()
         await anyio.sleep(0.3)
-        second = await ask_everywhere(deployment, "k-1", 3)
+        second = await send_to_all_nodes(deployment, "k-1", 3)
         if refused:
             assert second.count(200) == len(second)
         else:
@@ -175,9 +177,9 @@
     play(scenario)
 
 
-def test_state_shows_teams_by_their_use_and_no_key():
+def test_status_shows_usage_of_teams_and_no_key():
     async def scenario(deployment: Deployment) -> None:
-        await ask_everywhere(deployment, "k-1", 10)
+        await send_to_all_nodes(deployment, "k-1", 10)
         texts = []
         for vm in deployment.vms:
             state = collect_status(vm.node)
--- a/tests/topics/test_log_restore.py
+++ b/tests/topics/test_log_restore.py
@@ -27,11 +27,11 @@
 
 LIST = make_rule("/list/", "list")
 DESK = make_rule("/desk/", "list")
-APPLY_S = 2.0
+MAX_APPLY_TIME_S = 2.0
 # a node notices that the log is away by its connection
-AWAY_S = 1.0
+OUTAGE_S = 1.0
 # nodes that began to read as they knew of few others have stopped
-SETTLE_S = 8.0
+STARTUP_TIME_S = 8.0
 
 
 def play(
@@ -44,7 +44,7 @@
             await deployment.start(LIST)
             for number in range(nodes):
                 await deployment.add("list", "abc"[number % 3])
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(STARTUP_TIME_S)
             await scenario(deployment)
             await deployment.end()
             group.cancel_scope.cancel()
@@ -52,12 +52,12 @@
     run_virtually(main)
 
 
-async def come_back(deployment: Deployment, copy: dict, rewrite: bool = True) -> None:
+async def restore_log(deployment: Deployment, copy: dict, rewrite: bool = True) -> None:
     """Let the log be away for a moment and come back from a copy."""
     log = deployment.log
     log.trouble = Trouble.RESET
     asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
-    await anyio.sleep(AWAY_S)
+    await anyio.sleep(OUTAGE_S)
     log.come_back(copy, rewrite)
     log.trouble = Trouble.NONE
 
@@ -66,28 +66,28 @@
     return {vm.node.beliefs.table.version for vm in deployment.vms}
 
 
-def list_eras(deployment: Deployment) -> set[int]:
-    return {vm.node.readers.eras.current for vm in deployment.vms}
+def list_epochs(deployment: Deployment) -> set[int]:
+    return {vm.node.readers.epoch_tracker.current for vm in deployment.vms}
 
 
 def list_written(deployment: Deployment) -> set[str]:
     return {key for key, value in deployment.log.find("keyed.nodes").records if value}
 
 
-def test_configuration_never_goes_back_and_new_ones_are_heard():
+def test_configuration_is_never_reverted_and_later_ones_apply():
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         deployment.configure(5, LIST)
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         assert list_versions(deployment) == {5}
-        await come_back(deployment, copy, rewrite=False)
+        await restore_log(deployment, copy, rewrite=False)
         await anyio.sleep(3.0)
         # the copy holds an older one until the operator writes again
         assert list_versions(deployment) == {5}
-        assert list_eras(deployment) == {4}
+        assert list_epochs(deployment) == {4}
         deployment.configure(5, LIST)
         deployment.configure(6, LIST, DESK)
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         assert list_versions(deployment) == {6}
 
     play(scenario)
@@ -95,31 +95,31 @@
 
 # The offset from which a reader went on was given out again for other records, which it
 # never saw: it waited behind them.
-def test_records_at_offsets_that_were_given_out_again_are_read():
+def test_records_at_reassigned_offsets_are_read():
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for version in range(2, 6):
             deployment.configure(version, LIST)
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         log = deployment.log
-        await come_back(deployment, copy, rewrite=False)
+        await restore_log(deployment, copy, rewrite=False)
         # as many records as before, and another one among them
         for version in (6, 7, 8, 9):
             log.put("keyed.op", "config", make_document(version, LIST, DESK))
-        await anyio.sleep(APPLY_S + 1.0)
+        await anyio.sleep(MAX_APPLY_TIME_S + 1.0)
         assert list_versions(deployment) == {9}
 
     play(scenario)
 
 
-def test_nodes_write_their_records_again_and_stay_known():
+def test_nodes_rewrite_their_records_and_remain_members():
     async def scenario(deployment: Deployment) -> None:
         names = {vm.settings.name for vm in deployment.vms}
         copy = deployment.log.copy()
         # the log was copied before the last three nodes had started
         topic = copy["keyed.nodes"]
         topic.records = [one for one in topic.records if one[0] <= "node-3"]
-        await come_back(deployment, copy)
+        await restore_log(deployment, copy)
         for vm in deployment.vms:
             assert names <= vm.node.beliefs.members.by_name.keys()
         await anyio.sleep(6.0)
@@ -131,17 +131,17 @@
     play(scenario)
 
 
-def test_node_that_is_gone_for_good_is_forgotten_after_the_usual_time():
+def test_stopped_node_without_a_record_is_removed_in_time():
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         topic = copy["keyed.nodes"]
         topic.records = [one for one in topic.records if one[0] != "node-6"]
-        gone = deployment.vms.pop()
-        gone.node.end()
-        gone.node.readers.begun = False
-        for follower in gone.node.readers.followers:
-            follower.want(False)
-        await come_back(deployment, copy)
+        stopped = deployment.vms.pop()
+        stopped.node.end()
+        stopped.node.readers.started = False
+        for follower in stopped.node.readers.followers:
+            follower.set_wanted(False)
+        await restore_log(deployment, copy)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
             assert "node-6" in vm.node.beliefs.members.by_name
@@ -152,7 +152,7 @@
     play(scenario)
 
 
-def test_learned_calls_are_written_again():
+def test_learned_calls_are_rewritten():
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for vm in deployment.vms:
@@ -161,7 +161,7 @@
             )
         await anyio.sleep(15.0)
         assert LEARNED_KEY in list_written(deployment)
-        await come_back(deployment, copy)
+        await restore_log(deployment, copy)
         assert LEARNED_KEY not in list_written(deployment)
         await anyio.sleep(15.0)
         assert LEARNED_KEY in list_written(deployment)
@@ -169,46 +169,46 @@
     play(scenario)
 
 
-def test_node_hears_of_the_era_from_others_while_the_log_turns_it_away():
+def test_node_that_cannot_reach_the_log_learns_its_epoch_from_others():
     """Two readers in different eras: the later one goes for both."""
 
     async def scenario(deployment: Deployment) -> None:
         reader = next(vm for vm in deployment.vms if vm.node.readers.reading)
         copy = deployment.log.copy()
         deployment.configure(7, LIST)
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         reader.node.store.address = LOG.__class__(LOG.host, LOG.port + 1)
         reader.node.store.end()
-        await come_back(deployment, copy)
+        await restore_log(deployment, copy)
         await anyio.sleep(4.0)
-        assert list_eras(deployment) == {4}
+        assert list_epochs(deployment) == {4}
         assert list_versions(deployment) == {7}
 
     play(scenario)
 
 
 @pytest.mark.parametrize("era", [0, 17])
-def test_several_returns_in_quick_succession(era):
+def test_several_restorations_in_quick_succession(era):
     async def scenario(deployment: Deployment) -> None:
         for version in (2, 3, 4):
             copy = deployment.log.copy()
             deployment.configure(version, LIST)
             await anyio.sleep(0.5)
-            await come_back(deployment, copy)
+            await restore_log(deployment, copy)
         await anyio.sleep(6.0)
         names = {vm.settings.name for vm in deployment.vms}
-        assert list_eras(deployment) == {era + 3}
+        assert list_epochs(deployment) == {era + 3}
         assert list_versions(deployment) == {4}
         assert names <= list_written(deployment)
 
     play(scenario, era=era)
 
 
-def test_log_that_names_no_era_serves_as_before():
+def test_log_without_an_epoch_works():
     async def scenario(deployment: Deployment) -> None:
         deployment.log.era = None
         deployment.configure(2, LIST)
-        await anyio.sleep(APPLY_S)
+        await anyio.sleep(MAX_APPLY_TIME_S)
         assert list_versions(deployment) == {2}
 
     play(scenario)
@@ -217,10 +217,10 @@
 async def stop_node(deployment: Deployment, number: int) -> None:
     vm = deployment.vms.pop(number)
     await stop_relay(vm.node)
-    vm.node.readers.begun = False
+    vm.node.readers.started = False
 
 
-def test_node_whose_server_has_left_drops_its_record():
+def test_node_deletes_its_record_when_its_backend_server_has_left():
     async def scenario(deployment: Deployment) -> None:
         deployment.vms[5].node.beliefs.server.left = True
         await stop_node(deployment, 5)
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -13,14 +13,14 @@
 from eelgrassmount.policy.shedding import RequestClass
 from eelgrassmount.relay.tallies import Tally
 from eelgrassmount.topics.readers import (
-    CALM_PERIOD_S,
-    LEARNING_PERIOD_S,
-    LOST_S,
-    PERIOD_S,
-    READ_ON_S,
+    COUNTS_INTERVAL_S,
+    LEARNING_INTERVAL_S,
+    MIN_READING_TIME_S,
+    OUTAGE_WAIT_RANGE_S,
+    SUBSCRIBE_INTERVAL_S,
     LogReaders,
 )
-from eelgrassmount.topics.subscriptions import HEARD_S
+from eelgrassmount.topics.subscriptions import MAX_NEWS_AGE_S
 from standins.platform_log import Trouble
 from tests.relay.deployment import Deployment, Vm, make_document, make_rule
 from tests.relay.virtual import run_virtually
@@ -31,13 +31,13 @@
     from tests.relay.virtual import Network, SocketAddress
 
 LIST = make_rule("/list/", "list")
-DEMAND = RequestClass("shop.example/list/", 0)
+REQUEST_CLASS = RequestClass("shop.example/list/", 0)
 DOMAINS = ("a", "b", "c")
 NODES = 6
 # the bound of the smallest deployments for a configuration to be in force
-CONFIG_LIMIT_S = 2.0
+MAX_APPLY_TIME_S = 2.0
 # nodes that began to read as they knew of few others have stopped
-SETTLE_S = 8.0
+STARTUP_TIME_S = 8.0
 
 
 @define(eq=False)
@@ -63,7 +63,7 @@
     def configure(self, version: int) -> None:
         self.deployment.log.put("keyed.op", "config", make_document(version, LIST))
 
-    def list_behind(self, version: int, vms: list[Vm] | None = None) -> list[str]:
+    def list_outdated(self, version: int, vms: list[Vm] | None = None) -> list[str]:
         return [
             vm.settings.name
             for vm in (self.vms if vms is None else vms)
@@ -72,12 +72,12 @@
 
     async def expect_version(self, version: int, vms: list[Vm] | None = None) -> None:
         """Wait as long as a configuration may take."""
-        with anyio.move_on_after(CONFIG_LIMIT_S):
-            while self.list_behind(version, vms):
+        with anyio.move_on_after(MAX_APPLY_TIME_S):
+            while self.list_outdated(version, vms):
                 await anyio.sleep(0.02)
-        assert self.list_behind(version, vms) == []
+        assert self.list_outdated(version, vms) == []
 
-    def list_places(self, vm: Vm) -> list[SocketAddress]:
+    def list_addresses(self, vm: Vm) -> list[SocketAddress]:
         settings = vm.settings
         return [
             (one.host, one.port)
@@ -88,14 +88,14 @@
         """End a node at once, as a crash of its process does."""
         self.deployment.vms.remove(vm)
         vm.node.end()
-        vm.node.readers.begun = False
+        vm.node.readers.started = False
         for follower in vm.node.readers.followers:
-            follower.want(False)
+            follower.set_wanted(False)
 
-    def stand_still(self, vm: Vm) -> None:
+    def pause(self, vm: Vm) -> None:
         """Let nothing that others send reach a node."""
-        for place in self.list_places(vm):
-            self.network.pause(place)
+        for address in self.list_addresses(vm):
+            self.network.pause(address)
 
 
 def play(
@@ -110,7 +110,7 @@
             await deployment.start(LIST)
             for number in range(nodes * len(domains)):
                 await deployment.add("list", domains[number % len(domains)])
-            await anyio.sleep(SETTLE_S)
+            await anyio.sleep(STARTUP_TIME_S)
             try:
                 await scenario(Fleet(network, deployment))
             finally:
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_some_nodes_of_each_failure_domain_read_and_tell_the_others(seed):
+def test_some_nodes_of_each_failure_domain_read_for_the_others(seed):
     """Each record woke all nodes: 15 to 34 calls a node and day on 195 nodes."""
 
     async def scenario(fleet: Fleet) -> None:
@@ -138,7 +138,7 @@
     play(scenario, seed=seed)
 
 
-def test_nodes_know_each_other_though_few_read():
+def test_nodes_know_all_members_although_few_read():
     async def scenario(fleet: Fleet) -> None:
         late = await fleet.deployment.add("list", "b")
         await anyio.sleep(1.0)
@@ -150,7 +150,7 @@
     play(scenario)
 
 
-def test_a_start_takes_few_calls_of_each_node():
+def test_starting_nodes_make_few_calls_to_the_log():
     async def scenario(fleet: Fleet) -> None:
         # each reads the newest and appends its record; the readers follow two topics
         readers = SUBSCRIBED_READERS * len(DOMAINS)
@@ -164,24 +164,24 @@
     play(scenario)
 
 
-def test_both_readers_are_replaced_when_they_end():
+def test_both_readers_are_replaced_after_a_crash():
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.list_readers("a"):
             fleet.stop(vm)
         fleet.configure(2)
         await fleet.expect_version(2)
-        await anyio.sleep(READ_ON_S + HEARD_S + 2.0)
+        await anyio.sleep(MIN_READING_TIME_S + MAX_NEWS_AGE_S + 2.0)
         assert len(fleet.list_readers("a")) == SUBSCRIBED_READERS
 
     play(scenario)
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 0.3, 0.6])
-def test_both_readers_may_stand_still_when_a_configuration_comes(wait_s):
+def test_configuration_is_applied_while_both_readers_are_paused(wait_s):
     async def scenario(fleet: Fleet) -> None:
         readers = fleet.list_readers("a")
         for vm in readers:
-            fleet.stand_still(vm)
+            fleet.pause(vm)
         others = [vm for vm in fleet.vms if vm not in readers]
         await anyio.sleep(wait_s)
         fleet.configure(2)
@@ -190,11 +190,11 @@
     play(scenario)
 
 
-def test_readers_that_the_log_turns_away_hear_from_other_failure_domains():
+def test_readers_without_the_log_use_other_failure_domains():
     async def scenario(fleet: Fleet) -> None:
         readers = fleet.list_readers("a")
         for vm in readers:
-            turn_away(vm)
+            block_log(vm)
         await anyio.sleep(1.0)
         fleet.configure(2)
         await fleet.expect_version(2)
@@ -204,14 +204,14 @@
     play(scenario)
 
 
-def turn_away(vm: Vm) -> None:
+def block_log(vm: Vm) -> None:
     """Let the log answer no call of a node, and end the reads that wait."""
     vm.node.store.address = vm.settings.ready_address
     vm.node.store._connections.address = vm.settings.ready_address
     vm.node.store.end()
 
 
-def test_failure_domain_alone_reads_by_itself():
+def test_single_failure_domain_reads_the_log():
     async def scenario(fleet: Fleet) -> None:
         fleet.configure(2)
         await fleet.expect_version(2)
@@ -219,7 +219,7 @@
     play(scenario, nodes=3, domains=("a",))
 
 
-def test_few_calls_are_made_while_the_log_is_away_and_all_hear_of_its_return():
+def test_nodes_make_few_calls_in_an_outage_and_all_notice_its_end():
     """All nodes asked again each 1.5 s: an outage of 9 s cost six calls a node."""
 
     async def scenario(fleet: Fleet) -> None:
@@ -234,7 +234,7 @@
         per_reader = 2 * seconds / 0.75
         others = len(fleet.vms) - SUBSCRIBED_READERS * len(DOMAINS)
         assert calls <= SUBSCRIBED_READERS * len(DOMAINS) * per_reader + 2 * others * (
-            seconds / LOST_S[0]
+            seconds / OUTAGE_WAIT_RANGE_S[0]
         )
         fleet.deployment.log.trouble = Trouble.NONE
         fleet.configure(3)
@@ -243,7 +243,7 @@
     play(scenario)
 
 
-def test_node_that_starts_while_the_log_is_away_hears_all_from_its_links():
+def test_node_that_starts_in_an_outage_learns_all_from_its_links():
     async def scenario(fleet: Fleet) -> None:
         vm = fleet.list_readers("a")[0]
         fleet.stop(vm)
@@ -251,7 +251,7 @@
         # its server goes on, and its address is free again
         vm.server.listener.end()
         await anyio.sleep(1.0)
-        again = await fleet.deployment.add(
+        restarted = await fleet.deployment.add(
             "list",
             "a",
             name=vm.settings.name,
@@ -264,17 +264,17 @@
             },
         )
         with anyio.fail_after(6.0):
-            while not again.node.is_ready():
+            while not restarted.node.is_ready():
                 await anyio.sleep(0.05)
-        assert again.node.beliefs.table.version == 1
+        assert restarted.node.beliefs.table.version == 1
         await anyio.sleep(2.0)
         names = {one.settings.name for one in fleet.vms}
-        assert again.node.beliefs.members.by_name.keys() == names
+        assert restarted.node.beliefs.members.by_name.keys() == names
 
     play(scenario)
 
 
-def test_version_never_goes_back_whoever_tells_an_earlier_one():
+def test_earlier_version_is_never_applied():
     async def scenario(fleet: Fleet) -> None:
         fleet.configure(5)
         await fleet.expect_version(5)
@@ -286,41 +286,41 @@
     play(scenario)
 
 
-def test_all_nodes_hear_the_counts_of_all():
+def test_all_nodes_receive_the_counts_of_all():
     def make_tally() -> Tally:
-        return Tally(1, {DEMAND: 2.0})
+        return Tally(1, {REQUEST_CLASS: 2.0})
 
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
             vm.node.readers.make_tally = make_tally
         await anyio.sleep(4.0)
         for vm in fleet.vms:
-            outlook = vm.node.beliefs.cluster_counts
-            assert outlook.nodes == len(fleet.vms)
-            assert outlook.offered[DEMAND] == pytest.approx(2.0 * len(fleet.vms))
+            counts = vm.node.beliefs.cluster_counts
+            assert counts.nodes == len(fleet.vms)
+            assert counts.offered[REQUEST_CLASS] == pytest.approx(2.0 * len(fleet.vms))
 
     play(scenario)
 
 
-def test_counts_of_nodes_that_are_gone_are_forgotten():
+def test_counts_of_stopped_nodes_expire():
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.list_domain("c"):
             fleet.stop(vm)
-        await anyio.sleep(2 * HEARD_S + 3.0)
+        await anyio.sleep(2 * MAX_NEWS_AGE_S + 3.0)
         for vm in fleet.vms:
             assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
 
-def test_counts_go_along_seldom_while_nothing_is_short():
+def test_counts_are_sent_rarely_while_no_service_is_overloaded():
     """With each question, nodes sent twice the bytes that they had sent without any."""
-    asked: list[bool] = []
-    note_subscribe = LogReaders.note_subscribe
+    with_counts: list[bool] = []
+    handle_subscribe = LogReaders.handle_subscribe
 
-    def note(readers: LogReaders, struct: Any, send: Any) -> None:
-        asked.append(struct.with_counts)
-        note_subscribe(readers, struct, send)
+    def record(readers: LogReaders, struct: Any, send: Any) -> None:
+        with_counts.append(struct.with_counts)
+        handle_subscribe(readers, struct, send)
 
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
@@ -328,39 +328,41 @@
             vm.node.beliefs.graph.set_calls(
                 "shop.example/list/", {"shop.example/part/": 1.0}
             )
-        await anyio.sleep(CALM_PERIOD_S)
-        with mock.patch.object(LogReaders, "note_subscribe", note):
-            await anyio.sleep(4 * CALM_PERIOD_S)
-        assert 0.0 < sum(asked) / len(asked) < 1.5 * PERIOD_S / CALM_PERIOD_S
+        await anyio.sleep(COUNTS_INTERVAL_S)
+        with mock.patch.object(LogReaders, "handle_subscribe", record):
+            await anyio.sleep(4 * COUNTS_INTERVAL_S)
+        assert (
+            0.0
+            < sum(with_counts) / len(with_counts)
+            < 1.5 * SUBSCRIBE_INTERVAL_S / COUNTS_INTERVAL_S
+        )
         for vm in fleet.vms:
             assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
 
-def test_one_reader_of_each_failure_domain_listens_to_the_others():
+def test_one_reader_of_each_failure_domain_subscribes_to_the_others():
     async def scenario(fleet: Fleet) -> None:
-        far = 0
+        remote = 0
         for vm in fleet.vms:
             domains = {
                 vm.node.beliefs.members.by_name[name].failure_domain
                 for name in vm.node.readers.subscriptions
             }
-            far += len(domains - {vm.settings.failure_domain})
-        assert far == len(DOMAINS) * (len(DOMAINS) - 1)
+            remote += len(domains - {vm.settings.failure_domain})
+        assert remote == len(DOMAINS) * (len(DOMAINS) - 1)
 
     play(scenario)
 
 
-def test_counts_go_round_quickly_while_requests_come_and_no_calls_are_known():
+def test_counts_are_exchanged_more_often_until_calls_are_learned():
     async def scenario(fleet: Fleet) -> None:
         readers = fleet.vms[0].node.readers
-        assert readers._find_period() == PERIOD_S
-        readers.beliefs.request_counts["shop.example/list/"] = 3.0
-        assert readers._find_period() == LEARNING_PERIOD_S
-        readers.beliefs.graph.set_calls(
-            "shop.example/list/", {"shop.example/part/": 1.0}
-        )
-        assert readers._find_period() == PERIOD_S
+        assert readers._compute_subscribe_interval_s() == SUBSCRIBE_INTERVAL_S
+        readers.state.request_counts["shop.example/list/"] = 3.0
+        assert readers._compute_subscribe_interval_s() == LEARNING_INTERVAL_S
+        readers.state.graph.set_calls("shop.example/list/", {"shop.example/part/": 1.0})
+        assert readers._compute_subscribe_interval_s() == SUBSCRIBE_INTERVAL_S
 
     play(scenario, nodes=2)
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -52,7 +52,7 @@
     return [(one.name, one.address, one.service) for one in found]
 
 
-BAD_NODES = [
+INVALID_NODES = [
     StoredRecord("n2", b"\xff\xfe"),
     StoredRecord("n2", b"{}"),
     StoredRecord("n2", b"\x00"),
@@ -72,8 +72,8 @@
 
 # Another writer's record of a node came without a name or an address, and the node
 # entered a member called None; a link to an address that is none ended a timer's step.
-@pytest.mark.parametrize("record", BAD_NODES, ids=lambda one: repr(one)[:60])
-def test_bad_record_of_a_node_leaves_the_others_and_what_was_known(node, record):
+@pytest.mark.parametrize("record", INVALID_NODES, ids=lambda one: repr(one)[:60])
+def test_invalid_node_record_changes_no_other_member(node, record):
     node.take_nodes((make_record(),))
     before = list_members(node)
     node.take_nodes((record, make_record("n4")))
@@ -85,7 +85,7 @@
 
 # A record with an empty value drops a key; one for the node's own name made it forget
 # itself, so that it no longer gave its own server any work.
-def test_nobody_drops_the_node_itself(node):
+def test_no_record_removes_the_local_node(node):
     before = list_members(node)
     node.take_nodes((StoredRecord(SETTINGS.name, b""),))
     node.take_nodes((make_record(SETTINGS.name, address="127.0.0.9:1"),))
@@ -121,7 +121,7 @@
     ],
     ids=lambda one: repr(one.value)[:60],
 )
-def test_bad_record_of_learned_calls_changes_nothing(node, record):
+def test_invalid_record_of_learned_calls_changes_nothing(node, record):
     node.take_nodes((make_learned(("shop/a/", "shop/b/", 2.0)),))
     assert node.beliefs.graph.calls_per_run == CALLS
     node.take_nodes((record, make_record()))
@@ -166,7 +166,7 @@
     ],
     ids=lambda one: repr(one[:20]) + repr(one[-40:]),
 )
-def test_bad_configuration_leaves_the_one_in_force(node, document):
+def test_invalid_configuration_leaves_the_present_one(node, document):
     node.take_configuration((StoredRecord(CONFIGURATION_KEY, make_document(3, LIST)),))
     table = node.beliefs.table
     assert table.version == 3
@@ -193,32 +193,32 @@
 
 
 # An exception for one record ended the follower, and with it the node.
-def test_follower_goes_on_after_a_record_that_cannot_be_taken():
-    taken = []
+def test_follower_continues_after_a_record_that_cannot_be_applied():
+    applied = []
 
-    def take(records: tuple[StoredRecord, ...]) -> None:
+    def apply(records: tuple[StoredRecord, ...]) -> None:
         if any(one.key == "poison" for one in records):
             raise ValueError("poison")
-        taken.extend(one.key for one in records)
+        applied.extend(one.key for one in records)
 
     first = tuple(StoredRecord(key, b"") for key in ("a", "poison", "b"))
     log = ScriptedLog(first, (StoredRecord("c", b""),))
-    follower = TopicFollower(log, "keyed.x", take, random.Random(1))
+    follower = TopicFollower(log, "keyed.x", apply, random.Random(1))
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(follower.run)
             with anyio.fail_after(10):
-                while "c" not in taken:
+                while "c" not in applied:
                     await anyio.sleep(0.01)
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert taken == ["a", "b", "c"]
+    assert applied == ["a", "b", "c"]
     assert follower.reachable
 
 
-class OwnRecordLog(ScriptedLog):
+class MisplacedRecordLog(ScriptedLog):
     """A log in which the record of a node stands under the key of another."""
 
     def __init__(self, record: StoredRecord):
@@ -236,11 +236,11 @@
 
 # A copy of a node's record under another key kept the node from writing its own, and
 # the others from finding it.
-def test_node_writes_its_record_unless_it_stands_under_its_key(node):
+def test_node_writes_its_record_unless_it_is_stored_under_its_key(node):
     own = make_record(
         SETTINGS.name, address=str(SETTINGS.peer_address), service_name="desk"
     )
-    log = OwnRecordLog(StoredRecord("n9", own.value))
+    log = MisplacedRecordLog(StoredRecord("n9", own.value))
     node.store = log
 
     async def main() -> None:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -111,7 +111,7 @@
 
 def keep_nothing_learned() -> None:
     """Let a node that starts learn all by itself."""
-    LearnedCalls.find_record = lambda self: None
+    LearnedCalls.build_due_record = lambda self: None
 
 
 def ask_for_no_reports() -> None:
@@ -148,7 +148,7 @@
 
 def count_alone() -> None:
     """Go by the counts of this node and of those that report to it."""
-    LogReaders._update_outlook = lambda self, now_s: None
+    LogReaders._update_cluster_counts = lambda self, now_s: None
 
 
 def foresee_nothing() -> None:
