--- a/eelgrassmount/teams/__init__.py
+++ b/eelgrassmount/teams/__init__.py
@@ -1,1 +1,1 @@
-"""The teams that share a deployment: their API keys, ranks and quotas."""
+"""Teams that share a deployment: API keys, priorities and quotas."""
--- a/eelgrassmount/teams/access.py
+++ b/eelgrassmount/teams/access.py
@@ -1,4 +1,4 @@
-"""Whether a request may use a route, by its API key."""
+"""Checks the API key of a request."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @frozen
 class Access:
-    """The team that a request belongs to, or why it is refused.
+    """The team that a request belongs to, or the reason to refuse the request.
 
-    A request of a route without keys belongs to no team.
+    A request on a route without API keys belongs to no team.
     """
 
     team: Team | None = None
@@ -34,11 +34,11 @@
     key: bytes | None,
     is_current: Callable[[], bool],
 ) -> Access:
-    """Judge the key of a request, ``None`` without one.
+    """Check the API key of a request, ``None`` if it has none.
 
-    Without word of the log, a node can't tell a key that was added since from a wrong
-    one. It is refused in a way that lets its client come back, since nobody sends a
-    request again whose key is wrong.
+    A node without current records of the log cannot tell a newly added key from a wrong
+    one. It refuses such a key with a reason that allows a retry, since clients do not
+    retry a request whose key is wrong.
     """
     if not needs_key or not directory.is_required:
         return NO_TEAM
--- a/eelgrassmount/teams/directory.py
+++ b/eelgrassmount/teams/directory.py
@@ -1,4 +1,4 @@
-"""Which team an API key belongs to."""
+"""Maps API keys to teams."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 @frozen
 class Team:
-    """A team of the deployment.
+    """A team that uses the deployment.
 
-    ``priority`` is its rank, of which 0 is refused last. Its quota is ``rate`` requests
-    a second with ``burst`` at once, over all nodes together; a rate of 0 is no limit.
+    Requests of teams with a lower ``priority`` value are shed later. The quota is
+    ``rate`` requests per second and ``burst`` at once, summed over all nodes; a rate of
+    0 means no limit.
     """
 
     name: str
@@ -29,13 +30,13 @@
     burst: float = 0.0
 
     def has_quota(self) -> bool:
-        """Tell whether the team's requests are limited."""
+        """Return whether the requests of the team are limited."""
         return self.rate > 0.0
 
 
 @frozen(repr=False)
 class TeamKeys:
-    """A team with its API keys, which are left out of texts on it."""
+    """A team with its API keys, which are left out of its ``repr``."""
 
     team: Team
     keys: tuple[str, ...]
@@ -45,9 +46,9 @@
 class TeamDirectory:
     """Finds teams by their API keys.
 
-    Requests need keys where there is a list of teams, also while that is empty. It
-    holds digests under a secret of its own: how long a look-up takes then tells
-    nothing of how much of a key is right, and no dump of a node shows a key::
+    Keys are required once a list of teams is configured, even an empty one. The
+    directory stores keyed digests instead of keys: the duration of a look-up reveals
+    nothing about a key, and a memory dump of a node contains none::
 
         directory = TeamDirectory.build([TeamKeys(Team("press"), ("k-1", "k-2"))])
         directory.find(b"k-2").name  # "press"
@@ -62,7 +63,7 @@
 
     @classmethod
     def build(cls, entries: Iterable[TeamKeys]) -> TeamDirectory:
-        """Return a directory of teams whose names and keys are all different."""
+        """Return a directory of teams with distinct names and distinct keys."""
         directory = cls(is_required=True)
         for entry in entries:
             directory.teams[entry.team.name] = entry.team
@@ -72,7 +73,7 @@
         return directory
 
     def find(self, key: bytes) -> Team | None:
-        """Return the team that holds a key, ``None`` if none does."""
+        """Return the team of an API key, ``None`` if the key is unknown."""
         return self._by_digest.get(self._compute_digest(key))
 
     def _compute_digest(self, key: bytes) -> bytes:
--- a/eelgrassmount/teams/exchange.py
+++ b/eelgrassmount/teams/exchange.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other about the quotas of teams."""
+"""Exchanges quota messages between the quota clients and allocators of nodes."""
 
 from __future__ import annotations
 
@@ -30,25 +30,24 @@
     from eelgrassmount.teams.quota_allocator import QuotaEvent
     from eelgrassmount.topics.readers import LogReaders
 
-# a node tells the holders of its failure domain so often that it lends them its part
+# Interval at which a node reports to the allocators that it lends its share.
 LENDER_REPORT_INTERVAL_S = 0.5
-# the longest time to come back that a holder tells
 MAX_REPORTED_WAIT_S = 60.0
 
 
 def call_later(delay_s: float, action: Callable[[], None]) -> asyncio.Handle:
-    """Call an action after so many seconds, or in the next turn of the loop."""
+    """Call an action after a delay, or in the next turn of the event loop."""
     loop = asyncio.get_running_loop()
     return loop.call_later(delay_s, action) if delay_s else loop.call_soon(action)
 
 
 @define(eq=False)
 class QuotaExchange:
-    """Joins a node's own requests for quota with the holders, itself among them.
+    """Connects the quota client and the quota allocator of a node with those of others.
 
-    The readers of the log of each failure domain hold its part of the quotas, each team
-    at one of them. ``near`` holds those of the own failure domain and ``far`` those of
-    the others.
+    The readers of the log in each failure domain allocate its share of the quotas, each
+    team at one of them. ``local_allocators`` are those of the local failure domain,
+    ``remote_allocators`` those of each other one.
     """
 
     state: SharedState
@@ -66,7 +65,7 @@
     _teams_with_quota: list[Team] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Make the two sides."""
+        """Create the quota client and the quota allocator."""
         clock = self.state.clock
         self.client = QuotaClient(
             clock,
@@ -88,7 +87,7 @@
         )
 
     def step(self) -> None:
-        """Find out who holds the quotas, and lend this node's part to them."""
+        """Update the allocators, and report to them that this node lends its share."""
         if self.state.table.version != self._version:
             self._update_teams()
         if not self._teams_with_quota:
@@ -111,12 +110,12 @@
             self._report_to(name, self.local_allocators)
 
     def list_allocators(self, team_name: str) -> list[str]:
-        """Return the holders of a team, that of the own failure domain first."""
+        """Return the allocators of a team, that of the local failure domain first."""
         local = choose_allocator(team_name, self.local_allocators)
         return [*([local] if local else []), *self.list_remote_allocators(team_name)]
 
     def list_remote_allocators(self, team_name: str) -> list[str]:
-        """Return the holders of a team in other failure domains."""
+        """Return the allocators of a team in other failure domains."""
         found = [
             choose_allocator(team_name, names)
             for names in self.remote_allocators.values()
@@ -126,7 +125,7 @@
     def handle_frame(
         self, kind: FrameKind, struct: Any, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Handle a frame about quotas; ``send`` answers it."""
+        """Handle a quota frame; ``send`` sends the answer."""
         if kind is FrameKind.QUOTA_ASK:
             self._handle_request(struct, send)
         elif kind is FrameKind.QUOTA_GRANTS:
@@ -171,7 +170,7 @@
                     self._connect(name)
 
     def _connect(self, name: str) -> Member | None:
-        """Return another node if it can be sent a frame at once."""
+        """Return another node if its link is up; otherwise open the link."""
         member = self.state.members.by_name.get(name)
         if member is None or name == self.state.name:
             return None
@@ -201,7 +200,7 @@
             self.client.quotas[use.team_name].unreported += use.used
 
     def _handle_local_frame(self, kind: FrameKind, struct: Any) -> None:
-        """Take what this node as a holder tells itself."""
+        """Handle an answer of this node's own allocator."""
         self.handle_frame(kind, struct, self._handle_local_frame)
 
     def _send_client_request(
@@ -227,7 +226,7 @@
         for use in request.uses:
             team = self._find_team(use.team_name)
             if team is None:
-                # the asking node has another configuration, and asks elsewhere
+                # The requesting node has another configuration and tries other nodes.
                 continue
             if use.used:
                 self.allocator.record_usage(team, use.used)
--- a/eelgrassmount/teams/quota_allocator.py
+++ b/eelgrassmount/teams/quota_allocator.py
@@ -1,4 +1,4 @@
-"""A node's part in handing out the quotas of teams."""
+"""Allocates the quotas of teams to the nodes that request them."""
 
 from __future__ import annotations
 
@@ -22,22 +22,20 @@
     from eelgrassmount.policy.quotas import QuotaBounds
     from eelgrassmount.teams.directory import Team
 
-# a node that has not asked for so long lends its part to this holder no longer. It asks
-# twice within the time
+# A lender that is silent for longer is dropped; lenders report twice in this time.
 LENDER_TIMEOUT_S = 1.25
-# a node may take without asking for so long, unless it is told otherwise
+# Time for which a node may admit requests without a grant, unless revoked.
 UNGRANTED_PERIOD_S = 0.5
-# loans that have not come after so long are not waited for
 LOAN_TIMEOUT_S = 0.03
-# holders that had nothing to lend are asked again after so long, doubled each time
+# Delays after a failed attempt to borrow; they double with each attempt.
 MIN_BORROW_RETRY_DELAY_S = 0.1
 MAX_BORROW_RETRY_DELAY_S = 1.0
-# the rate of what is asked for is a mean over about so long
+# Smoothing window of the rate of requests.
 RATE_WINDOW_S = 1.0
 
 
 class QuotaEvent(StrEnum):
-    """What became of requests of a quota at a holder."""
+    """What an allocator did with requests of a quota; values label a metric."""
 
     GRANTED = "granted"
     REFUSED = "refused"
@@ -47,7 +45,7 @@
 
 @define(eq=False)
 class QuotaRequest:
-    """A question of one node for requests of a team."""
+    """A node's request for quota of a team; ``answer`` sends the reply."""
 
     node_name: str
     number: int
@@ -57,9 +55,11 @@
 
 @define
 class Grant:
-    """The answer to a question, or the word that a node must ask.
+    """The answer to a quota request, or a notice that the node needs grants again.
 
-    Another request may begin in ``wait_s``, and each further one ``gap_s`` later.
+    Of ``wanted`` requests, ``granted`` may start. The next one may start in ``wait_s``
+    and each further one ``interval_s`` later. If ``allows_ungranted``, the node may
+    admit requests without a grant for `UNGRANTED_PERIOD_S`.
     """
 
     team_name: str
@@ -72,7 +72,7 @@
 
 @define(eq=False)
 class PendingLoans:
-    """Requests that other holders were asked for, by number, while loans may come."""
+    """Requests for loans that are unanswered, by number, and the tokens ``loaned``."""
 
     open_numbers: set[int]
     loaned: float = 0.0
@@ -80,11 +80,12 @@
 
 @define(eq=False)
 class AllocatedQuota:
-    """What this node hands out of one team's quota.
+    """The share of a team's quota that this node allocates.
 
-    ``free_until_s`` holds the nodes that may take without asking, ``waiting`` the
-    questions that wait for loans. ``promised`` counts those that were told to come
-    back, and fades as the quota comes in.
+    ``ungranted_until_s`` maps nodes that may admit requests without a grant to the time
+    at which the permission ends. ``waiting`` holds quota requests that wait for loans.
+    ``deferred`` counts refused requests whose clients will probably retry; it decreases
+    at the rate of the bucket.
     """
 
     bucket: TokenBucket
@@ -98,7 +99,7 @@
     borrow_delay_s: float = MIN_BORROW_RETRY_DELAY_S
 
     def record_requests(self, count: int, now_s: float) -> None:
-        """Take up that so many requests came, and let the mean fade."""
+        """Add requests to the mean rate, and decay the rate and ``deferred``."""
         elapsed_s = max(0.0, now_s - self.updated_s)
         self.updated_s = now_s
         remaining_weight = max(0.0, 1.0 - elapsed_s / RATE_WINDOW_S)
@@ -110,15 +111,15 @@
 
 @define(eq=False)
 class QuotaAllocator:
-    """Hands out a part of each quota to the nodes that ask.
-
-    The part follows from the nodes that lend theirs. What it doesn't have it borrows
-    from the holders of other failure domains, which lower their own part before they
-    answer: whatever gets lost on the way, no request is handed out twice.
-    ``list_lenders`` returns the holders of the other failure domains for a team,
-    ``borrow`` asks one of them and returns whether it can be reached, ``tell_node``
-    tells a node that it must ask, ``call_later`` is a timer, and ``count`` hears of
-    requests that were granted, refused, borrowed and lent.
+    """Allocates a share of each quota to the nodes that request it.
+
+    The share follows from the nodes that lend theirs. Missing tokens are borrowed from
+    the allocators of other failure domains, which charge a loan to their own share
+    before they answer. A lost message can therefore never grant a request twice.
+    ``list_remote_allocators`` returns a team's allocators in other failure domains.
+    ``send_borrow`` requests a loan from one of them and returns whether it is
+    reachable. ``send_grant`` notifies a node that it needs grants again. ``count``
+    receives numbers of requests that were granted, refused, borrowed and lent.
     """
 
     name: str
@@ -139,7 +140,7 @@
     _last_inputs: object = None
 
     def record_lender(self, node_name: str, allocators: tuple[str, ...]) -> None:
-        """Take up to which holders a node lends its part."""
+        """Record to which allocators a node lends its share."""
         now_s = self.clock()
         known = self.allocators_by_lender.get(node_name)
         if known is None or known[0] != allocators:
@@ -149,9 +150,9 @@
         self.allocators_by_lender[node_name] = (allocators, now_s + LENDER_TIMEOUT_S)
 
     def step(self, teams: list[Team]) -> None:
-        """Forget nodes that have not asked for long, and hold what others lend.
+        """Expire silent lenders, and create the quotas that other nodes lend.
 
-        A quota is held before anybody asks for it, so that it is there by then.
+        A quota is created before the first request for it, so that its bucket can fill.
         """
         now_s = self.clock()
         for name, (allocators, until_s) in list(self.allocators_by_lender.items()):
@@ -168,19 +169,19 @@
                 self._get_quota(team)
 
     def keep_teams(self, names: set[str]) -> None:
-        """Forget the quotas of all other teams."""
+        """Delete the quotas of all other teams."""
         self.quotas = {name: one for name, one in self.quotas.items() if name in names}
         self._sizes = {name: one for name, one in self._sizes.items() if name in names}
 
     def record_usage(self, team: Team, used: int) -> None:
-        """Take up what a node let begin without asking, or gives back."""
+        """Charge requests that a node admitted without a grant, or returned."""
         quota = self._get_quota(team)
         quota.record_requests(used, self.clock())
         quota.bucket.charge(used, self.clock())
         self._revoke_if_low(team.name, quota)
 
     def request(self, team: Team, request: QuotaRequest) -> None:
-        """Answer a question, now or once other holders have answered."""
+        """Answer a quota request, now or once other allocators have answered."""
         quota = self._get_quota(team)
         now_s = self.clock()
         quota.record_requests(request.wanted, now_s)
@@ -194,7 +195,7 @@
             self._answer(team, quota, request, now_s)
 
     def lend(self, team: Team, wanted: float) -> float:
-        """Return the requests that another holder may have, which are gone here."""
+        """Charge a loan for another allocator, and return its size in tokens."""
         quota = self._get_quota(team)
         now_s = self.clock()
         quota.record_requests(0, now_s)
@@ -208,7 +209,7 @@
         return loan
 
     def handle_loan(self, number: int, amount: float, team: Team | None) -> None:
-        """Take up a loan, once; one that comes too late is lost."""
+        """Add a loan to its quota once; a loan that arrives late is dropped."""
         team_name = self._teams_by_loan.pop(number, None)
         quota = self.quotas.get(team_name or "")
         if team is None or quota is None or quota.pending_loans is None:
@@ -222,7 +223,7 @@
             self._finish_borrowing(team, quota)
 
     def find_loan_team(self, number: int) -> str | None:
-        """Return the team that a loan is for, ``None`` if nothing is waited for."""
+        """Return the team of a pending loan, ``None`` if none is pending."""
         return self._teams_by_loan.get(number)
 
     def _get_quota(self, team: Team) -> AllocatedQuota:
@@ -306,7 +307,7 @@
             grant.wait_s = quota.bucket.compute_wait_s(quota.deferred, now_s)
             grant.interval_s = quota.bucket.compute_interval_s()
             deferred = quota.deferred + request.wanted - grant.granted
-            # who is told to come back later than this mostly doesn't
+            # Clients with a later retry time mostly do not come back.
             max_deferred = quota.bucket.rate * self.bounds.window_s
             quota.deferred = min(deferred, max_deferred)
         grant.allows_ungranted = self._may_admit_without_grant(
@@ -329,7 +330,7 @@
         return True
 
     def _revoke_if_low(self, team_name: str, quota: AllocatedQuota) -> None:
-        """Let all nodes ask again once little is left."""
+        """Make all nodes request grants again once the bucket is low."""
         if not quota.ungranted_until_s or not quota.bucket.requires_grants():
             return
         nodes = list(quota.ungranted_until_s)
--- a/eelgrassmount/teams/quota_client.py
+++ b/eelgrassmount/teams/quota_client.py
@@ -1,4 +1,4 @@
-"""A node's requests for quota, on behalf of the clients that come to it."""
+"""Requests quota for the requests that a node's clients send."""
 
 from __future__ import annotations
 
@@ -17,29 +17,28 @@
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.quota_allocator import Grant
 
-# a holder that has not answered after so long is left, and another asked
+# Another allocator is tried after this time without an answer.
 ANSWER_TIMEOUT_S = 0.06
-# holders that are asked for one request
 MAX_ALLOCATORS_PER_REQUEST = 2
-# requests that were granted and not used go back after so long
+# Unused grants are returned after this time.
 GRANT_LIFETIME_S = 0.5
-# requests that are asked for ahead, as the time for which they are likely to last
+# Grants are requested ahead for the requests expected in this time.
 PREFETCH_PERIOD_S = 0.1
-# what was begun without asking is told after so long
+# Usage without a grant is collected for this time before it is reported.
 USAGE_REPORT_DELAY_S = 0.01
-# a node that no holder answers lets some requests begin within this time after a holder
-# has said that most of a quota is left: as many as usually come in the second time
+# Within the first period after an allocator has allowed requests without a grant, a
+# node that gets no answer admits the usual number of requests of the second period.
 FALLBACK_PERIOD_S = 1.0
 FALLBACK_QUOTA_S = 0.3
-# all others are told to come back after so long
+# Retry time of requests that are refused because no allocator answered.
 UNJUDGED_WAIT_S = 0.3
-# the rate of requests is a mean over about so long
+# Smoothing window of the rate of requests.
 RATE_WINDOW_S = 0.5
 
 
 @frozen
 class QuotaVerdict:
-    """Whether a request may begin, or why not and when to come back."""
+    """Whether a request may start; a refusal has a reason and a time to retry."""
 
     refusal: Reason | None = None
     wait_s: float = 0.0
@@ -59,12 +58,13 @@
 
 @define(eq=False)
 class TeamQuota:
-    """What a node has of one team's quota, and asks for.
+    """The state of one team's quota at this node.
 
-    ``in_hand`` requests were granted and may begin until ``keep_until_s``. Until
-    ``free_until_s`` the node needs not ask. If no holder answers, ``trusted`` requests
-    may begin until ``trust_until_s``. ``used`` counts what was not told yet. The team
-    ``is_short`` while less is granted than asked for.
+    ``unused_grants`` requests may start until ``grants_expire_s``. Until
+    ``ungranted_until_s`` requests may start without a grant. If no allocator answers,
+    ``fallback_requests`` requests may start until ``fallback_until_s``. ``unreported``
+    counts used quota that no allocator knows of; it is negative if quota is to be
+    returned. ``is_exhausted`` is set while less is granted than requested.
     """
 
     unused_grants: int = 0
@@ -81,7 +81,7 @@
     is_report_due: bool = False
 
     def record_request(self, now_s: float) -> None:
-        """Take up a request into the mean rate."""
+        """Add a request to the mean rate."""
         remaining_weight = max(0.0, 1.0 - (now_s - self.updated_s) / RATE_WINDOW_S)
         self.rate = remaining_weight * self.rate + 1.0 / RATE_WINDOW_S
         self.updated_s = now_s
@@ -89,7 +89,7 @@
 
 @define(eq=False)
 class OpenRequest:
-    """What was asked of a holder: the requests that wait for its answer."""
+    """A quota request without an answer, and the requests that wait for it."""
 
     team: Team
     allocator: str
@@ -98,12 +98,13 @@
 
 @define(eq=False)
 class QuotaClient:
-    """Asks the holder of a team's quota for each request of its clients.
+    """Requests quota from the allocator of a team for each request of its clients.
 
-    Where most of a quota is left, requests begin at once and the holder is told. One
-    that doesn't answer is left for the holder of another failure domain.
-    ``list_holders`` returns the holders of a team, the nearest one first, and ``ask``
-    sends a question to one of them and returns whether it can be reached.
+    While most of a quota is available, requests start at once and their number is
+    reported to the allocator. An allocator of another failure domain is tried if one
+    does not answer. ``list_allocators`` returns the allocators of a team, the
+    nearest one first. ``send_request`` sends a quota request (allocator, number, team,
+    used and wanted requests) and returns whether the allocator is reachable.
     """
 
     clock: Callable[[], float]
@@ -120,7 +121,7 @@
     ) -> WaitingRequest:
         """Decide on one request of a team, now or within some milliseconds.
 
-        A request whose client leaves meanwhile is ended by ``cancel``.
+        If its client disconnects before, `cancel` drops the request.
         """
         now_s = self.clock()
         quota = self.quotas.setdefault(team.name, TeamQuota())
@@ -135,22 +136,22 @@
         else:
             quota.waiting.append(waiting)
             if not quota.is_request_due:
-                # those of one turn of the loop are asked for together
+                # Requests of one turn of the event loop share a quota request.
                 quota.is_request_due = True
                 self.call_later(0.0, lambda: self._request_grants(team, quota))
         return waiting
 
     def return_quota(self, team: Team) -> None:
-        """Take a request back that may begin and does not run."""
+        """Return the quota of an admitted request that does not run."""
         quota = self.quotas.setdefault(team.name, TeamQuota())
         self._record_usage(team, quota, -1)
 
     def cancel(self, waiting: WaitingRequest) -> None:
-        """End a request that nobody waits for."""
+        """Drop a waiting request whose client has disconnected."""
         waiting.finished = True
 
     def handle_grant(self, number: int, grant: Grant) -> None:
-        """Take up the answer to a question, or the word that the node must ask."""
+        """Apply a grant, or a notice that this node needs grants again."""
         quota = self.quotas.get(grant.team_name)
         if quota is None:
             return
@@ -170,7 +171,7 @@
             self._distribute_grant(quota, request, grant, now_s)
 
     def step(self) -> None:
-        """Give back what was granted and not used."""
+        """Return grants that expired unused."""
         now_s = self.clock()
         for quota in self.quotas.values():
             if quota.unused_grants and now_s >= quota.grants_expire_s:
@@ -178,7 +179,7 @@
                 quota.unused_grants = 0
 
     def drain_unreported(self, name: str) -> int:
-        """Return what was begun without asking since it was last told."""
+        """Return and reset the used quota that was not reported."""
         quota = self.quotas.get(name)
         if quota is None:
             return 0
@@ -186,7 +187,7 @@
         return used
 
     def keep_teams(self, names: set[str]) -> None:
-        """Forget all other teams, unless their requests wait."""
+        """Delete the state of all other teams, unless requests of theirs wait."""
         self.quotas = {
             name: one
             for name, one in self.quotas.items()
@@ -212,7 +213,7 @@
             quota.unreported += used
 
     def _request_grants(self, team: Team, quota: TeamQuota) -> None:
-        """Ask for all requests that wait."""
+        """Request grants for all waiting requests."""
         quota.is_request_due = False
         requests = [one for one in quota.waiting if not one.finished]
         quota.waiting.clear()
@@ -237,7 +238,7 @@
                 one.tried_allocators.append(allocator)
             self._last_number += 1
             number = self._last_number
-            # before the question goes out, as a holder may answer at once
+            # Stored before sending, since the local allocator answers at once.
             self._open_requests[number] = OpenRequest(team, allocator, requests)
             used = self.drain_unreported(team.name)
             if self.send_request(
@@ -252,7 +253,7 @@
         self._decide_without_allocator(team, quota, requests)
 
     def _try_next_allocator(self, number: int) -> None:
-        """Ask another holder for what one has not answered."""
+        """Send an unanswered quota request to another allocator."""
         request = self._open_requests.pop(number, None)
         if request is None:
             return
--- a/eelgrassmount/topics/__init__.py
+++ b/eelgrassmount/topics/__init__.py
@@ -1,1 +1,1 @@
-"""Topics of the platform's log: read by a few nodes and passed on to all."""
+"""Topics of the platform's log, read by a few nodes and relayed to all others."""
--- a/eelgrassmount/topics/follower.py
+++ b/eelgrassmount/topics/follower.py
@@ -1,4 +1,4 @@
-"""Following a topic of the log."""
+"""Follows a topic of the log."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     from eelgrassmount.topics.store import Batch, Snapshot, Store, StoredRecord
 
-# a read waits this long for news; connections that fell silent are found by the
-# system's probes, so that a long wait costs nothing but saves calls
+# Time for which a read waits for new records; few reads then suffice. The system
+# probes idle connections, so broken ones are found meanwhile.
 READ_WAIT_S = 25.0
-# records that come in quick succession are read together
+# Delay after a batch, so that records in quick succession are read together.
 BATCH_DELAY_S = 0.2
 BASE_RETRY_DELAY_S = 0.2
 MAX_RETRY_DELAY_S = 1.5
@@ -28,13 +28,14 @@
 
 @define(eq=False)
 class TopicFollower:
-    """Reads the newest record of each key and then what is appended.
-
-    It reads while it is wanted. ``take`` gets the records of a batch and ``on_read``
-    then the same with the offset behind them; ``on_unreadable`` is told how many were
-    left out of it. A log that can't be reached is asked again for as long as it takes,
-    with waits of up to ``retry_limit_s``. Its first answer is not waited for, since it
-    may tell that the log has come back from an older copy.
+    """Reads the newest record of each key of a topic, then the records appended to it.
+
+    It reads only while reading is requested with `set_wanted`. ``apply`` receives the
+    records of a batch; ``on_read`` then receives the same records and the offset behind
+    them. ``on_unreadable`` receives the number of records that could not be read.
+    Failed reads are retried without end, with delays of up to ``retry_limit_s``. The
+    first read after a failure does not wait for new records, as its answer may reveal
+    that the log was restored from an older copy.
     """
 
     store: Store
@@ -54,18 +55,19 @@
     _skip_wait: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the waits between failures."""
+        """Create the backoff between failed reads."""
         self._backoff = Backoff(self.rng, BASE_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
 
     def is_current(self) -> bool:
-        """Tell whether the topic is read, as far as is known.
+        """Return whether the applied records are current, as far as is known.
 
-        It is while records that were deleted are read anew, since the log answers.
+        They are current while the newest records are read again after a deletion, since
+        the log answers then.
         """
         return self._is_wanted and self.reachable and self._has_read
 
     def set_wanted(self, wanted: bool) -> None:
-        """Begin to read, or stop; a read that waits for records is given up."""
+        """Start or stop reading; stopping cancels a read that waits for records."""
         if wanted == self._is_wanted:
             return
         self._is_wanted = wanted
@@ -75,15 +77,15 @@
             self._scope.cancel()
 
     def skip_to(self, offset: int) -> None:
-        """Go on from an offset, as all records before it are known from elsewhere.
+        """Continue from an offset if all records before it are known from elsewhere.
 
-        A read that waits already does so at an earlier one, and its records come twice.
+        A read that already waits uses its earlier offset, so records may repeat.
         """
         if self.next_offset is None or offset > self.next_offset:
             self.next_offset = offset
 
     def restart(self) -> None:
-        """Read the newest records again, as offsets mean something else now."""
+        """Read the newest records again after offsets have become invalid."""
         self.next_offset = None
         if self._scope is not None:
             self._scope.cancel()
@@ -136,9 +138,9 @@
         return None
 
     def _apply_batch(self, read: Snapshot | Batch) -> None:
-        """Hand records on together, or one by one if one of them can't be taken.
+        """Apply records together, or one by one if one of them raises an exception.
 
-        A record that nobody foresaw must not end the follower, and the node with it.
+        An unexpected record must not stop the follower, and with it the node.
         """
         if read.unreadable:
             self.on_unreadable(self.topic, read.unreadable)
--- a/eelgrassmount/topics/learned.py
+++ b/eelgrassmount/topics/learned.py
@@ -1,4 +1,4 @@
-"""What all nodes have learned, kept on the log for nodes that start."""
+"""Stores learned calls on the log for nodes that start."""
 
 from __future__ import annotations
 
@@ -15,25 +15,24 @@
 
     from eelgrassmount.relay.shared_state import SharedState
 
-# what is kept is looked at so often
 RECORD_CHECK_INTERVAL_S = 1.0
-# calls that were learned have to stay the same for so long before they are kept
+# Learned calls are written once they have not changed for this time.
 SETTLING_TIME_S = 5.0
-# a count that differs by less than this part is the same
+# Counts that differ by no more than this share are treated as equal.
 COUNT_TOLERANCE_SHARE = 0.3
 
-# routes that records may add; an installation has some hundred
+# Bounds the routes that records may add.
 MAX_ROUTES = 10_000
 
 
 @define(eq=False)
 class LearnedCalls:
-    """Decides when the calls of routes are written, and takes up what was.
+    """Decides when to write the learned calls of routes, and applies written ones.
 
-    After a restart of everything, no node has runs to learn from, and nobody to ask:
-    requests would be admitted and routed as if none led to others. Any of the nodes
-    that ``count_writers`` counts may write, by a chance that makes it one a second
-    among all.
+    After a restart of the whole deployment no node has learned calls: requests would be
+    admitted and routed as if no route made downstream calls. Each of the nodes counted
+    by ``count_writers`` writes with a probability that gives one record per second
+    among all of them.
     """
 
     state: SharedState
@@ -43,9 +42,9 @@
     _unchanged_since_s: float = 0.0
 
     def apply(self, value: bytes) -> None:
-        """Take up a record; what was learned since goes first.
+        """Add the calls of routes that this node has not learned itself.
 
-        Raises `BadFrameError` for one that can't be used, which changes nothing.
+        Raises `BadFrameError` for an invalid record, which changes nothing.
         """
         record = decode_struct(ttypes.LearnedRecord, value)
         self._stored = read_rows(record.calls)
@@ -57,11 +56,11 @@
                 graph.set_calls(name, calls)
 
     def forget_stored(self) -> None:
-        """Suppose that nothing is kept, until a record is found."""
+        """Assume that no record is stored, until one is read."""
         self._stored = {}
 
     def build_due_record(self) -> bytes | None:
-        """Return the record to write now, ``None`` if there is nothing to say."""
+        """Return the record to write now, ``None`` if none is due."""
         state = self.state
         now_s = state.clock()
         calls_by_route = {
@@ -85,7 +84,7 @@
 def is_similar(
     calls_by_route: dict[str, dict[str, float]], others: dict[str, dict[str, float]]
 ) -> bool:
-    """Tell whether the same routes make about as many of the same calls."""
+    """Return whether the same routes make about as many of the same calls."""
     if calls_by_route.keys() != others.keys():
         return False
     for name, calls in calls_by_route.items():
--- a/eelgrassmount/topics/local_record.py
+++ b/eelgrassmount/topics/local_record.py
@@ -1,4 +1,4 @@
-"""The record of a node itself, which has to stand on the log."""
+"""Restores the record of the local node if it disappears from the log."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
     from eelgrassmount.topics.records import RecordTable
     from eelgrassmount.topics.store import StoredRecord
 
-# nodes that write again in one second when the records of all are gone: all together
-# stay below what the log takes
+# Total rate at which all nodes write missing records; the log rejects a higher one.
 MAX_WRITES_PER_S = 200.0
 MIN_SPREAD_S = 1.0
-# a record that could not be written is tried again after so long
+# A failed write is retried after this time.
 RETRY_DELAY_S = 2.0
 
 
@@ -34,10 +33,10 @@
 
 @define(eq=False)
 class LocalRecord:
-    """Finds out when the record of this node has to be written again.
+    """Determines when the record of the local node has to be written again.
 
-    It is missing once the log has come back from a copy that was made before it was
-    written, or when somebody else has dropped it.
+    The record is missing if the log was restored from a copy made before it was
+    written, or if another program has deleted or replaced it.
     """
 
     record: StoredRecord
@@ -48,7 +47,7 @@
     _due_s: float = math.inf
 
     def is_due(self) -> bool:
-        """Tell whether to write the record now."""
+        """Return whether to write the record now."""
         if (
             not self.record_table.next_offset
             or self.record_table.find(self.record.key) == self.record
--- a/eelgrassmount/topics/log_epoch.py
+++ b/eelgrassmount/topics/log_epoch.py
@@ -1,4 +1,4 @@
-"""Which copy of the log an answer or an offset belongs to."""
+"""Tracks the epoch of the log, which tells copies of the log apart."""
 
 from __future__ import annotations
 
@@ -10,18 +10,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# stands for an era that is not known
 UNKNOWN_EPOCH = -1
 
 
 @define(eq=False)
 class EpochTracker:
-    """Knows the era of the log: how often it has come back from an older copy.
+    """Tracks the epoch of the log: the number of restorations from an older copy.
 
-    Records that were written since that copy was made are gone then, and offsets are
-    given out again, so that an offset means something only with its era. ``on_rise``
-    is called when a later one is found, in whatever answer and by whatever node. Eras
-    that are missing or fall change nothing: they come from somebody else's programs.
+    A restoration drops the records written after the copy was made and assigns their
+    offsets again, so an offset is valid only within its epoch. ``on_advance`` callbacks
+    run when an answer or a peer reveals a later epoch. Missing or lower epochs change
+    nothing, since they come from other programs that write to the log.
     """
 
     current: int = UNKNOWN_EPOCH
@@ -29,9 +28,9 @@
     _warned_causes: set[str] = field(factory=set)
 
     def check_answer(self, epoch: int, request_epoch: int) -> bool:
-        """Take up the era of an answer; tell whether the answer can be used.
+        """Apply the epoch of an answer, and return whether the answer is valid.
 
-        ``asked_in`` is the era that was known when the question went out.
+        ``request_epoch`` is the epoch that was known when the request was sent.
         """
         if epoch == UNKNOWN_EPOCH:
             if self.current != UNKNOWN_EPOCH:
@@ -40,16 +39,16 @@
         if epoch > self.current:
             return not self.advance_to(epoch)
         if epoch < self.current and request_epoch != self.current:
-            # the answer was on its way as the log came back
+            # The log was restored while the answer was on its way.
             return False
         if epoch < self.current:
             self._warn_once("fallen", epoch)
         return True
 
     def advance_to(self, epoch: int) -> bool:
-        """Take up the era that another node knows; tell whether it rose for this one.
+        """Adopt a later epoch from an answer or a peer, and return whether it advanced.
 
-        The first one that is known is no rise: nothing was read in one before.
+        The first known epoch is no advance, as no offsets of an earlier one are in use.
         """
         if epoch <= self.current:
             return False
--- a/eelgrassmount/topics/ranking.py
+++ b/eelgrassmount/topics/ranking.py
@@ -1,4 +1,4 @@
-"""The order in which the nodes of a failure domain become readers of the log."""
+"""Order in which the nodes of a failure domain become readers of the log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @define(eq=False)
 class ReaderRanking:
-    """Ranks the nodes of each failure domain by their records, once for each change."""
+    """Ranks the nodes of each failure domain by the offsets of their records."""
 
     members: MemberTable
     record_table: RecordTable
@@ -25,7 +25,7 @@
     _ranked_state: tuple[int, int, int] = (-1, -1, -1)
 
     def list_domains(self) -> dict[str, list[str]]:
-        """Return the nodes of each failure domain in their order."""
+        """Return the nodes of each failure domain in order of rank."""
         state = (
             self.members.changes,
             self.record_table.next_offset,
@@ -41,17 +41,17 @@
         return self._ranked
 
     def list_preferred(self, failure_domain: str) -> list[str]:
-        """Return the nodes that would be readers if all could be reached."""
+        """Return the readers of a failure domain if all of its nodes are reachable."""
         ranked = self.list_domains().get(failure_domain, [])
         return ranked[: count_readers(len(ranked))]
 
     def list_readers(
         self, failure_domain: str, is_usable: Callable[[str], bool]
     ) -> list[str]:
-        """Return the readers of a failure domain, of the nodes that can be used."""
+        """Return the readers of a failure domain among its usable nodes."""
         ranked = self.list_domains().get(failure_domain, [])
         return choose_readers(ranked, is_usable, count_readers(len(ranked)))
 
     def count_readers(self) -> int:
-        """Return how many nodes read the log in all failure domains."""
+        """Return the number of readers in all failure domains."""
         return sum(count_readers(len(one)) for one in self.list_domains().values())
--- a/eelgrassmount/topics/readers.py
+++ b/eelgrassmount/topics/readers.py
@@ -1,8 +1,8 @@
-"""How the news of the log reach a node: by its own reads, or from a node that reads.
+"""Decides which nodes read the log, and relays its records to the others.
 
-Of each failure domain, a few nodes read the log and pass on what is new over the links;
-the others listen to two of them. Who reads follows from what each node knows: the first
-ones in the order of the records that it can reach.
+In each failure domain a few nodes read the log and relay new records over their links;
+the other nodes subscribe to two of them. The readers are the first reachable nodes in
+the order of their records.
 """
 
 from __future__ import annotations
@@ -36,43 +36,42 @@
     from eelgrassmount.relay.shared_state import SharedState
     from eelgrassmount.topics.follower import TopicFollower
 
-# a node asks its readers so often, and one that has not answered for as long is
-# replaced. Together with the first read of the one that takes its place, that is less
-# than a configuration may take to be in force
+# Interval of subscribe requests. A reader that does not answer within the timeout is
+# replaced; the timeout and the first read of the replacement must fit into the time
+# allowed to apply a configuration.
 SUBSCRIBE_INTERVAL_S = 0.75
 SILENCE_TIMEOUT_S = 0.75
-# counts go along with each question while a service is short or calls are not known,
-# and else so seldom, since they are most of what is said
+# Interval of counts while no service is overloaded and calls are learned. Otherwise
+# each request includes counts, which are the largest part of it.
 COUNTS_INTERVAL_S = 3.0
-# while requests come and no calls are known, it asks so often
+# Interval of requests while requests of clients arrive and no calls are learned.
 LEARNING_INTERVAL_S = 0.25
-# a reader that was silent is asked again after so long
+# A silent reader is tried again after this time.
 SILENT_READER_RETRY_S = 3.0
-# without a word of any reader, a node reads by itself: soon after its start, and else
-# once both readers that it listened to had time to be replaced
+# Time without news of any reader after which a node reads by itself, at its start and
+# later. The second one leaves time to replace both readers.
 STARTUP_WAIT_S = 0.4
 NO_READER_TIMEOUT_S = 1.2
-# where readers live but can't read the log, it is mostly away for all: a node tries by
-# itself only after this time, drawn anew each time, and then seldom, so that an outage
-# doesn't make every node call
+# If readers answer but cannot read the log, it is probably unreachable for all nodes.
+# Nodes then try after random times and retry rarely, to limit calls in an outage.
 OUTAGE_WAIT_RANGE_S = (3.0, 6.0)
 MAX_OUTAGE_RETRY_DELAY_S = 8.0
 MAX_READER_RETRY_DELAY_S = 1.5
-# a node that others listen to, or that was a reader, reads on for so long
+# Time for which a node reads on without subscribers or when it is no longer a reader.
 MIN_READING_TIME_S = 3.0
-# a record that is gone is waited for so much longer than the nodes take to write it
+# Grace time for records, after the time in which all nodes rewrite theirs.
 CONFIRMATION_TIME_S = 5.0
-# after a longer pause of this node itself, the others had no chance to be heard
+# A longer pause of this node itself is not counted as silence of other nodes.
 MAX_STEP_PAUSE_S = 0.7
 
 
 @define(eq=False)
 class LogReaders:
-    """Decides whether this node reads the log, and passes on what is new.
+    """Decides whether this node reads the log, and relays new records.
 
-    A node reads while it is among the readers of its failure domain as it knows them,
-    while another listens to it, or when it hears from no reader. ``make_tally`` counts
-    for this node alone; the sum over all nodes is in ``beliefs.cluster_counts``.
+    A node reads while it is a reader of its failure domain, while another node
+    subscribes to it, or while no reader answers. ``make_tally`` returns the counts of
+    this node; ``state.cluster_counts`` holds the sum over all nodes.
     """
 
     state: SharedState
@@ -99,14 +98,14 @@
     _confirmation_due_s: float = math.inf
 
     def __attrs_post_init__(self) -> None:
-        """Rank by the records that the book holds."""
+        """Rank by the record table, and reset it on a new log epoch."""
         self.ranking = ReaderRanking(self.state.members, self.record_table)
         self.epoch_tracker.on_advance.append(self.reset)
 
     def reset(self) -> None:
-        """Read all records again, since the log has come back from an older copy.
+        """Read all records again after the log was restored from an older copy.
 
-        The other nodes are told at once. Nodes whose records are gone have some time to
+        Other nodes are notified at once. Nodes whose records are missing get time to
         write them again.
         """
         self.record_table.reset()
@@ -121,7 +120,7 @@
         self.publish()
 
     def _forget_unconfirmed(self, now_s: float) -> None:
-        """Forget the nodes whose records are gone for good."""
+        """Remove nodes that have not written their records again."""
         if now_s < self._confirmation_due_s or not self.record_table.next_offset:
             return
         self._confirmation_due_s = math.inf
@@ -138,7 +137,7 @@
         logger.info("unconfirmed records forgotten", gone=len(missing))
 
     def start(self) -> None:
-        """Begin, with the other nodes known as far as the log or links tell of them."""
+        """Start, with the nodes known so far from the log or from links."""
         if self.started:
             return
         self.started = True
@@ -149,7 +148,7 @@
         self.step()
 
     def step(self) -> None:
-        """Work out who reads, and ask those that this node listens to."""
+        """Choose the readers, and subscribe to those of this node."""
         if not self.started:
             return
         now_s = self.state.clock()
@@ -196,7 +195,7 @@
 
     def list_readers(self, failure_domain: str, now_s: float) -> list[str]:
         """Return the readers of a failure domain as this node sees them."""
-        # the first ones are tried anew even while they can't be used
+        # Preferred readers are reconnected even while others replace them.
         for name in self.ranking.list_preferred(failure_domain):
             self._connect(name, now_s)
         return self.ranking.list_readers(failure_domain, self._is_usable)
@@ -212,10 +211,10 @@
         )
 
     def _subscribes_to_remote(self, readers: list[str]) -> bool:
-        """Tell whether this node listens to other failure domains for its own.
+        """Return whether this node subscribes to readers of other failure domains.
 
-        One reader is enough where all nodes listen to it: with two, bytes between
-        failure domains were twice as many.
+        One reader is enough if all nodes subscribe to it; this halves the traffic
+        between failure domains.
         """
         if len(readers) <= SUBSCRIBED_READERS:
             return self.is_reader and readers[0] == self.state.name
@@ -275,10 +274,10 @@
         member.link.send(FrameKind.SUBSCRIBE, request)
 
     def _compute_subscribe_interval_s(self) -> float:
-        """Return the seconds between two questions.
+        """Return the seconds between two subscribe requests to a reader.
 
-        While requests come and no calls are known, counts are worth more than bytes: in
-        a surge, all that is begun meanwhile may be lost.
+        While requests arrive and no calls are learned, counts are exchanged more often:
+        requests admitted without them may be lost in a surge.
         """
         state = self.state
         is_learning = state.request_counts and not state.graph.has_learned_calls()
@@ -299,7 +298,7 @@
         )
 
     def handle_connected(self, member: Member) -> None:
-        """Ask a reader at once whose link has come up."""
+        """Subscribe at once to a reader whose link has come up."""
         subscription = self.subscriptions.get(member.name)
         if subscription is not None and member.is_connected():
             self._send_subscribe(member, subscription, self.state.clock())
@@ -332,36 +331,36 @@
         )
 
     def can_read_log(self) -> bool:
-        """Tell whether this node reads the log itself, and can."""
+        """Return whether this node reads the log itself, successfully."""
         return bool(self.followers) and all(one.is_current() for one in self.followers)
 
     def has_fresh_reader(self) -> bool:
-        """Tell whether this node hears from one that reads the log."""
+        """Return whether a reader that reads the log has answered recently."""
         now_s = self.state.clock()
         return any(
             one.reads and one.is_fresh(now_s) for one in self.subscriptions.values()
         )
 
     def is_current(self) -> bool:
-        """Tell whether this node knows what stands on the log now."""
+        """Return whether this node knows the current records of the log."""
         return self.can_read_log() or self.has_fresh_reader()
 
     def record_read(self, records: tuple[StoredRecord, ...], next_offset: int) -> None:
-        """Take up records that this node has read, and pass them on."""
+        """Apply records that this node has read, and relay them."""
         before = self.record_table.next_offset
         self.record_table.apply(records, next_offset)
         if next_offset > before:
             self.publish()
 
     def publish(self) -> None:
-        """Tell all that listen to this node what is new, or which version it has."""
+        """Send new records, or the current version, to all subscribers."""
         for subscriber in self.subscribers.values():
             self._send_news(subscriber)
 
     def handle_subscribe(
         self, struct: ttypes.RelaySubscribe, send: Callable[[FrameKind, Any], None]
     ) -> None:
-        """Take up that another node listens to this one, and answer it."""
+        """Record a subscription of another node, and answer it."""
         self.epoch_tracker.advance_to(struct.era)
         known = self.subscribers.get(struct.node_name)
         tally = read_tally(struct.tally)
@@ -371,7 +370,7 @@
             send,
             struct.failure_domain == self.state.failure_domain,
             self.state.clock(),
-            # an offset of another era says nothing of what is known
+            # An offset of another epoch is meaningless.
             struct.next_offset if struct.era == self.epoch_tracker.current else 0,
             tally,
         )
@@ -405,7 +404,10 @@
         subscriber.send(FrameKind.NEWS, news)
 
     def handle_news(self, news: ttypes.RelayNews) -> None:
-        """Take up what a reader tells; its version is asked for elsewhere."""
+        """Apply the records and counts sent by a reader.
+
+        A later configuration version is requested elsewhere.
+        """
         now_s = self.state.clock()
         self.epoch_tracker.advance_to(news.era)
         subscription = self.subscriptions.get(news.node_name)
@@ -440,18 +442,18 @@
             self._news_received_s = now_s
 
     def _sum_local_counts(self) -> Tally:
-        """Return the counts of this failure domain, as this node hears of them."""
+        """Return the counts of this failure domain from its subscribers."""
         received = [one.tally for one in self.subscribers.values() if one.is_local]
         tally = add_tallies([self.make_tally(), *received])
         domain = self.state.failure_domain
         nodes = len(self.ranking.list_domains().get(domain, []))
         if len(self.ranking.list_preferred(domain)) > SUBSCRIBED_READERS:
-            # with more readers than a node listens to, each hears only of a part
+            # With more readers than subscriptions per node, a reader gets only a part.
             tally.scale(nodes / max(1, tally.nodes))
         return tally
 
     def _update_cluster_counts(self, now_s: float) -> None:
-        """Add up what this node hears of, and choose the sum that covers most nodes."""
+        """Add up the received counts, and choose the sum that covers most nodes."""
         members = self.state.members.by_name
         local, remote = [], []
         for name, one in self.subscriptions.items():
--- a/eelgrassmount/topics/records.py
+++ b/eelgrassmount/topics/records.py
@@ -1,4 +1,4 @@
-"""The newest record of each key of the nodes' topic, kept to be passed on."""
+"""Newest record of each key of the nodes' topic, kept for other nodes."""
 
 from __future__ import annotations
 
@@ -12,22 +12,21 @@
 
     from eelgrassmount.topics.store import StoredRecord
 
-# keys that are kept at most: as many as nodes that are known, and some of other kinds
+# Bounds memory: a record for each node, and some of other kinds.
 MAX_KEYS = 10_100
 
 
 @define(eq=False)
 class RecordTable:
-    """What is known of a topic up to an offset.
+    """The records of a topic up to an offset.
 
-    Another node that knows the topic up to an earlier offset gets from here what came
-    since. A key that was dropped is kept with an empty value, so that it is dropped
-    there too::
+    A node that knows the topic up to an earlier offset receives the later records from
+    here. Deleted keys are kept with an empty value, so that other nodes delete them::
 
-        book.take(records, 7)
-        book.list_since(5)
+        table.apply(records, 7)
+        table.list_since(5)
 
-    ``begun`` counts how often it was begun anew, with all offsets given out again.
+    ``resets`` counts the restorations of the log, which reassign all offsets.
     """
 
     next_offset: int = 0
@@ -36,14 +35,14 @@
     _previous_offsets: dict[str, int] = field(factory=dict)
 
     def apply(self, records: Iterable[StoredRecord], next_offset: int) -> None:
-        """Take up records that end before an offset, in their order."""
+        """Add records in order; ``next_offset`` is the offset behind them."""
         for record in records:
             if record.key in self._newest or len(self._newest) < MAX_KEYS:
                 self._newest[record.key] = record
         self.next_offset = max(self.next_offset, next_offset)
 
     def reset(self) -> None:
-        """Forget all records, and keep only the order in which they stood."""
+        """Delete all records, but remember their order."""
         self.resets += 1
         self._previous_offsets.update(
             {one.key: one.offset for one in self._newest.values()}
@@ -52,15 +51,15 @@
         self.next_offset = 0
 
     def list_unconfirmed(self) -> list[str]:
-        """Return the keys that stood here before and don't yet stand here again."""
+        """Return the keys from before the reset that were not read again."""
         return [key for key in self._previous_offsets if self.find(key) is None]
 
     def forget_previous(self) -> None:
-        """Forget the order of before."""
+        """Forget the order from before the reset."""
         self._previous_offsets.clear()
 
     def put(self, record: StoredRecord) -> None:
-        """Take up a record alone, while others before it may not be known."""
+        """Add one record, even if earlier records are unknown."""
         self._newest[record.key] = record
 
     def find(self, key: str) -> StoredRecord | None:
@@ -69,19 +68,19 @@
         return found if found is not None and found.value else None
 
     def find_rank(self, key: str) -> float:
-        """Return where a key stands among the others, the last if it is not known.
+        """Return the offset of a key as its rank, infinity if it is unknown.
 
-        Records are appended once and seldom written anew, so that those who know only
-        the first part of the topic rank the keys in it as all do.
+        Records are rarely rewritten, so nodes that know only the first part of the
+        topic rank the keys in it as all others do.
         """
         found = self.find(key)
         offset = self._previous_offsets.get(key, -1) if found is None else found.offset
         return math.inf if offset < 0 else offset
 
     def list_since(self, offset: int) -> list[StoredRecord]:
-        """Return the newest records from an offset on, in their order.
+        """Return the newest records from an offset on, in order of offset.
 
-        Those whose offset is not known are among them.
+        Records with unknown offsets are included.
         """
         found = [
             record
--- a/eelgrassmount/topics/store.py
+++ b/eelgrassmount/topics/store.py
@@ -1,4 +1,4 @@
-"""The log that all nodes share, as the relay uses it."""
+"""Interface of the log that all nodes share."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 class FailureKind(StrEnum):
     """Why a call to the log gave no result."""
 
-    UNREACHABLE = "unreachable"  # no connection: nothing was done
-    REJECTED = "turned-away"  # nothing was done, the log is busy or refuses us
-    LIMITED = "limited"  # too many calls
-    CONFLICT = "conflict"  # the condition does not hold
-    DELETED = "deleted"  # the records are gone
-    OUTDATED = "outdated"  # the answer is of a copy that the log has replaced
+    UNREACHABLE = "unreachable"  # no connection; the call had no effect
+    REJECTED = "turned-away"  # rejected without effect, e.g. because the log is busy
+    LIMITED = "limited"  # rate limit exceeded
+    CONFLICT = "conflict"  # precondition failed
+    DELETED = "deleted"  # the records were deleted
+    OUTDATED = "outdated"  # the answer is of an earlier log epoch
     FULL = "full"
-    UNANSWERED = "unanswered"  # may have been done, or be done later
+    UNANSWERED = "unanswered"  # the call may have taken effect, or may later
     MALFORMED = "malformed"
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailure:
-    """A call without a result; ``detail`` is for people."""
+    """A call without a result; ``detail`` is meant for operators."""
 
     kind: FailureKind
     detail: str = ""
@@ -33,9 +33,9 @@
 
 @frozen
 class StoredRecord:
-    """The newest record of a key; an empty value means that the key is dropped.
+    """The newest record of a key; an empty value means that the key was deleted.
 
-    ``offset`` is where it stands in its topic, -1 where that is not known.
+    ``offset`` is the position in the topic, -1 if it is unknown.
     """
 
     key: str
@@ -45,9 +45,9 @@
 
 @frozen
 class Snapshot:
-    """The newest record of each key, and the offset where later ones begin.
+    """The newest record of each key, and the offset of the next record.
 
-    ``unreadable`` counts records that were left out.
+    ``unreadable`` counts records that could not be read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -57,9 +57,9 @@
 
 @frozen
 class Batch:
-    """Records read in order, and the offset behind them.
+    """Records read in order, and the offset of the next record.
 
-    ``unreadable`` counts records that were left out.
+    ``unreadable`` counts records that could not be read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -68,7 +68,7 @@
 
 
 class Store(Protocol):
-    """Keyed topics: the newest record of each key is kept for good."""
+    """Keyed topics, which retain the newest record of each key."""
 
     async def append(self, topic: str, key: str, value: bytes) -> int | StoreFailure:
         """Append a record and return its offset."""
@@ -79,4 +79,4 @@
     async def read(
         self, topic: str, offset: int, wait_s: float
     ) -> Batch | StoreFailure:
-        """Return the records from ``offset`` on, waiting for one if there is none."""
+        """Return the records from ``offset`` on; wait for one if there is none."""
--- a/eelgrassmount/topics/subscriptions.py
+++ b/eelgrassmount/topics/subscriptions.py
@@ -1,4 +1,4 @@
-"""What a node hears from the readers of the log, and who listens to it."""
+"""Subscriptions among nodes to the records that readers of the log pass on."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
     from eelgrassmount.relay.frames import FrameKind
 
-# what another node has said is believed for so long
+# Reports of other nodes are used for this time.
 MAX_NEWS_AGE_S = 2.5
 
 
 @define(eq=False)
 class Subscription:
-    """What a node hears from one reader.
+    """A subscription of this node to a reader.
 
-    ``waiting_s`` is since when an answer is missing; the last question went out at
-    ``sent_s``, and the last with counts at ``counted_s``. The reader ``reads`` the log
-    itself or ``hears`` from another that does.
+    ``unanswered_since_s`` is the time of the first request without an answer. The last
+    request was sent at ``sent_s``, the last one with counts at ``counts_sent_s``, and
+    the last answer arrived at ``received_s``. The reader ``reads`` the log itself, or
+    ``hears`` from another reader.
     """
 
     unanswered_since_s: float = math.inf
@@ -36,13 +37,13 @@
     tally: Tally = field(factory=Tally)
 
     def is_fresh(self, now_s: float) -> bool:
-        """Tell whether the reader was heard lately."""
+        """Return whether the reader has answered recently."""
         return now_s - self.received_s <= MAX_NEWS_AGE_S
 
 
 @define(eq=False)
 class Subscriber:
-    """A node that listens to this one; ``send`` takes a frame for it."""
+    """A node that subscribes to this one; ``send`` sends it a frame."""
 
     send: Callable[[FrameKind, Any], None]
     is_local: bool
@@ -53,16 +54,17 @@
 
 @define
 class CountSums:
-    """Counts added up: those of the own failure domain, and all that are heard of.
+    """Sums of counts over the local failure domain and over all nodes.
 
-    They hold what nodes say of themselves or of their own failure domain. What a reader
-    has added up of others is never added again, as it would go round among them.
+    They add what nodes report of themselves or of their local failure domain. Sums that
+    a reader has received are never added again; otherwise counts would circulate among
+    readers.
     """
 
     local: Tally = field(factory=Tally)
     total: Tally = field(factory=Tally)
 
     def update(self, local: Tally, remote: Iterable[Tally]) -> None:
-        """Take up the sum of the own failure domain, and those of others."""
+        """Store the sum of the local failure domain, and add those of the others."""
         self.local = local
         self.total = add_tallies([local, *remote])
--- a/tests/teams/fleet.py
+++ b/tests/teams/fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that hand out quotas to each other, on a time and a network of their own.
+"""Nodes that exchange quota messages on a virtual network and clock.
 
-They are the real ones but for their links, which carry frames as they are, and for the
-order in which they become holders, which is that of their names.
+Quota clients and allocators are the real ones. Links deliver frames without encoding,
+and the readers of a failure domain are its first nodes by name.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 LOCAL_LATENCY_S = 0.0004
 REMOTE_LATENCY_S = 0.001
 STEP_INTERVAL_S = 0.2
-# other nodes find out so late that one is silent
+# Nodes notice a silent node after this time.
 FAILURE_DETECTION_S = 0.75
 READERS_PER_DOMAIN = 2
 
 
 @define(eq=False)
 class Link:
-    """The link from one node to another."""
+    """A link from one node to another."""
 
     fleet: Fleet
     owner: Node
@@ -69,7 +69,7 @@
 
 @define(eq=False)
 class Node:
-    """One node; it knows the table of the fleet."""
+    """A node that uses the configuration of the fleet."""
 
     fleet: Fleet
     name: str
@@ -85,7 +85,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start anew, knowing nothing of before."""
+        """Start or restart without earlier state."""
         self.started += 1
         self.alive = True
         self.members = Members(self.fleet, self)
@@ -99,7 +99,7 @@
     def clock(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # what the readers of the log know
+    # Interface of LogReaders.
 
     @property
     def ranking(self) -> Node:
@@ -126,7 +126,7 @@
             self.exchange.step()
 
     def send_request(self, team: Team) -> None:
-        """Let a client of a team send a request."""
+        """Send a request of a client of a team to this node."""
         self.fleet.requested.append((self.clock(), team.name))
         if not self.alive or self.paused:
             return
@@ -145,7 +145,7 @@
 
 @define(eq=False)
 class Fleet:
-    """All nodes, and what became of the requests."""
+    """All nodes, and the outcomes of requests."""
 
     rng: random.Random
     nodes: dict[str, Node] = field(factory=dict)
@@ -179,7 +179,7 @@
         self.configure(*teams.values())
 
     def is_disconnected(self, one: Node, other: Node) -> bool:
-        """Tell whether nothing comes through between two nodes."""
+        """Return whether two nodes cannot reach each other."""
         if not (one.alive and other.alive) or one.paused or other.paused:
             return True
         if one.failure_domain == other.failure_domain:
@@ -187,7 +187,7 @@
         return bool(self.partitioned & {one.failure_domain, other.failure_domain})
 
     def is_known_unreachable(self, one: Node, other: Node) -> bool:
-        """Tell whether one node knows that it can't reach another."""
+        """Return whether a node has noticed that another one is unreachable."""
         if one is other:
             return False
         if not other.alive:
@@ -226,7 +226,7 @@
         ) * self.rng.uniform(1.0, 3.0)
         asyncio.get_running_loop().call_later(delay_s, arrive)
 
-    # faults
+    # Faults.
 
     def kill(self, *names: str) -> None:
         for name in names:
@@ -247,12 +247,12 @@
         for arrive in inbox:
             arrive()
 
-    # what is judged
+    # Results.
 
     def find_max_runs(
         self, team_name: str, since_s: float = 0.0, window_s: float = BOUNDS.window_s
     ) -> int:
-        """Return the most requests of a team that ran in any window after a time."""
+        """Return the largest number of requests of a team that ran in any window."""
         times = [at for at, name in self.ran if name == team_name and at >= since_s]
         max_runs = first = 0
         for last, at in enumerate(times):
@@ -266,7 +266,7 @@
 
 
 def compute_max_runs(team: Team) -> float:
-    """Return the most requests of a team that may run in a window."""
+    """Return how many requests of a team may run in a window."""
     quota = team.rate * BOUNDS.window_s + team.burst
     return quota * (1.0 + BOUNDS.overage) + BOUNDS.slack
 
@@ -288,7 +288,7 @@
 ) -> None:
     """Send requests at random times to some nodes, at a rate that changes.
 
-    ``take`` stands in for the nodes.
+    ``send`` replaces the nodes if given.
     """
     loop = asyncio.get_running_loop()
     start_s = loop.time()
@@ -312,7 +312,7 @@
     nodes: int = 20,
     seed: int = 0,
 ) -> Fleet:
-    """Run a scenario on nodes that have known each other for some seconds."""
+    """Run a scenario on a fleet of new nodes."""
     fleet = Fleet(random.Random(seed))
     loop = VirtualLoop()
 
--- a/tests/teams/test_access.py
+++ b/tests/teams/test_access.py
@@ -1,4 +1,4 @@
-"""Whether a request may use a route, by its API key."""
+"""Checks of the API key of a request."""
 
 from __future__ import annotations
 
@@ -34,8 +34,7 @@
     assert check_key(True, key).refusal is reason
 
 
-# A key that was added while the log could not be read was told that it is wrong, and
-# its client never came again.
+# Guards against a permanent refusal of a key that was added in an outage of the log.
 @pytest.mark.parametrize("key", [None, b"", b"k-2"])
 def test_node_without_current_records_does_not_reject_unknown_keys(key):
     assert check_key(True, key, is_current=False).refusal is Reason.API_KEY_UNJUDGED
--- a/tests/teams/test_directory.py
+++ b/tests/teams/test_directory.py
@@ -1,4 +1,4 @@
-"""Which team an API key belongs to."""
+"""Mapping of API keys to teams."""
 
 from __future__ import annotations
 
@@ -33,8 +33,7 @@
     assert not any(b"k-1" in digest for digest in directory._by_digest)
 
 
-# A digest without a secret could be worked out by anybody for a guessed key, whose
-# place in the table, and with it the time of a look-up, would follow from it.
+# Guards against digests without a secret: look-up times would reveal guessed keys.
 def test_directories_store_different_digests_of_a_key():
     digests = [set(make_directory()._by_digest) for _ in range(2)]
     assert not digests[0] & digests[1]
--- a/tests/teams/test_fuzz.py
+++ b/tests/teams/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever clients and operators write on keys and teams: it is sound, or refused."""
+"""Random input of clients and operators on keys and teams is valid or rejected."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
 
 
 def make_lines(rng: random.Random) -> tuple[bytes, bool]:
-    """Return headers at random, and whether they hold the good key and no other."""
+    """Return random headers, and whether they hold the valid key and no other."""
     keys = rng.choices(
         ["k-1", "k-2", "K-1", "k-1x", "", " k-1 ", "\xff", "k" * 3000],
         k=rng.choices([0, 1, 2], [1, 5, 1])[0],
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -1,4 +1,4 @@
-"""API keys at whole nodes, on a network and a time of their own."""
+"""API keys at whole nodes, with a virtual network and clock."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 OFFICE = make_team("office", "k-3", priority=0)
 TEAM_HEADER = b"eelgrassmount-tenant"
 KEY_HEADER = b"x-api-key"
-# within this time a configuration is in force on all nodes
+# All nodes apply a configuration within this time.
 MAX_APPLY_TIME_S = 2.0
 
 
@@ -174,14 +174,14 @@
 
 
 def test_restarted_node_without_the_log_refuses_a_removed_key():
-    """What its neighbours know reaches a node that can't read the log itself."""
+    """Other nodes relay the teams to a node that cannot read the log."""
 
     async def scenario(deployment: Deployment) -> None:
         deployment.configure(2, LIST, OPEN, teams=[make_team("press", "k-2"), OFFICE])
         await anyio.sleep(MAX_APPLY_TIME_S)
         deployment.log.trouble = Trouble.TURNED_AWAY
         started = await deployment.add("list", "a")
-        # it knows no other node, and none opens a link to one that it can't know
+        # The new node knows no other node and cannot be discovered through the log.
         for vm in deployment.vms[:-1]:
             vm.node.beliefs.members.put(
                 started.settings.name, str(started.settings.peer_address), "a", "list"
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -1,4 +1,4 @@
-"""Quotas at whole nodes, on a network and a time of their own."""
+"""Quotas at whole nodes, with a virtual network and clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 LIST = make_rule("/list/", "list")
 PRESS = make_team("press", "k-1", ratePerS=10, burst=10)
 OFFICE = make_team("office", "k-2")
-# the bound of the settings in these tests: 0.1 of 60 requests and 10 more
+# Settings of these tests: 60 requests, an overage of 0.1 and a slack of 10.
 MAX_RUNS_IN_WINDOW = 60 * 1.1 + 10
 FILL_S = 12.0
 
@@ -100,7 +100,7 @@
             group.start_soon(run, "k-1", 0.05)
             group.start_soon(run, "k-2", 0.05)
         assert found["k-2"] == [200] * 300
-        # within less than a window
+        # The load lasts less than a window.
         assert 20 <= found["k-1"].count(200) <= MAX_RUNS_IN_WINDOW
         assert set(found["k-1"]) == {200, 429}
 
@@ -118,7 +118,7 @@
 
 def test_other_nodes_allocate_quotas_after_allocators_stop():
     async def scenario(deployment: Deployment) -> None:
-        # the first two of each failure domain hold all quotas
+        # The first two nodes of each failure domain allocate all quotas.
         for vm in deployment.vms[:4]:
             vm.node.end()
             vm.node.readers.started = False
@@ -157,7 +157,7 @@
         vm.node.beliefs.server.draining = draining
 
 
-# A request that no server takes has not run, and does not count.
+# Guards against charging requests that no backend server accepted.
 @pytest.mark.parametrize("refused", [True, False])
 def test_request_that_does_not_run_returns_its_quota(refused):
     async def scenario(deployment: Deployment) -> None:
--- a/tests/teams/test_quotas_over_nodes.py
+++ b/tests/teams/test_quotas_over_nodes.py
@@ -1,8 +1,4 @@
-"""Quotas over many nodes, under load and faults: never more than the bound.
-
-Each load is one that a team may send, and each fault one that nodes have to bear. What
-is judged is the sum over all nodes, in any window, also of nodes that are cut off.
-"""
+"""Quotas over many nodes under load and faults: no window exceeds the bound."""
 
 from __future__ import annotations
 
@@ -13,10 +9,10 @@
 from eelgrassmount.teams.directory import Team
 from tests.teams.fleet import BOUNDS, Fleet, compute_max_runs, play, send_load
 
-# the part of a quota that teams usually send, and what a hot one sends
+# Normal load as a share of the quota, and the factor of overload on it.
 NORMAL_LOAD_SHARE = 0.625
 OVERLOAD_FACTOR = 7.5
-# begun at a full bucket
+# Time in which buckets fill before the load starts.
 FILL_S = 8.0
 SEEDS = range(2)
 
@@ -28,7 +24,7 @@
 def make_overload(
     team: Team, from_s: float, until_s: float, factor: float = OVERLOAD_FACTOR
 ):
-    """Return the rate of a team that is hot for a while."""
+    """Return the rate of a team that is overloaded for a while."""
 
     def rate(at_s: float) -> float:
         return (
@@ -42,7 +38,7 @@
 
 async def run_load(fleet: Fleet, team: Team, names: list[str], rate, until_s: float):
     await send_load(fleet, team.name, names, rate, until_s)
-    # what waits for a holder is decided
+    # Requests that wait for an allocator are decided by then.
     await asyncio.sleep(0.5)
 
 
@@ -55,7 +51,7 @@
     fault=None,
     until_s: float = 18.0,
 ) -> Fleet:
-    """Play a team that is usual for some seconds, hot for 7 s and then usual."""
+    """Play a team with normal load, 7 s of overload and normal load again."""
 
     async def scenario(fleet: Fleet) -> None:
         fleet.configure(team)
@@ -81,7 +77,7 @@
     ran_in_overload = sum(
         1 for at, _ in fleet.ran if 1000.0 + FILL_S + 5.0 <= at < 1000.0 + FILL_S + 11.0
     )
-    # of what comes in the last 6 s in which it is hot, all of the quota is used
+    # The last 6 s of the overload use the whole quota.
     assert ran_in_overload >= 0.85 * 6.0 * rate - 2.0
 
 
@@ -98,7 +94,7 @@
 
     fleet = play(scenario, seed=seed)
     requested = len(fleet.requested)
-    # what comes at random exceeds its quota for moments now and then
+    # Random arrivals exceed the quota for moments.
     assert len(fleet.refused) <= 0.02 * requested + 1
 
 
@@ -239,7 +235,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_no_fault_lets_an_overloaded_team_exceed_its_quota(fault, rate, seed):
     fleet = play_overload(make_team(rate), 8, seed, fault=FAULTS[fault])
-    # and it goes on after it
+    # Requests run after the fault.
     assert fleet.count(fleet.ran, "press", 1000.0 + FILL_S + 15.0)
 
 
@@ -302,7 +298,7 @@
         refusals = list(fleet.refused)
         waits = sorted(wait_s for _, _, wait_s in refusals)
         assert len(waits) > 20
-        # they are not told to come back at the same moment
+        # Retry times are spread.
         assert waits[-1] > 10 * waits[0]
         loop = asyncio.get_running_loop()
         for at_s, _, wait_s in refusals:
--- a/tests/topics/test_learned.py
+++ b/tests/topics/test_learned.py
@@ -1,4 +1,4 @@
-"""Keeping what was learned for nodes that start."""
+"""Storing learned calls on the log for nodes that start."""
 
 from __future__ import annotations
 
--- a/tests/topics/test_log_epoch.py
+++ b/tests/topics/test_log_epoch.py
@@ -1,4 +1,4 @@
-"""A log that comes back from an older copy."""
+"""Epochs of the log, and records that are missing after a restoration."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 def test_missing_local_record_is_written_again():
     table, now = RecordTable(), [100.0]
     local_record = make_local_record(table, now)
-    # nothing of the log is known yet
+    # Nothing of the log is known yet.
     assert not local_record.is_due()
     table.apply([StoredRecord("n1", b"own", 3)], 4)
     assert not local_record.is_due()
@@ -77,7 +77,7 @@
     assert not local_record.is_due()
     now[0] += 1.0
     assert local_record.is_due()
-    # the call is under way, and tried again if it failed
+    # The write is under way; it is retried if it fails.
     assert not local_record.is_due()
     now[0] += 2.0
     assert local_record.is_due()
@@ -95,8 +95,7 @@
         assert local_record.is_due()
 
 
-# The log takes some hundred writes a second: of 10,000 nodes that all wrote within one,
-# most were turned away, and again and again.
+# Guards against writes of all nodes at once, which the log would reject.
 def test_many_nodes_spread_their_writes_over_time():
     now = [0.0]
     dues = []
@@ -110,7 +109,7 @@
     seconds = [int(due) for due in dues]
     max_writes = max(seconds.count(second) for second in range(50))
     assert compute_write_spread_s(10_000) == 50.0
-    # a tenth of the nodes, a tenth of 200 a second and some by chance
+    # A tenth of the nodes share a tenth of 200 writes per second, plus random spread.
     assert max_writes <= 40
 
 
--- a/tests/topics/test_log_restore.py
+++ b/tests/topics/test_log_restore.py
@@ -1,4 +1,4 @@
-"""Whole nodes beside a log that comes back from an older copy."""
+"""Whole nodes with a log that is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 LIST = make_rule("/list/", "list")
 DESK = make_rule("/desk/", "list")
 MAX_APPLY_TIME_S = 2.0
-# a node notices that the log is away by its connection
+# Long enough for nodes to notice the outage by their connections.
 OUTAGE_S = 1.0
-# nodes that began to read as they knew of few others have stopped
+# Nodes that read the log only because they knew few others have stopped by then.
 STARTUP_TIME_S = 8.0
 
 
@@ -53,7 +53,7 @@
 
 
 async def restore_log(deployment: Deployment, copy: dict, rewrite: bool = True) -> None:
-    """Let the log be away for a moment and come back from a copy."""
+    """Make the log unreachable for a moment, then restore it from a copy."""
     log = deployment.log
     log.trouble = Trouble.RESET
     asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
@@ -82,7 +82,7 @@
         assert list_versions(deployment) == {5}
         await restore_log(deployment, copy, rewrite=False)
         await anyio.sleep(3.0)
-        # the copy holds an older one until the operator writes again
+        # The copy holds an older configuration until the operator writes again.
         assert list_versions(deployment) == {5}
         assert list_epochs(deployment) == {4}
         deployment.configure(5, LIST)
@@ -93,8 +93,7 @@
     play(scenario)
 
 
-# The offset from which a reader went on was given out again for other records, which it
-# never saw: it waited behind them.
+# Guards against readers that wait behind a reassigned offset and miss its records.
 def test_records_at_reassigned_offsets_are_read():
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
@@ -103,7 +102,7 @@
         await anyio.sleep(MAX_APPLY_TIME_S)
         log = deployment.log
         await restore_log(deployment, copy, rewrite=False)
-        # as many records as before, and another one among them
+        # As many records as before, with other contents.
         for version in (6, 7, 8, 9):
             log.put("keyed.op", "config", make_document(version, LIST, DESK))
         await anyio.sleep(MAX_APPLY_TIME_S + 1.0)
@@ -116,7 +115,7 @@
     async def scenario(deployment: Deployment) -> None:
         names = {vm.settings.name for vm in deployment.vms}
         copy = deployment.log.copy()
-        # the log was copied before the last three nodes had started
+        # The copy was made before the last three nodes had started.
         topic = copy["keyed.nodes"]
         topic.records = [one for one in topic.records if one[0] <= "node-3"]
         await restore_log(deployment, copy)
@@ -170,7 +169,7 @@
 
 
 def test_node_that_cannot_reach_the_log_learns_its_epoch_from_others():
-    """Two readers in different eras: the later one goes for both."""
+    """Of two readers in different epochs, the later epoch applies to both."""
 
     async def scenario(deployment: Deployment) -> None:
         reader = next(vm for vm in deployment.vms if vm.node.readers.reading)
@@ -227,7 +226,7 @@
         await anyio.sleep(2.0)
         for vm in deployment.vms:
             assert "node-6" not in vm.node.beliefs.members.by_name
-        # one whose server goes on is started again
+        # A node whose backend server still runs will be restarted.
         await stop_node(deployment, 4)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -1,4 +1,4 @@
-"""News of the log through readers, on a network and a time of their own."""
+"""Distribution of the log through readers, with a virtual network and clock."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 REQUEST_CLASS = RequestClass("shop.example/list/", 0)
 DOMAINS = ("a", "b", "c")
 NODES = 6
-# the bound of the smallest deployments for a configuration to be in force
+# Bound for applying a configuration in the smallest deployments.
 MAX_APPLY_TIME_S = 2.0
-# nodes that began to read as they knew of few others have stopped
+# Nodes that read the log only because they knew few others have stopped by then.
 STARTUP_TIME_S = 8.0
 
 
 @define(eq=False)
 class Fleet:
-    """Nodes in some failure domains, and their log."""
+    """Nodes in several failure domains, and their log."""
 
     network: Network
     deployment: Deployment
@@ -71,7 +71,7 @@
         ]
 
     async def expect_version(self, version: int, vms: list[Vm] | None = None) -> None:
-        """Wait as long as a configuration may take."""
+        """Wait until all nodes have applied a configuration in time."""
         with anyio.move_on_after(MAX_APPLY_TIME_S):
             while self.list_outdated(version, vms):
                 await anyio.sleep(0.02)
@@ -85,7 +85,7 @@
         ]
 
     def stop(self, vm: Vm) -> None:
-        """End a node at once, as a crash of its process does."""
+        """Stop a node at once, like a crash of its process."""
         self.deployment.vms.remove(vm)
         vm.node.end()
         vm.node.readers.started = False
@@ -93,7 +93,7 @@
             follower.set_wanted(False)
 
     def pause(self, vm: Vm) -> None:
-        """Let nothing that others send reach a node."""
+        """Hold back everything that others send to a node."""
         for address in self.list_addresses(vm):
             self.network.pause(address)
 
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_some_nodes_of_each_failure_domain_read_for_the_others(seed):
-    """Each record woke all nodes: 15 to 34 calls a node and day on 195 nodes."""
+    """Guards against all nodes reading the log, which would multiply its calls."""
 
     async def scenario(fleet: Fleet) -> None:
         for domain in DOMAINS:
@@ -132,7 +132,7 @@
             fleet.configure(version)
             await fleet.expect_version(version)
             await anyio.sleep(1.0)
-        # one read a reader and record
+        # One read per reader and record.
         assert fleet.count_calls() - before <= 10 * SUBSCRIBED_READERS * len(DOMAINS)
 
     play(scenario, seed=seed)
@@ -152,7 +152,7 @@
 
 def test_starting_nodes_make_few_calls_to_the_log():
     async def scenario(fleet: Fleet) -> None:
-        # each reads the newest and appends its record; the readers follow two topics
+        # Each node reads the records and appends its own; readers follow two topics.
         readers = SUBSCRIBED_READERS * len(DOMAINS)
         events = len(fleet.vms)
         assert fleet.count_calls() <= 2 * len(fleet.vms) + readers * (4 + events)
@@ -205,7 +205,7 @@
 
 
 def block_log(vm: Vm) -> None:
-    """Let the log answer no call of a node, and end the reads that wait."""
+    """Make the log unreachable for a node, and end its waiting reads."""
     vm.node.store.address = vm.settings.ready_address
     vm.node.store._connections.address = vm.settings.ready_address
     vm.node.store.end()
@@ -220,11 +220,11 @@
 
 
 def test_nodes_make_few_calls_in_an_outage_and_all_notice_its_end():
-    """All nodes asked again each 1.5 s: an outage of 9 s cost six calls a node."""
+    """Guards against retries of all nodes at short intervals during an outage."""
 
     async def scenario(fleet: Fleet) -> None:
         fleet.deployment.log.trouble = Trouble.TURNED_AWAY
-        # reads that wait are not ended by it
+        # Waiting reads are not ended by the outage, but by a new record.
         fleet.configure(2)
         await anyio.sleep(2.0)
         before = fleet.count_calls()
@@ -248,7 +248,7 @@
         vm = fleet.list_readers("a")[0]
         fleet.stop(vm)
         fleet.deployment.log.trouble = Trouble.TURNED_AWAY
-        # its server goes on, and its address is free again
+        # The backend server keeps running; its address is free for the new one.
         vm.server.listener.end()
         await anyio.sleep(1.0)
         restarted = await fleet.deployment.add(
@@ -314,7 +314,7 @@
 
 
 def test_counts_are_sent_rarely_while_no_service_is_overloaded():
-    """With each question, nodes sent twice the bytes that they had sent without any."""
+    """Guards against counts in each request, which would double the traffic."""
     with_counts: list[bool] = []
     handle_subscribe = LogReaders.handle_subscribe
 
@@ -324,7 +324,7 @@
 
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
-            # calls are known, and no service is short
+            # Calls are learned, and no service is overloaded.
             vm.node.beliefs.graph.set_calls(
                 "shop.example/list/", {"shop.example/part/": 1.0}
             )
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -1,4 +1,4 @@
-"""Records of the log by other writers, through a node and its followers."""
+"""Invalid records of other writers on the log, applied by a node and its followers."""
 
 from __future__ import annotations
 
@@ -64,14 +64,13 @@
     make_record(service_name="x" * 70_000),
     make_record(failure_domain=None),
     make_record(name="", key="n2"),
-    # a record under the key of another node is not that node's
+    # A record under the key of another node is invalid.
     make_record(name="n3", key="n2"),
     make_record(name="n2", key="n3"),
 ]
 
 
-# Another writer's record of a node came without a name or an address, and the node
-# entered a member called None; a link to an address that is none ended a timer's step.
+# Guards against members without a name or address, which would break timers and links.
 @pytest.mark.parametrize("record", INVALID_NODES, ids=lambda one: repr(one)[:60])
 def test_invalid_node_record_changes_no_other_member(node, record):
     node.take_nodes((make_record(),))
@@ -83,8 +82,7 @@
     assert node.found_nodes
 
 
-# A record with an empty value drops a key; one for the node's own name made it forget
-# itself, so that it no longer gave its own server any work.
+# Guards against a node that deletes itself and gives its backend server no more work.
 def test_no_record_removes_the_local_node(node):
     before = list_members(node)
     node.take_nodes((StoredRecord(SETTINGS.name, b""),))
@@ -99,7 +97,7 @@
     node.take_nodes(tuple(records))
     assert len(node.beliefs.members.by_name) == members.MAX_MEMBERS
     assert node.refused.totals == {"node-record": 51}
-    # those that are known may still change and leave
+    # Known members may still change and leave.
     node.take_nodes((make_record("n1", address="127.0.0.3:7620"),))
     assert node.beliefs.members.by_name["n1"].address == "127.0.0.3:7620"
     node.take_nodes((StoredRecord("n1", b""), make_record("n-late")))
@@ -178,7 +176,7 @@
 
 
 class ScriptedLog:
-    """A log that gives batches and then stays silent."""
+    """A log that returns batches of records and then blocks."""
 
     def __init__(self, *batches: tuple[StoredRecord, ...]):
         self.batches = list(batches)
@@ -192,7 +190,7 @@
         return Batch(self.batches.pop(0), offset + 1)
 
 
-# An exception for one record ended the follower, and with it the node.
+# Guards against an exception for one record that stops the follower and the node.
 def test_follower_continues_after_a_record_that_cannot_be_applied():
     applied = []
 
@@ -219,7 +217,7 @@
 
 
 class MisplacedRecordLog(ScriptedLog):
-    """A log in which the record of a node stands under the key of another."""
+    """A log that stores the record of a node under the key of another one."""
 
     def __init__(self, record: StoredRecord):
         super().__init__()
@@ -234,8 +232,7 @@
         return 1
 
 
-# A copy of a node's record under another key kept the node from writing its own, and
-# the others from finding it.
+# Guards against a misplaced copy that keeps a node from writing its own record.
 def test_node_writes_its_record_unless_it_is_stored_under_its_key(node):
     own = make_record(
         SETTINGS.name, address=str(SETTINGS.peer_address), service_name="desk"
