--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -10,13 +10,13 @@
 
 from attrs import define, evolve, field, frozen
 
-from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier, compute_priority
 from eelgrassmount.load.dispatcher import LimitedDispatcher
 from eelgrassmount.load.exchange import compute_effective_threshold
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.state import rank_call
 from eelgrassmount.members.table import Identity, ServerState
+from eelgrassmount.shared_node_state import Blackboard, LocalServer
 from eelgrassmount.timers import ManualClock, TimerService
 
 if TYPE_CHECKING:
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -18,7 +18,6 @@
 
 from benchmarks.capacity_cluster import read_usage
 from benchmarks.capacity_works import Table, Work
-from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.compose.node import Node, build_node
 from eelgrassmount.config.readers import READERS
 from eelgrassmount.context import Context, Tier
@@ -31,6 +30,7 @@
     ServiceSummary,
 )
 from eelgrassmount.settings import load_settings
+from eelgrassmount.shared_node_state import LocalServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -17,7 +17,6 @@
 import anyio
 from attrs import define
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.config.classes import Configuration, Document
 from eelgrassmount.context import Context, Tier, compute_digest
@@ -26,10 +25,11 @@
 from eelgrassmount.keys.service import KeyService
 from eelgrassmount.keys.table import Budget, Entry, KeyTable, Stage
 from eelgrassmount.keys.views import Proposal, encode_proposals
-from eelgrassmount.log_port import Appended, Page, Record
+from eelgrassmount.log_service import Appended, Page, Record
 from eelgrassmount.members.table import Identity, Member, ServerState
 from eelgrassmount.peer.codec import FRAME_HEADER_BYTES, decode_payload, encode_frame
 from eelgrassmount.peer.port import PeerFailure
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.verdict import Answered
 
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -11,13 +11,13 @@
 from thrift.protocol.TBinaryProtocol import TBinaryProtocolAcceleratedFactory
 from thrift.TSerialization import deserialize, serialize
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.gen import ttypes
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.membership import Membership
 from eelgrassmount.members.pace import Pace
 from eelgrassmount.members.table import Identity, MemberState, ServerState
 from eelgrassmount.peer.port import PeerFailure
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import ManualClock, TimerService
 
 if TYPE_CHECKING:
--- a/eelgrassmount/admin/config.py
+++ b/eelgrassmount/admin/config.py
@@ -9,9 +9,9 @@
 from eelgrassmount.config.publish import Accepted, Invalid, Lost
 
 if TYPE_CHECKING:
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.follower import ConfigFollower
     from eelgrassmount.config.publish import PublishOutcome
+    from eelgrassmount.shared_node_state import Blackboard
 
 
 @dataclass(frozen=True, slots=True)
--- a/eelgrassmount/admin/routes.py
+++ b/eelgrassmount/admin/routes.py
@@ -20,10 +20,10 @@
 
     from eelgrassmount.admin.config import JsonReply
     from eelgrassmount.admin.listener import AdminListener
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.follower import ConfigFollower
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
+    from eelgrassmount.shared_node_state import Blackboard
 
 _JSON = (Header("content-type", "application/json"),)
 
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -14,9 +14,9 @@
     from collections.abc import Callable
 
     from eelgrassmount.admin.listener import AdminHandler
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
+    from eelgrassmount.shared_node_state import Blackboard
 
 
 def make_state_handler(
--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -11,10 +11,10 @@
 from eelgrassmount.verdict import Answered
 
 if TYPE_CHECKING:
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.port import Runner
     from eelgrassmount.load.control import LoadControl
+    from eelgrassmount.shared_node_state import Blackboard
 
 
 @define(eq=False)
--- a/eelgrassmount/calls/downstream.py
+++ b/eelgrassmount/calls/downstream.py
@@ -16,9 +16,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.keys.port import Runner
     from eelgrassmount.load.exchange import LoadExchange
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
     from eelgrassmount.util.background import Background
 
--- a/eelgrassmount/calls/entry.py
+++ b/eelgrassmount/calls/entry.py
@@ -27,10 +27,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.keys.port import KeyPort, Runner
     from eelgrassmount.load.control import LoadControl
     from eelgrassmount.metrics import Metrics
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 # unreserved characters of RFC 3986, with an optional failure domain in front
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -21,7 +21,6 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.calls.request import Call
     from eelgrassmount.calls.table import CallRecord, CallTable
     from eelgrassmount.context import Context
@@ -30,6 +29,7 @@
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.retry.exchange import QuarantineExchange
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 _KIND_BY_REASON = {
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -15,9 +15,9 @@
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason
 
 if TYPE_CHECKING:
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.calls.request import Call
     from eelgrassmount.peer.pool import PeerPool
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 # the other node gives its answer by the deadline; this is for the way back
--- a/eelgrassmount/cmd/relay.py
+++ b/eelgrassmount/cmd/relay.py
@@ -12,7 +12,7 @@
 from eelgrassmount.cmd.action import ExitCode
 from eelgrassmount.compose.relay_run import serve_relay
 from eelgrassmount.errors import EelgrassmountError
-from eelgrassmount.logs import setup_logs
+from eelgrassmount.logging_setup import setup_logs
 from eelgrassmount.platform.settings import find_settings_file
 
 # objects before a collection of the youngest, middle and oldest generation: the
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -9,12 +9,12 @@
 import anyio
 from attrs import define
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.log_client import LogClient
 from eelgrassmount.members.table import Identity
-from eelgrassmount.metered import MeteredLog
+from eelgrassmount.metered_log import MeteredLog
 from eelgrassmount.metrics import Metrics, make_metrics
 from eelgrassmount.peer.pool import PeerPool
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.util.background import Background
 
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -8,7 +8,6 @@
 
 from eelgrassmount.admin.listener import AdminListener
 from eelgrassmount.admin.routes import add_routes
-from eelgrassmount.blackboard import Blackboard, DrainStage
 from eelgrassmount.calls.handlers import CallHandlers
 from eelgrassmount.compose.node import Node
 from eelgrassmount.drain.stages import Cause
@@ -16,6 +15,7 @@
 from eelgrassmount.edge.caller import CallerListener
 from eelgrassmount.edge.http import serve_http
 from eelgrassmount.peer.listener import PeerListener
+from eelgrassmount.shared_node_state import Blackboard, DrainStage
 
 if TYPE_CHECKING:
     pass
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -10,8 +10,8 @@
 from eelgrassmount.compose.relay_node import RelayNode
 from eelgrassmount.http1.server import HttpListener
 from eelgrassmount.platform.headers import DIALECT
-from eelgrassmount.platform.store import StoreClient
-from eelgrassmount.platform.topics import NODES_TOPIC
+from eelgrassmount.platform.store_client import StoreClient
+from eelgrassmount.platform.topic_names import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
 from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -11,7 +11,7 @@
 from eelgrassmount.errors import BadFrameError, PlatformDocumentError
 from eelgrassmount.gen import ttypes
 from eelgrassmount.platform.configuration import read_configuration
-from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
+from eelgrassmount.platform.topic_names import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay.announcements import check_server
 from eelgrassmount.relay.frames import decode_struct
 from eelgrassmount.relay.rejected_messages import MessageKind
@@ -22,7 +22,7 @@
 
     from eelgrassmount.http1.exchange import Exchange
     from eelgrassmount.http1.server import HttpListener
-    from eelgrassmount.platform.store import StoreClient
+    from eelgrassmount.platform.store_client import StoreClient
     from eelgrassmount.relay.admission import Admission
     from eelgrassmount.relay.controllers import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -16,7 +16,7 @@
 from eelgrassmount.http1.server import SWEEP_PERIOD_S, HttpListener, ServerLimits
 from eelgrassmount.platform.heartbeats import read_announcement
 from eelgrassmount.platform.settings import load_settings
-from eelgrassmount.platform.topics import (
+from eelgrassmount.platform.topic_names import (
     CONFIGURATION_TOPIC,
     LEARNED_KEY,
     NODES_TOPIC,
--- a/eelgrassmount/config/exchange.py
+++ b/eelgrassmount/config/exchange.py
@@ -17,11 +17,11 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.classes import Configuration
     from eelgrassmount.config.stream import ConfigStream
     from eelgrassmount.gen.ttypes import Hello
     from eelgrassmount.peer.port import Handlers, PeerPort
+    from eelgrassmount.shared_node_state import Blackboard
 
 ANNOUNCED_PEERS = 3
 
--- a/eelgrassmount/config/follower.py
+++ b/eelgrassmount/config/follower.py
@@ -16,7 +16,7 @@
 from eelgrassmount.config.readers import ROTATION_S, is_reader
 from eelgrassmount.config.rewrite import Rewriter
 from eelgrassmount.config.stream import ConfigStream, read_decisions
-from eelgrassmount.log_port import LogFailure
+from eelgrassmount.log_service import LogFailure
 from eelgrassmount.members.table import MemberState
 from eelgrassmount.util.backoff import Backoff
 from eelgrassmount.util.waiting import wait_for
@@ -26,11 +26,11 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.counts import ConfigCounts
     from eelgrassmount.config.publish import PublishOutcome
-    from eelgrassmount.log_port import LogPort
+    from eelgrassmount.log_service import LogPort
     from eelgrassmount.peer.port import Handlers, PeerPort
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import Timer, TimerService
 
 DEFAULT_REWRITE_S = 60.0
--- a/eelgrassmount/config/publish.py
+++ b/eelgrassmount/config/publish.py
@@ -12,7 +12,7 @@
 from eelgrassmount.config.fold import RESTORE_SKIP, Decision, Fold, FoldResult
 from eelgrassmount.config.record import ConfigRecord, RecordKind
 from eelgrassmount.config.stream import read_decisions
-from eelgrassmount.log_port import Appended, LogFailure
+from eelgrassmount.log_service import Appended, LogFailure
 from eelgrassmount.util.backoff import Backoff
 from eelgrassmount.util.waiting import wait_for
 
@@ -20,8 +20,8 @@
     import random
     from collections.abc import Awaitable, Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.stream import ConfigStream
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 DEFAULT_LIMIT_S = 8.0
--- a/eelgrassmount/config/stream.py
+++ b/eelgrassmount/config/stream.py
@@ -23,14 +23,14 @@
     decode_record,
     encode_record,
 )
-from eelgrassmount.log_port import LogFailure, Page
+from eelgrassmount.log_service import LogFailure, Page
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.record import ConfigRecord
-    from eelgrassmount.log_port import Appended, LogPort
+    from eelgrassmount.log_service import Appended, LogPort
+    from eelgrassmount.shared_node_state import Blackboard
 
 CONFIG_STREAM = "config"
 PAGE_RECORDS = 200
--- a/eelgrassmount/drain/shutdown.py
+++ b/eelgrassmount/drain/shutdown.py
@@ -8,7 +8,6 @@
 from attrs import define, field
 from loguru import logger
 
-from eelgrassmount.blackboard import DrainStage
 from eelgrassmount.drain.stages import (
     Cause,
     Drain,
@@ -18,11 +17,12 @@
     advance_drain,
     request_drain,
 )
+from eelgrassmount.shared_node_state import DrainStage
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from eelgrassmount.blackboard import Blackboard
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import Timer, TimerService
     from eelgrassmount.util.background import Background
 
--- a/eelgrassmount/edge/announcements.py
+++ b/eelgrassmount/edge/announcements.py
@@ -9,15 +9,15 @@
 from attrs import define
 from loguru import logger
 
-from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.errors import AddressError, AnnouncementError
 from eelgrassmount.members.table import ServerState
+from eelgrassmount.shared_node_state import LocalServer
 from eelgrassmount.util.addresses import parse_address
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 # a server that has not announced itself for this long is gone
--- a/eelgrassmount/keys/core.py
+++ b/eelgrassmount/keys/core.py
@@ -20,10 +20,10 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.keys.port import Runner
-    from eelgrassmount.log_port import LogPort
+    from eelgrassmount.log_service import LogPort
     from eelgrassmount.peer.port import PeerPort
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
     Counter = Callable[[str], None]
--- a/eelgrassmount/keys/follower.py
+++ b/eelgrassmount/keys/follower.py
@@ -28,7 +28,7 @@
     parse_node,
     rewrite_view,
 )
-from eelgrassmount.log_port import Appended, LogFailure
+from eelgrassmount.log_service import Appended, LogFailure
 from eelgrassmount.peer.port import PeerFailure
 
 if TYPE_CHECKING:
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -21,13 +21,13 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.calls.request import Call, Outcome
     from eelgrassmount.gen.ttypes import Hello, Message
     from eelgrassmount.keys.holder import SlotHolder
     from eelgrassmount.keys.port import Runner
-    from eelgrassmount.log_port import LogPort
+    from eelgrassmount.log_service import LogPort
     from eelgrassmount.peer.port import Handlers, PeerPort
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
 
 HAND_OVER_S = 20.0
--- a/eelgrassmount/keys/views.py
+++ b/eelgrassmount/keys/views.py
@@ -10,7 +10,7 @@
 from eelgrassmount.keys.placement import NO_NODE, SLOT_COUNT, NodeId
 
 if TYPE_CHECKING:
-    from eelgrassmount.log_port import Page, Record
+    from eelgrassmount.log_service import Page, Record
 
 
 @frozen
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     import random
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.classes import WorkClass
+    from eelgrassmount.shared_node_state import Blackboard
 
 
 @define
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -22,10 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.config.classes import WorkClass
     from eelgrassmount.context import Context
     from eelgrassmount.load.state import ServiceLoad
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
     from eelgrassmount.verdict import NotRun, Verdict
 
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -8,7 +8,6 @@
 import anyio.lowlevel
 from attrs import define, field
 
-from eelgrassmount.blackboard import DrainStage
 from eelgrassmount.context import PRIORITY_LEVELS, Tier
 from eelgrassmount.load.limiter import Limiter
 from eelgrassmount.load.port import Sample, SampleKind
@@ -32,13 +31,14 @@
     adjust_threshold,
 )
 from eelgrassmount.members.table import ServerState
+from eelgrassmount.shared_node_state import DrainStage
 from eelgrassmount.verdict import NotRun, Reason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.context import Context
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import Timer, TimerService
 
 _SWEEP_INTERVAL_S = 0.02
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -21,7 +21,7 @@
     import random
     from collections.abc import Collection
 
-    from eelgrassmount.blackboard import Blackboard
+    from eelgrassmount.shared_node_state import Blackboard
 
 _SUBSET_INTERVAL_S = 0.25
 
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -10,7 +10,7 @@
 from eelgrassmount.verdict import Answered, MayHaveRun, Reason, Verdict
 
 if TYPE_CHECKING:
-    from eelgrassmount.blackboard import Blackboard
+    from eelgrassmount.shared_node_state import Blackboard
 
 # Servers of a service that a node sends calls to.
 SUBSET_SIZE = 12
--- a/eelgrassmount/log_client.py
+++ b/eelgrassmount/log_client.py
@@ -10,7 +10,7 @@
 import httpcore
 from attrs import define, field
 
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -11,7 +11,7 @@
 from thrift.TSerialization import deserialize, serialize
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.log_port import LogFailure
+from eelgrassmount.log_service import LogFailure
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import choose_addresses
@@ -24,7 +24,7 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.log_port import LogPort, Record
+    from eelgrassmount.log_service import LogPort, Record
     from eelgrassmount.members.roster import Roster
     from eelgrassmount.members.rounds import Rounds
     from eelgrassmount.members.table import Member
--- a/eelgrassmount/members/membership.py
+++ b/eelgrassmount/members/membership.py
@@ -8,7 +8,6 @@
 import anyio
 from loguru import logger
 
-from eelgrassmount.blackboard import DrainStage
 from eelgrassmount.members import exchange
 from eelgrassmount.members.conflicts import Conflicts
 from eelgrassmount.members.counts import Counts
@@ -20,16 +19,17 @@
 from eelgrassmount.members.rounds import Rounds
 from eelgrassmount.members.table import MemberState, ServerState
 from eelgrassmount.members.updates import MemberKey
+from eelgrassmount.shared_node_state import DrainStage
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Callable, Sequence
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.gen.ttypes import Gossip
     from eelgrassmount.load.state import ServiceLoad
-    from eelgrassmount.log_port import LogPort
+    from eelgrassmount.log_service import LogPort
     from eelgrassmount.peer.port import Handlers, PeerPort
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import TimerService
     from eelgrassmount.util.background import Background
 
--- a/eelgrassmount/metered.py
+++ b/eelgrassmount/metered_log.py
@@ -6,11 +6,11 @@
 
 from attrs import define
 
-from eelgrassmount.log_port import LogFailure
+from eelgrassmount.log_service import LogFailure
 from eelgrassmount.metrics import LogError
 
 if TYPE_CHECKING:
-    from eelgrassmount.log_port import Appended, LogPort, Page
+    from eelgrassmount.log_service import Appended, LogPort, Page
     from eelgrassmount.metrics import Metrics
 
 
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.peer.port import PeerPort
     from eelgrassmount.retry.quarantine import Quarantine
+    from eelgrassmount.shared_node_state import Blackboard
     from eelgrassmount.timers import Clock
     from eelgrassmount.util.background import Background
     from eelgrassmount.verdict import NotRun
--- a/tests/calls/fakes.py
+++ b/tests/calls/fakes.py
@@ -8,13 +8,13 @@
 import anyio
 from attrs import define, field
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.load.state import ServiceLoad
 from eelgrassmount.members.table import Identity
 from eelgrassmount.retry.exchange import QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.verdict import Answered, Verdict
 
--- a/tests/calls/test_local.py
+++ b/tests/calls/test_local.py
@@ -8,7 +8,6 @@
 import pytest
 from attrs import define, field
 
-from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.calls.downstream import Downstream
 from eelgrassmount.calls.local import LocalRunner
 from eelgrassmount.calls.request import Outcome, Request
@@ -16,6 +15,7 @@
 from eelgrassmount.load.exchange import LoadExchange
 from eelgrassmount.members.table import ServerState
 from eelgrassmount.metrics import make_metrics
+from eelgrassmount.shared_node_state import LocalServer
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason, Verdict
 from tests.calls.fakes import (
     ANSWER,
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -8,13 +8,13 @@
 import pytest
 from attrs import define, evolve, field
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.calls.remote import RemoteRunner
 from eelgrassmount.calls.request import Outcome
 from eelgrassmount.gen.ttypes import CallState, FateAnswer, Hello, Message
 from eelgrassmount.members.table import Identity, Member, MemberState
 from eelgrassmount.peer.codec import encode_outcome
 from eelgrassmount.peer.port import PeerFailure
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 from tests.calls.test_table import make_call
--- a/tests/config/fakes.py
+++ b/tests/config/fakes.py
@@ -7,12 +7,12 @@
 import anyio
 from attrs import define, field
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.config.follower import ConfigFollower
 from eelgrassmount.gen.ttypes import Hello, Message
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.table import Identity, Member, ServiceSummary
 from eelgrassmount.peer.port import PeerFailure
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.util.waiting import wait_for
 
--- a/tests/config/test_fold.py
+++ b/tests/config/test_fold.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.config.follower import ConfigFollower
 from eelgrassmount.config.publish import Accepted, Lost, _Publish, make_publish
 from eelgrassmount.config.record import RecordKind, decode_record, encode_record
 from eelgrassmount.config.rewrite import make_rewrite
 from eelgrassmount.gen.ttypes import ConfigQuestion, Hello, Message
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.table import Identity
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import ManualClock, TimerService
 from tests.config.fakes import make_text
 
--- a/tests/drain/test_drain.py
+++ b/tests/drain/test_drain.py
@@ -10,7 +10,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eelgrassmount.blackboard import Blackboard, DrainStage
 from eelgrassmount.drain.shutdown import Shutdown
 from eelgrassmount.drain.stages import (
     Cause,
@@ -22,6 +21,7 @@
     request_drain,
 )
 from eelgrassmount.members.table import Identity, ServerState
+from eelgrassmount.shared_node_state import Blackboard, DrainStage
 from eelgrassmount.timers import ManualClock, TimerService
 
 SERVING = ServerState.SERVING
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -12,7 +12,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.calls.entry import Reply
 from eelgrassmount.calls.inflight import InFlight
 from eelgrassmount.edge import http, protocol
@@ -29,6 +28,7 @@
 from eelgrassmount.errors import AnnouncementError, ListenError
 from eelgrassmount.members.table import Identity, ServerState
 from eelgrassmount.metrics import make_metrics
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.util.addresses import Address
 from eelgrassmount.util.background import Background
 from eelgrassmount.verdict import Answered, Header, MayHaveRun, NotRun, Reason
--- a/tests/keys/test_views.py
+++ b/tests/keys/test_views.py
@@ -16,7 +16,7 @@
     fold_page,
     rewrite_view,
 )
-from eelgrassmount.log_port import Page, Record
+from eelgrassmount.log_service import Page, Record
 
 A, B, C = (NodeId(f"127.0.0.{n}:1", f"i{n}") for n in (1, 2, 3))
 
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -12,7 +12,6 @@
 import anyio
 from attrs import define, evolve, field
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.config.classes import Configuration, Document
 from eelgrassmount.context import Context, Tier, compute_digest
@@ -21,7 +20,7 @@
 from eelgrassmount.keys.placement import find_home, find_slot
 from eelgrassmount.keys.service import KeyService
 from eelgrassmount.keys.syntax import MintedKey, parse_key
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.table import (
     Identity,
     Member,
@@ -37,6 +36,7 @@
     encode_outcome,
 )
 from eelgrassmount.peer.port import PeerFailure
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import TimerService
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason, Verdict
 
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -9,12 +9,12 @@
 from attrs import define
 
 from benchmarks.admission import SCENARIOS, measure
-from eelgrassmount.blackboard import Blackboard, LocalServer
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.load.dispatcher import LimitedDispatcher
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.queue import WaitingCall
 from eelgrassmount.members.table import Identity, ServerState
+from eelgrassmount.shared_node_state import Blackboard, LocalServer
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.verdict import NotRun, Reason
 
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.config.classes import Document, WorkClass
 from eelgrassmount.context import PRIORITY_LEVELS
 from eelgrassmount.load.admission import EntryMeters, admit_at_entry
@@ -19,6 +18,7 @@
 from eelgrassmount.load.shares import ShareTable, adjust_shares, scale_priority
 from eelgrassmount.load.state import FULL_THRESHOLD, ServiceLoad
 from eelgrassmount.members.table import Identity
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.verdict import Reason
 
 NOW_S = 100.0
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -8,7 +8,6 @@
 import pytest
 from attrs import evolve
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.load.routing import choose_server
 from eelgrassmount.load.servers import SUBSET_SIZE, RoutingState, choose_subset
 from eelgrassmount.load.state import FULL_THRESHOLD
@@ -19,6 +18,7 @@
     ServerState,
     ServiceSummary,
 )
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 
 NOW_S = 100.0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store_client.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 
-from eelgrassmount.platform.store import StoreClient
+from eelgrassmount.platform.store_client import StoreClient
 from eelgrassmount.topics.follower import TopicFollower
 from eelgrassmount.topics.store import Batch, FailureKind, Snapshot, StoredRecord
 from eelgrassmount.util.addresses import Address
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -12,7 +12,7 @@
 from eelgrassmount.compose.relay_run import start_relay, stop_relay
 from eelgrassmount.gen import ttypes
 from eelgrassmount.http1.client import Break
-from eelgrassmount.platform.topics import LEARNED_KEY
+from eelgrassmount.platform.topic_names import LEARNED_KEY
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import UNKNOWN_START
 from eelgrassmount.relay.rows import write_rows
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -18,7 +18,7 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.platform import headers, heartbeats
 from eelgrassmount.platform.heartbeats import read_announcement
-from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
+from eelgrassmount.platform.topic_names import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay import frames
 from eelgrassmount.relay.frames import decode_struct, encode_struct
 from eelgrassmount.relay.rejected_messages import MAX_TRACKED_CAUSES
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -6,11 +6,11 @@
 import pytest
 from attrs import define, evolve, field
 
-from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.gen.ttypes import Gossip, QuarantineNote
 from eelgrassmount.members.table import Identity, Member, ServiceSummary
 from eelgrassmount.retry.exchange import FAR_NODES, QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
+from eelgrassmount.shared_node_state import Blackboard
 from eelgrassmount.timers import ManualClock
 from eelgrassmount.util.background import Background
 
--- a/tests/test_log_client.py
+++ b/tests/test_log_client.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eelgrassmount.log_client import LogClient
-from eelgrassmount.log_port import Appended, LogFailure, Page, Record
+from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 
 PAGE = b'{"first":3,"next":18,"records":[{"offset":17,"body":"aGk="}]}'
 
--- a/tests/test_logs.py
+++ b/tests/test_logging_setup.py
@@ -9,7 +9,7 @@
 import pytest
 from loguru import logger
 
-from eelgrassmount.logs import setup_logs
+from eelgrassmount.logging_setup import setup_logs
 
 
 @pytest.fixture(autouse=True)
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eelgrassmount.compose.relay_run import stop_relay
-from eelgrassmount.platform.topics import LEARNED_KEY
+from eelgrassmount.platform.topic_names import LEARNED_KEY
 from standins.platform_log import Trouble
 from tests.relay.deployment import (
     LOG,
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -11,7 +11,7 @@
 from eelgrassmount.compose import relay_run
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.gen import ttypes
-from eelgrassmount.platform.topics import CONFIGURATION_KEY, LEARNED_KEY
+from eelgrassmount.platform.topic_names import CONFIGURATION_KEY, LEARNED_KEY
 from eelgrassmount.relay import members
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.topics import learned
