--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -16,7 +16,7 @@
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.state import rank_call
 from eelgrassmount.members.table import Identity, ServerState
-from eelgrassmount.shared_node_state import Blackboard, LocalServer
+from eelgrassmount.shared_node_state import LocalServer, SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         """Wire the gate to a clock of its own."""
         self.timers = TimerService(ManualClock(0.0), self.rng)
         identity = Identity("127.0.0.1:1", "here", "region", "1")
-        board = Blackboard(identity)
+        board = SharedNodeState(identity)
         board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
         self.gate = LimitedDispatcher(board, self.timers)
         self.timers.schedule(0.0, self.arrive)
@@ -163,7 +163,7 @@
                 recent = self.timers.read() - self.refused_last_at_s < 0.01
                 self.second().inversions += recent
             run = ServerRun(waiting, self.timers.read())
-            remaining_s = waiting.context.measure_remaining(run.started_s)
+            remaining_s = waiting.context.compute_remaining_s(run.started_s)
             self.timers.schedule(remaining_s, lambda run=run: self.time_out(run))
             self.inside.append(run)
         self.serve()
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -29,7 +29,7 @@
 from eelgrassmount.members.table import Identity, Member, ServerState
 from eelgrassmount.peer.codec import FRAME_HEADER_BYTES, decode_payload, encode_frame
 from eelgrassmount.peer.port import PeerFailure
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.verdict import Answered
 
@@ -91,7 +91,7 @@
         identity = Identity(f"127.0.0.{number}:7000", DOMAIN, "", f"i{number}")
         node = LocalPeers(identity, nodes)
         nodes.append(node)
-        board = Blackboard(identity, log_reachable=True)
+        board = SharedNodeState(identity, log_reachable=True)
         document = Document(failure_domains=(DOMAIN,))
         board.configuration = Configuration(version=1, document=document)
         timers = TimerService(MonotonicClock(), random.Random(number))
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -17,7 +17,7 @@
 from eelgrassmount.members.pace import Pace
 from eelgrassmount.members.table import Identity, MemberState, ServerState
 from eelgrassmount.peer.port import PeerFailure
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
 
     identity: Identity
     network: Network
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     membership: Membership = field(init=False)
     frozen: bool = False
@@ -168,7 +168,7 @@
     ) -> Node:
         incarnation = f"{self.rng.getrandbits(48):012x}"
         identity = Identity(address, domain, "region-1", incarnation)
-        board = Blackboard(identity)
+        board = SharedNodeState(identity)
         timers = TimerService(self.clock, self.rng)
         node = Node(identity, self, board, timers)
         node.membership = Membership(
--- a/eelgrassmount/admin/config.py
+++ b/eelgrassmount/admin/config.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from eelgrassmount.config.follower import ConfigFollower
     from eelgrassmount.config.publish import PublishOutcome
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     body: bytes
 
 
-def show_config(board: Blackboard) -> JsonReply:
+def show_config(board: SharedNodeState) -> JsonReply:
     """Answer ``GET /config``: the version in force here, and its text."""
     own = board.configuration
     return _reply(
--- a/eelgrassmount/admin/routes.py
+++ b/eelgrassmount/admin/routes.py
@@ -23,14 +23,14 @@
     from eelgrassmount.config.follower import ConfigFollower
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 _JSON = (Header("content-type", "application/json"),)
 
 
 def add_routes(
     listener: AdminListener,
-    board: Blackboard,
+    board: SharedNodeState,
     gate: ServerDispatcher,
     count_running: Callable[[], int],
     follower: ConfigFollower,
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -16,11 +16,11 @@
     from eelgrassmount.admin.listener import AdminHandler
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 
 def make_state_handler(
-    board: Blackboard, gate: ServerDispatcher, count_running: Callable[[], int]
+    board: SharedNodeState, gate: ServerDispatcher, count_running: Callable[[], int]
 ) -> AdminHandler:
     """Return the handler of ``GET /state``."""
 
@@ -48,7 +48,7 @@
     return show_state
 
 
-def make_members_handler(board: Blackboard) -> AdminHandler:
+def make_members_handler(board: SharedNodeState) -> AdminHandler:
     """Return the handler of ``GET /members``."""
 
     async def show_members(request: HttpRequest) -> HttpReply:
--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -14,7 +14,7 @@
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.port import Runner
     from eelgrassmount.load.control import LoadControl
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 
 @define(eq=False)
@@ -25,7 +25,7 @@
     for all others, which runs a key only if it has no outcome yet.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     control: LoadControl
     run: Runner
 
--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -8,7 +8,13 @@
 
 from eelgrassmount.calls.request import Call, Outcome
 from eelgrassmount.retry.decisions import choose_retry
-from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason, weaken_verdict
+from eelgrassmount.verdict import (
+    Answered,
+    MayHaveRun,
+    NotRun,
+    Reason,
+    downgrade_verdict,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -65,7 +71,7 @@
             if address is not None:
                 self.metrics.retries.labels(reason).inc()
                 outcome = evolve(outcome, attempts_left=outcome.attempts_left - 1)
-        return evolve(outcome, verdict=weaken_verdict(outcome.verdict, may_have_run))
+        return evolve(outcome, verdict=downgrade_verdict(outcome.verdict, may_have_run))
 
     def _check(self, call: Call) -> NotRun | None:
         return self.quarantine.check(call.context.digest)
@@ -111,7 +117,7 @@
         context = call.context
         if outcome.attempts_left < 1:
             return None
-        if context.measure_remaining(self.timers.read()) <= 0:
+        if context.compute_remaining_s(self.timers.read()) <= 0:
             return None
         if self._check(call) is not None:
             return None
--- a/eelgrassmount/calls/downstream.py
+++ b/eelgrassmount/calls/downstream.py
@@ -9,7 +9,7 @@
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.calls.table import CallRecord, CallTable, Child
 from eelgrassmount.config.classes import is_idempotent
-from eelgrassmount.context import MAX_DEPTH, compute_digest, derive_child
+from eelgrassmount.context import MAX_DEPTH, compute_digest, derive_child_context
 from eelgrassmount.retry.budget import split_attempts
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason, Verdict
 
@@ -18,7 +18,7 @@
 
     from eelgrassmount.keys.port import Runner
     from eelgrassmount.load.exchange import LoadExchange
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
     from eelgrassmount.util.background import Background
 
@@ -31,7 +31,7 @@
     body) is the same call: it waits for, or gets again, the same outcome.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     table: CallTable
     run: Runner
@@ -65,7 +65,7 @@
         parent.children[child_key] = child
         attempts = split_attempts(parent.attempts_left)
         parent.attempts_left -= attempts
-        context = derive_child(parent.call.context, self.make_id(), attempts)
+        context = derive_child_context(parent.call.context, self.make_id(), attempts)
         context = evolve(
             context,
             digest=digest,
--- a/eelgrassmount/calls/entry.py
+++ b/eelgrassmount/calls/entry.py
@@ -21,7 +21,7 @@
     NotRun,
     Reason,
     Verdict,
-    name_verdict,
+    get_verdict_name,
 )
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     from eelgrassmount.keys.port import KeyPort, Runner
     from eelgrassmount.load.control import LoadControl
     from eelgrassmount.metrics import Metrics
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 # unreserved characters of RFC 3986, with an optional failure domain in front
@@ -53,7 +53,7 @@
 class Entry:
     """Takes requests of callers: class, deadline, admission, key."""
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     run: Runner
     keys: KeyPort
@@ -83,7 +83,7 @@
         complete = answered and seconds * 1000 <= work_class.within_ms
         touched = {load.service for load in outcome.loads}
         self.control.record_request(work_class.name, complete, touched)
-        verdict_name = name_verdict(outcome.verdict)
+        verdict_name = get_verdict_name(outcome.verdict)
         record_call(self.metrics, work_class.name, verdict_name, seconds)
 
     def _explain_no_class(self) -> Reason:
@@ -110,7 +110,7 @@
         The parts on the way keep the deadline themselves, and know more of
         the fate of the call than is known here.
         """
-        limit_s = call.context.measure_remaining(self.timers.read()) + GRACE_S
+        limit_s = call.context.compute_remaining_s(self.timers.read()) + GRACE_S
         outcome = Outcome(MayHaveRun(Reason.DEADLINE))
         with anyio.move_on_after(limit_s):
             # admission of a keyed call is up to the owner of its key, which
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -15,7 +15,7 @@
     NotRun,
     Reason,
     Verdict,
-    weaken_verdict,
+    downgrade_verdict,
 )
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     from eelgrassmount.load.port import ServerDispatcher
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.retry.exchange import QuarantineExchange
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 _KIND_BY_REASON = {
@@ -44,7 +44,7 @@
 class LocalRunner:
     """Runs calls on the own backend server: each call id once."""
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     table: CallTable
     gate: ServerDispatcher
@@ -155,7 +155,7 @@
                 child.scope.cancel()
 
 
-def _explain_closed(board: Blackboard) -> Reason:
+def _explain_closed(board: SharedNodeState) -> Reason:
     if board.server.state is ServerState.STARTING:
         return Reason.SERVER_STARTING
     if board.server.state is ServerState.ABSENT:
@@ -181,4 +181,4 @@
     failed = any(not child.answered for child in children)
     if isinstance(verdict, Answered) and failed:
         return MayHaveRun(Reason.PARTIAL)
-    return weaken_verdict(verdict, any(child.may_have_run for child in children))
+    return downgrade_verdict(verdict, any(child.may_have_run for child in children))
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from eelgrassmount.calls.request import Call
     from eelgrassmount.peer.pool import PeerPool
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 # the other node gives its answer by the deadline; this is for the way back
@@ -32,7 +32,7 @@
 class RemoteRunner:
     """Lets other nodes run calls on their backend servers."""
 
-    board: Blackboard
+    board: SharedNodeState
     peers: PeerPool
     timers: TimerService
 
@@ -72,7 +72,7 @@
     ) -> Message | PeerFailure:
         now_s = self.timers.read()
         frame = encode_call(call, Route.RUN, now_s)
-        remaining_s = call.context.measure_remaining(now_s) + GRACE_S
+        remaining_s = call.context.compute_remaining_s(now_s) + GRACE_S
         return await self.peers.ask(
             address, Message(call=frame), remaining_s, incarnation
         )
@@ -85,7 +85,7 @@
         A call that is not idempotent can't be sent elsewhere, so it is worth
         waiting for the word of a node that is cut off or frozen.
         """
-        while call.context.measure_remaining(self.timers.read()) > 0:
+        while call.context.compute_remaining_s(self.timers.read()) > 0:
             reply = await self._ask_fate(call, failure)
             if not isinstance(reply, PeerFailure):
                 return reply
@@ -98,7 +98,7 @@
     async def _ask_fate(
         self, call: Call, failure: PeerFailure
     ) -> Message | PeerFailure | None:
-        remaining_s = call.context.measure_remaining(self.timers.read())
+        remaining_s = call.context.compute_remaining_s(self.timers.read())
         question = Message(fate_question=FateQuestion(call.context.call_id))
         reply = await self.peers.ask(
             failure.address, question, remaining_s, failure.incarnation
--- a/eelgrassmount/cmd/node.py
+++ b/eelgrassmount/cmd/node.py
@@ -32,9 +32,9 @@
         settings = load_settings(flags, os.environ)
         # the parts of a node take long to import, other commands need none
         from eelgrassmount.compose.main import run_node
-        from eelgrassmount.logging_setup import setup_logs
+        from eelgrassmount.logging_setup import configure_logging
 
-        setup_logs(settings.log_level)
+        configure_logging(settings.log_level)
         run_node(settings)
         return ExitCode.DONE
 
--- a/eelgrassmount/cmd/relay.py
+++ b/eelgrassmount/cmd/relay.py
@@ -12,7 +12,7 @@
 from eelgrassmount.cmd.action import ExitCode
 from eelgrassmount.compose.relay_run import serve_relay
 from eelgrassmount.errors import EelgrassmountError
-from eelgrassmount.logging_setup import setup_logs
+from eelgrassmount.logging_setup import configure_logging
 from eelgrassmount.platform.settings import find_settings_file
 
 # objects before a collection of the youngest, middle and oldest generation: the
@@ -24,7 +24,7 @@
     """Run a node as the platform's settings file says, until SIGTERM."""
     # until the settings are watched, a signal that they have changed says nothing
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    setup_logs("info", sys.stdout)
+    configure_logging("info", sys.stdout)
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -14,7 +14,7 @@
 from eelgrassmount.metered_log import MeteredLog
 from eelgrassmount.metrics import Metrics, make_metrics
 from eelgrassmount.peer.pool import PeerPool
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.util.background import Background
 
@@ -31,7 +31,7 @@
     """What every part is built on."""
 
     settings: Settings
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     rng: random.Random
     metrics: Metrics
@@ -67,7 +67,7 @@
     )
     return Base(
         settings=settings,
-        board=Blackboard(identity),
+        board=SharedNodeState(identity),
         timers=timers,
         rng=rng,
         metrics=metrics,
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -15,7 +15,7 @@
 from eelgrassmount.edge.caller import CallerListener
 from eelgrassmount.edge.http import serve_http
 from eelgrassmount.peer.listener import PeerListener
-from eelgrassmount.shared_node_state import Blackboard, DrainStage
+from eelgrassmount.shared_node_state import DrainStage, SharedNodeState
 
 if TYPE_CHECKING:
     pass
@@ -83,7 +83,7 @@
     node.callers.append(server)
 
 
-async def _wait_until_joined(board: Blackboard) -> None:
+async def _wait_until_joined(board: SharedNodeState) -> None:
     """Take no callers before this node can place their requests.
 
     A node that knows no configuration or nobody else after a while may be the
@@ -94,7 +94,7 @@
             await anyio.sleep(JOIN_POLL_S)
 
 
-def _has_joined(board: Blackboard) -> bool:
+def _has_joined(board: SharedNodeState) -> bool:
     domains = board.configuration.document.failure_domains
     knows_near = len(board.members.members) > 1
     knows_far = len(domains) < 2 or bool(board.members.summaries)
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -81,7 +81,7 @@
         """Return what follows the topics of the log."""
         return self.readers.followers
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Drop every listener and connection."""
         for listener in self.listeners:
             listener.end()
@@ -92,7 +92,7 @@
                 member.link.close()
         for link in self.beliefs.members.list_retired():
             link.close()
-        self.store.end()
+        self.store.close()
 
     def apply_settings(self, settings: RelaySettings) -> None:
         """Take up settings that have changed; addresses hold until a restart.
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -167,7 +167,7 @@
     stalls = StallWatch(
         LINK_PERIOD_S,
         read_process_times,
-        timers.slowest.take,
+        timers.slowest.pop,
         node.metrics.stalls.inc,
     )
     timers.subscribe(LINK_PERIOD_S, stalls.check)
--- a/eelgrassmount/config/exchange.py
+++ b/eelgrassmount/config/exchange.py
@@ -21,7 +21,7 @@
     from eelgrassmount.config.stream import ConfigStream
     from eelgrassmount.gen.ttypes import Hello
     from eelgrassmount.peer.port import Handlers, PeerPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 ANNOUNCED_PEERS = 3
 
@@ -39,7 +39,7 @@
     ``take`` is called with each version that is newer than the one in force.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     stream: ConfigStream
     peers: PeerPort
     rng: random.Random
--- a/eelgrassmount/config/follower.py
+++ b/eelgrassmount/config/follower.py
@@ -28,9 +28,9 @@
 
     from eelgrassmount.config.counts import ConfigCounts
     from eelgrassmount.config.publish import PublishOutcome
-    from eelgrassmount.log_service import LogPort
+    from eelgrassmount.log_service import LogService
     from eelgrassmount.peer.port import Handlers, PeerPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import Timer, TimerService
 
 DEFAULT_REWRITE_S = 60.0
@@ -60,10 +60,10 @@
     node is one of those that tail the log at present.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     peers: PeerPort
-    log: LogPort
+    log: LogService
     rng: random.Random
     seeds: tuple[str, ...] = ()
     rewrite_s: float = DEFAULT_REWRITE_S
--- a/eelgrassmount/config/publish.py
+++ b/eelgrassmount/config/publish.py
@@ -21,7 +21,7 @@
     from collections.abc import Awaitable, Callable
 
     from eelgrassmount.config.stream import ConfigStream
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 DEFAULT_LIMIT_S = 8.0
@@ -91,7 +91,7 @@
     """
 
     stream: ConfigStream
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     rng: random.Random
     find_anchor: Callable[[], Awaitable[None]]
--- a/eelgrassmount/config/stream.py
+++ b/eelgrassmount/config/stream.py
@@ -29,8 +29,8 @@
     from collections.abc import Callable
 
     from eelgrassmount.config.record import ConfigRecord
-    from eelgrassmount.log_service import Appended, LogPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.log_service import Appended, LogService
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 CONFIG_STREAM = "config"
 PAGE_RECORDS = 200
@@ -60,8 +60,8 @@
     which the fold is not exact, if it is not.
     """
 
-    log: LogPort
-    board: Blackboard
+    log: LogService
+    board: SharedNodeState
     read_clock: Callable[[], float]
     changed: Callable[[], None]
     fold: Fold = field(factory=Fold)
@@ -161,7 +161,7 @@
         logger.info("the log is {}", "reachable" if reachable else "unreachable")
 
 
-async def read_decisions(log: LogPort, fold: Fold) -> FoldResult | LogFailure:
+async def read_decisions(log: LogService, fold: Fold) -> FoldResult | LogFailure:
     """Read from where ``fold`` stands to the end of the stream.
 
     Return the fold there and what was decided on the way, oldest first. If the
--- a/eelgrassmount/context.py
+++ b/eelgrassmount/context.py
@@ -42,7 +42,7 @@
     key: str = ""
     digest: str = ""
 
-    def measure_remaining(self, now_s: float) -> float:
+    def compute_remaining_s(self, now_s: float) -> float:
         """Return the seconds left until the deadline, negative when passed."""
         return self.deadline_s - now_s
 
@@ -67,7 +67,7 @@
     return digest.hexdigest()
 
 
-def derive_child(parent: Context, call_id: str, attempts_left: int) -> Context:
+def derive_child_context(parent: Context, call_id: str, attempts_left: int) -> Context:
     """Return the context of a downstream call made on behalf of ``parent``."""
     return evolve(
         parent,
--- a/eelgrassmount/drain/shutdown.py
+++ b/eelgrassmount/drain/shutdown.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import Timer, TimerService
     from eelgrassmount.util.background import Background
 
@@ -41,14 +41,14 @@
     counts the requests and calls that this node still has to answer,
     ``hand_over_keys`` gives its keys and their answers to other nodes, ``leave``
     says farewell. ``note_drain`` is told of each drain that begins. Writes
-    `Blackboard.drain`::
+    `SharedNodeState.drain`::
 
         shutdown.start(group)
         shutdown.request(Cause.SIGNAL)
         report = await shutdown.wait()
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     announce: Callable[[], None]
     count_in_flight: Callable[[], int]
--- a/eelgrassmount/edge/announcements.py
+++ b/eelgrassmount/edge/announcements.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 # a server that has not announced itself for this long is gone
@@ -39,7 +39,7 @@
     ``note_change`` is called when the service, address or state changes.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     note_change: Callable[[], None]
     count_running: Callable[[], int]
--- a/eelgrassmount/edge/headers.py
+++ b/eelgrassmount/edge/headers.py
@@ -14,7 +14,7 @@
     NotRun,
     Reason,
     Verdict,
-    name_verdict,
+    get_verdict_name,
 )
 
 if TYPE_CHECKING:
@@ -117,7 +117,7 @@
 
 def make_verdict_headers(verdict: Verdict) -> list[Header]:
     """Return the headers that tell a verdict and when to come back."""
-    headers = [Header(VERDICT, name_verdict(verdict))]
+    headers = [Header(VERDICT, get_verdict_name(verdict))]
     if isinstance(verdict, Answered):
         return headers
     headers.append(Header(REASON, verdict.reason.value))
--- a/eelgrassmount/edge/probes.py
+++ b/eelgrassmount/edge/probes.py
@@ -81,7 +81,7 @@
 
     def _is_due(self, exchange: Exchange) -> bool:
         context = exchange.call.context
-        part_s = ASK_AFTER_PART * context.measure_remaining(exchange.begun_s)
+        part_s = ASK_AFTER_PART * context.compute_remaining_s(exchange.begun_s)
         typical_s = ASK_AFTER_TYPICAL * self.client.typical_s
         wait_s = max(ASK_AFTER_S, min(typical_s, part_s))
         since_s = self._asked_s.get(context.call_id, exchange.begun_s)
--- a/eelgrassmount/edge/server.py
+++ b/eelgrassmount/edge/server.py
@@ -172,7 +172,7 @@
         """Return a call as an HTTP request, ``None`` if HTTP can't carry it."""
         context = call.context
         request = call.request
-        remaining_ms = context.measure_remaining(self.clock.read()) * 1000
+        remaining_ms = context.compute_remaining_s(self.clock.read()) * 1000
         passed = keep_passing(request.headers)
         lines = [
             f"{request.method} {request.path} HTTP/1.1",
--- a/eelgrassmount/keys/core.py
+++ b/eelgrassmount/keys/core.py
@@ -21,9 +21,9 @@
     from anyio.abc import TaskGroup
 
     from eelgrassmount.keys.port import Runner
-    from eelgrassmount.log_service import LogPort
+    from eelgrassmount.log_service import LogService
     from eelgrassmount.peer.port import PeerPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
     Counter = Callable[[str], None]
@@ -57,10 +57,10 @@
 class Core:
     """State and ports of the key service, shared by its parts."""
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     peers: PeerPort
-    log: LogPort
+    log: LogService
     run: Runner
     rng: random.Random
     settings: KeySettings
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -25,9 +25,9 @@
     from eelgrassmount.gen.ttypes import Hello, Message
     from eelgrassmount.keys.holder import SlotHolder
     from eelgrassmount.keys.port import Runner
-    from eelgrassmount.log_service import LogPort
+    from eelgrassmount.log_service import LogService
     from eelgrassmount.peer.port import Handlers, PeerPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
 HAND_OVER_S = 20.0
@@ -55,10 +55,10 @@
     @classmethod
     def create(
         cls,
-        board: Blackboard,
+        board: SharedNodeState,
         timers: TimerService,
         peers: PeerPort,
-        log: LogPort,
+        log: LogService,
         run: Runner,
         rng: random.Random,
         settings: KeySettings | None = None,
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -19,7 +19,7 @@
     import random
 
     from eelgrassmount.config.classes import WorkClass
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 
 @define
@@ -34,7 +34,7 @@
 
 
 def find_bottleneck(
-    board: Blackboard,
+    board: SharedNodeState,
     work_class: WorkClass,
     service: str,
     priority: int,
@@ -54,7 +54,7 @@
 
 
 def admit_at_entry(
-    board: Blackboard,
+    board: SharedNodeState,
     state: EntryMeters,
     work_class: WorkClass,
     service: str,
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -25,7 +25,7 @@
     from eelgrassmount.config.classes import WorkClass
     from eelgrassmount.context import Context
     from eelgrassmount.load.state import ServiceLoad
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
     from eelgrassmount.verdict import NotRun, Verdict
 
@@ -41,7 +41,7 @@
     ``choose`` and ``record_end``; ``record_request`` follows each client request.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     exchange: LoadExchange = field(init=False)
     routing: RoutingState = field(init=False)
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -38,7 +38,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.context import Context
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import Timer, TimerService
 
 _SWEEP_INTERVAL_S = 0.02
@@ -58,7 +58,7 @@
     server restarts.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     make_limiter: Callable[[float], Limiter] = Limiter
     in_flight: int = 0
@@ -154,7 +154,7 @@
         return max(self._blocked_until_s, self.threshold.hold_until_s)
 
     def _can_finish(self, waiting: WaitingCall, ahead: int, now_s: float) -> bool:
-        remaining_s = waiting.context.measure_remaining(now_s)
+        remaining_s = waiting.context.compute_remaining_s(now_s)
         needed_s = self._run_s_by_class.get(waiting.context.class_name, 0.0)
         if ahead:
             needed_s += ahead * self._estimate_slot_wait_s(now_s)
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -21,7 +21,7 @@
     import random
     from collections.abc import Collection
 
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 _SUBSET_INTERVAL_S = 0.25
 
@@ -43,7 +43,7 @@
 
 
 def choose_server(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -76,7 +76,7 @@
 
 
 def _choose_from_held(
-    board: Blackboard, service: str, excluded: Collection[str], rng: random.Random
+    board: SharedNodeState, service: str, excluded: Collection[str], rng: random.Random
 ) -> str | None:
     # A service without other servers uses the members that are held back.
     held = [member.identity.address for member in board.members.find_held(service)]
@@ -85,7 +85,7 @@
 
 
 def has_open_server(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -109,7 +109,7 @@
 
 
 def _list_local(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -127,7 +127,7 @@
 
 
 def _find_subset(
-    board: Blackboard, state: RoutingState, service: str, now_s: float
+    board: SharedNodeState, state: RoutingState, service: str, now_s: float
 ) -> tuple[str, ...]:
     subset = state.subsets.get(service)
     if subset is None or now_s - subset.chosen_s >= _SUBSET_INTERVAL_S:
@@ -139,7 +139,7 @@
 
 
 def _list_remote(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -161,7 +161,7 @@
 
 
 def _make_candidates(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     reported: dict[str, ServiceLoad],
     now_s: float,
@@ -180,7 +180,7 @@
 
 
 def _find_latest(
-    board: Blackboard, address: str, reported: ServiceLoad, now_s: float
+    board: SharedNodeState, address: str, reported: ServiceLoad, now_s: float
 ) -> ServiceLoad:
     direct = board.loads.by_node.get(address)
     if direct is None or direct.service != reported.service:
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -10,7 +10,7 @@
 from eelgrassmount.verdict import Answered, MayHaveRun, Reason, Verdict
 
 if TYPE_CHECKING:
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 # Servers of a service that a node sends calls to.
 SUBSET_SIZE = 12
@@ -118,7 +118,7 @@
             )
             record.avoid_until_s = now_s + record.avoidance_s
 
-    def refresh(self, board: Blackboard, now_s: float) -> None:
+    def refresh(self, board: SharedNodeState, now_s: float) -> None:
         """Update which servers serve, and drop the records of absent ones.
 
         Called periodically, this distinguishes a server that returns from one that had
--- a/eelgrassmount/log_service.py
+++ b/eelgrassmount/log_service.py
@@ -38,7 +38,7 @@
     sent: bool
 
 
-class LogPort(Protocol):
+class LogService(Protocol):
     """Appends to and reads from the streams of the log service."""
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
--- a/eelgrassmount/logging_setup.py
+++ b/eelgrassmount/logging_setup.py
@@ -17,7 +17,7 @@
 )
 
 
-def setup_logs(level: str, stream: TextIO | None = None) -> None:
+def configure_logging(level: str, stream: TextIO | None = None) -> None:
     """Send log lines of at least ``level`` to ``stream``, by default stderr.
 
     On a terminal the lines are for people, anywhere else each is one JSON
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -24,7 +24,7 @@
 
     from anyio.abc import TaskGroup
 
-    from eelgrassmount.log_service import LogPort, Record
+    from eelgrassmount.log_service import LogService, Record
     from eelgrassmount.members.roster import Roster
     from eelgrassmount.members.rounds import Rounds
     from eelgrassmount.members.table import Member
@@ -105,7 +105,7 @@
     roster: Roster
     timers: TimerService
     rounds: Rounds
-    log: LogPort
+    log: LogService
     seeds: tuple[str, ...]
     is_delegate: Callable[[], bool]
     _backoff_s: float = field(init=False)
--- a/eelgrassmount/members/membership.py
+++ b/eelgrassmount/members/membership.py
@@ -27,9 +27,9 @@
 
     from eelgrassmount.gen.ttypes import Gossip
     from eelgrassmount.load.state import ServiceLoad
-    from eelgrassmount.log_service import LogPort
+    from eelgrassmount.log_service import LogService
     from eelgrassmount.peer.port import Handlers, PeerPort
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
     from eelgrassmount.util.background import Background
 
@@ -38,7 +38,7 @@
 
 
 class Membership:
-    """Keeps `Blackboard.members` and tells the other nodes of this one.
+    """Keeps `SharedNodeState.members` and tells the other nodes of this one.
 
     ``describe_load`` gives the load of the local backend server. Other parts
     that have something to say in each message add a function to ``fillers``, and to
@@ -51,10 +51,10 @@
 
     def __init__(
         self,
-        board: Blackboard,
+        board: SharedNodeState,
         timers: TimerService,
         peers: PeerPort,
-        log: LogPort,
+        log: LogService,
         rng: random.Random,
         seeds: Sequence[str] = (),
         counts: Counts | None = None,
--- a/eelgrassmount/metered_log.py
+++ b/eelgrassmount/metered_log.py
@@ -10,7 +10,7 @@
 from eelgrassmount.metrics import LogError
 
 if TYPE_CHECKING:
-    from eelgrassmount.log_service import Appended, LogPort, Page
+    from eelgrassmount.log_service import Appended, LogService, Page
     from eelgrassmount.metrics import Metrics
 
 
@@ -18,7 +18,7 @@
 class MeteredLog:
     """Passes everything on to ``log`` and counts appends and failures."""
 
-    log: LogPort
+    log: LogService
     metrics: Metrics
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
--- a/eelgrassmount/peer/codec.py
+++ b/eelgrassmount/peer/codec.py
@@ -75,7 +75,7 @@
 
 
 def _encode_remaining(context: Context, now_s: float) -> int:
-    return max(0, int(context.measure_remaining(now_s) * 1000))
+    return max(0, int(context.compute_remaining_s(now_s) * 1000))
 
 
 def decode_call(frame: ttypes.Call, now_s: float) -> Call:
--- a/eelgrassmount/platform/store_client.py
+++ b/eelgrassmount/platform/store_client.py
@@ -83,7 +83,7 @@
     async def read_newest(self, topic: str) -> Snapshot | StoreFailure:
         """Return the newest record of each key of a topic.
 
-        ``end`` is that of the first page: records that come while the pages are
+        ``close`` is that of the first page: records that come while the pages are
         read are seen again by reads from there.
         """
         found: list[StoredRecord | None] = []
@@ -128,7 +128,7 @@
             return answer
         return _cut_records(answer, offset)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Drop all connections."""
         self._connections.end()
 
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -14,7 +14,7 @@
 
     from eelgrassmount.peer.port import PeerPort
     from eelgrassmount.retry.quarantine import Quarantine
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import Clock
     from eelgrassmount.util.background import Background
     from eelgrassmount.verdict import NotRun
@@ -33,7 +33,7 @@
     other one. Whoever hears of it from another failure domain tells its own.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     clock: Clock
     peers: PeerPort
     quarantine: Quarantine
--- a/eelgrassmount/shared_node_state.py
+++ b/eelgrassmount/shared_node_state.py
@@ -35,7 +35,7 @@
 
 
 @define
-class Blackboard:
+class SharedNodeState:
     """Everything that one controller writes and another one reads.
 
     Each part has one writer: ``configuration`` the configuration follower,
--- a/eelgrassmount/timers.py
+++ b/eelgrassmount/timers.py
@@ -93,13 +93,13 @@
     name: str = ""
     seconds: float = 0.0
 
-    def note(self, action: Callable[[], None], seconds: float) -> None:
+    def record(self, action: Callable[[], None], seconds: float) -> None:
         """Take up how long an action took."""
         if seconds > self.seconds:
             self.name = name_action(action)
             self.seconds = seconds
 
-    def take(self) -> tuple[str, float]:
+    def pop(self) -> tuple[str, float]:
         """Return the name of the slowest action and its seconds, and begin anew."""
         found = self.name, self.seconds
         self.name = ""
@@ -207,7 +207,7 @@
             # one faulty action must not stop the others
             logger.exception("a timer's action failed")
             self.note_error()
-        self.slowest.note(timer.action, self.read() - begun_s)
+        self.slowest.record(timer.action, self.read() - begun_s)
 
     def advance(self, seconds: float) -> None:
         """Move a `ManualClock` on, running all timers that fall due on the way."""
--- a/eelgrassmount/verdict.py
+++ b/eelgrassmount/verdict.py
@@ -94,7 +94,7 @@
 Verdict = Answered | NotRun | MayHaveRun
 
 
-def name_verdict(verdict: Verdict) -> str:
+def get_verdict_name(verdict: Verdict) -> str:
     """Return the name of a verdict as it stands in the verdict header."""
     match verdict:
         case Answered():
@@ -104,7 +104,7 @@
     return MAY_HAVE_RUN
 
 
-def weaken_verdict(verdict: Verdict, subtree_ran: bool) -> Verdict:
+def downgrade_verdict(verdict: Verdict, subtree_ran: bool) -> Verdict:
     """Turn a *not run* into *may have run* where something else has run.
 
     A call whose own server refused it may have had downstream calls that ran
@@ -115,7 +115,7 @@
     return verdict
 
 
-def delay_verdict(verdict: Verdict, retry_after_s: float) -> Verdict:
+def set_retry_after(verdict: Verdict, retry_after_s: float) -> Verdict:
     """Return a refusal with its time to come back set, if it has none yet."""
     if isinstance(verdict, Answered) or verdict.retry_after_s > 0:
         return verdict
--- a/tests/calls/fakes.py
+++ b/tests/calls/fakes.py
@@ -14,7 +14,7 @@
 from eelgrassmount.members.table import Identity
 from eelgrassmount.retry.exchange import QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.verdict import Answered, Verdict
 
@@ -50,8 +50,8 @@
     return Call(make_context(**changes), request)
 
 
-def make_board() -> Blackboard:
-    return Blackboard(Identity(OWN, "bowbazar", "kolkata", "first"))
+def make_board() -> SharedNodeState:
+    return SharedNodeState(Identity(OWN, "bowbazar", "kolkata", "first"))
 
 
 def make_timers() -> TimerService:
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -14,7 +14,7 @@
 from eelgrassmount.members.table import Identity, Member, MemberState
 from eelgrassmount.peer.codec import encode_outcome
 from eelgrassmount.peer.port import PeerFailure
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import MonotonicClock, TimerService
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 from tests.calls.test_table import make_call
@@ -64,7 +64,7 @@
 async def run_call(peers, idempotent=False, state=MemberState.ALIVE, limit_s=30.0):
     timers = TimerService(MonotonicClock(), random.Random(1))
     identity = Identity(ADDRESS, "a", "r", OLD)
-    board = Blackboard(evolve(identity, address="127.0.0.1:8"))
+    board = SharedNodeState(evolve(identity, address="127.0.0.1:8"))
     board.members.members[ADDRESS] = Member(identity, state=state)
     call = make_call("one", idempotent)
     deadline_s = timers.read() + limit_s
--- a/tests/config/fakes.py
+++ b/tests/config/fakes.py
@@ -12,7 +12,7 @@
 from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.table import Identity, Member, ServiceSummary
 from eelgrassmount.peer.port import PeerFailure
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.util.waiting import wait_for
 
@@ -89,7 +89,7 @@
 
 @define
 class Node:
-    board: Blackboard
+    board: SharedNodeState
     log: FakeLogClient
     follower: ConfigFollower
     tasks: anyio.abc.TaskGroup
@@ -132,7 +132,7 @@
 
     async def start(self, address: str, seed: int = 0, **options) -> Node:
         domain = address.split("-")[0]
-        board = Blackboard(Identity(address, domain, "r", address))
+        board = SharedNodeState(Identity(address, domain, "r", address))
         log = FakeLogClient(self.log, self.timers)
         rng = random.Random(f"{address}{seed}")
         port = FakePeers(self, address)
--- a/tests/config/test_fold.py
+++ b/tests/config/test_fold.py
@@ -17,7 +17,7 @@
 from eelgrassmount.gen.ttypes import ConfigQuestion, Hello, Message
 from eelgrassmount.log_service import Appended, LogFailure, Page, Record
 from eelgrassmount.members.table import Identity
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 from tests.config.fakes import make_text
 
@@ -108,7 +108,7 @@
         self.count = 0
 
     def make_node(self) -> ConfigFollower:
-        board = Blackboard(Identity("a", "d", "r", "i"))
+        board = SharedNodeState(Identity("a", "d", "r", "i"))
         return ConfigFollower(board, self.timers, None, self.log, random.Random(1))
 
     @rule(step=STEP, node=NODE, count=st.integers(1, 4), fault=FAULT)
--- a/tests/drain/test_drain.py
+++ b/tests/drain/test_drain.py
@@ -21,7 +21,7 @@
     request_drain,
 )
 from eelgrassmount.members.table import Identity, ServerState
-from eelgrassmount.shared_node_state import Blackboard, DrainStage
+from eelgrassmount.shared_node_state import DrainStage, SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 
 SERVING = ServerState.SERVING
@@ -103,7 +103,9 @@
     """A shutdown whose surroundings are plain values."""
 
     def __init__(self, group):
-        self.board = Blackboard(Identity("127.1.0.1:1", "bowbazar", "kolkata", "a"))
+        self.board = SharedNodeState(
+            Identity("127.1.0.1:1", "bowbazar", "kolkata", "a")
+        )
         self.board.server.state = SERVING
         self.timers = TimerService(ManualClock(), random.Random(1))
         self.in_flight = 0
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -28,7 +28,7 @@
 from eelgrassmount.errors import AnnouncementError, ListenError
 from eelgrassmount.members.table import Identity, ServerState
 from eelgrassmount.metrics import make_metrics
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.util.addresses import Address
 from eelgrassmount.util.background import Background
 from eelgrassmount.verdict import Answered, Header, MayHaveRun, NotRun, Reason
@@ -283,7 +283,7 @@
 
 
 class FakeAnnouncements:
-    board = Blackboard(Identity("a", "b", "c", "d"))
+    board = SharedNodeState(Identity("a", "b", "c", "d"))
 
     def take(self, body: bytes) -> dict[str, Any]:
         return {"taken": parse_announcement(body, 0.0).service}
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -36,7 +36,7 @@
     encode_outcome,
 )
 from eelgrassmount.peer.port import PeerFailure
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import TimerService
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason, Verdict
 
@@ -173,7 +173,7 @@
     def __attrs_post_init__(self) -> None:
         self.thawed.set()
         world = self.world
-        board = Blackboard(self.identity)
+        board = SharedNodeState(self.identity)
         document = Document(failure_domains=world.failure_domains)
         board.configuration = Configuration(version=1, document=document)
         self.service = KeyService.create(
@@ -377,7 +377,7 @@
             for node in self.nodes.values():
                 self._note_member(board, observer, node)
 
-    def _note_member(self, board: Blackboard, observer: Node, node: Node) -> None:
+    def _note_member(self, board: SharedNodeState, observer: Node, node: Node) -> None:
         identity = node.identity
         if identity.failure_domain != observer.identity.failure_domain:
             key = (identity.failure_domain, "jobdesk")
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -14,7 +14,7 @@
 from eelgrassmount.load.port import Sample, SampleKind
 from eelgrassmount.load.queue import WaitingCall
 from eelgrassmount.members.table import Identity, ServerState
-from eelgrassmount.shared_node_state import Blackboard, LocalServer
+from eelgrassmount.shared_node_state import LocalServer, SharedNodeState
 from eelgrassmount.timers import ManualClock, TimerService
 from eelgrassmount.verdict import NotRun, Reason
 
@@ -41,7 +41,7 @@
 @pytest.fixture
 def dispatcher() -> LimitedDispatcher:
     timers = TimerService(ManualClock(), random.Random(1))
-    board = Blackboard(Identity("127.0.0.1:1", "here", "region", "1"))
+    board = SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
     board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
     return LimitedDispatcher(board, timers, lambda now_s: FixedLimiter())
 
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -18,7 +18,7 @@
 from eelgrassmount.load.shares import ShareTable, adjust_shares, scale_priority
 from eelgrassmount.load.state import FULL_THRESHOLD, ServiceLoad
 from eelgrassmount.members.table import Identity
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.verdict import Reason
 
 NOW_S = 100.0
@@ -28,12 +28,12 @@
 
 
 @pytest.fixture
-def board() -> Blackboard:
-    return Blackboard(Identity("127.0.0.1:1", "here", "region", "1"))
+def board() -> SharedNodeState:
+    return SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
 
 
 def is_admitted(
-    board: Blackboard, work_class: WorkClass, priority: int, now_s: float
+    board: SharedNodeState, work_class: WorkClass, priority: int, now_s: float
 ) -> bool:
     refusal = admit_at_entry(
         board, EntryMeters(), work_class, "a", priority, random.Random(1), now_s
@@ -44,7 +44,7 @@
 
 
 def test_entry_refuses_what_a_downstream_service_would_refuse(
-    board: Blackboard,
+    board: SharedNodeState,
 ) -> None:
     exchange = LoadExchange(board.loads)
     deep = ServiceLoad("c", PRIORITY_LEVELS + 300)
@@ -61,7 +61,9 @@
     assert is_admitted(board, LOOKUP, 1023, NOW_S + 3.0)
 
 
-def test_fresh_relayed_load_goes_before_an_old_direct_one(board: Blackboard) -> None:
+def test_fresh_relayed_load_goes_before_an_old_direct_one(
+    board: SharedNodeState,
+) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "c", [ServiceLoad("c", 2048)], NOW_S - 1.0)
     exchange.merge("127.0.0.1:8", "a", [ServiceLoad("c", 300)], NOW_S)
@@ -70,7 +72,9 @@
     assert is_admitted(board, BOOKING, 299, NOW_S)
 
 
-def test_class_that_no_longer_uses_a_service_is_admitted(board: Blackboard) -> None:
+def test_class_that_no_longer_uses_a_service_is_admitted(
+    board: SharedNodeState,
+) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "a", [ServiceLoad("c", 0)], NOW_S)
     exchange.learn("lookup", ["a", "c"])
@@ -95,7 +99,7 @@
     assert combine_loads("a", loads, NOW_S).threshold == combined
 
 
-def test_answer_carries_the_loads_of_all_used_services(board: Blackboard) -> None:
+def test_answer_carries_the_loads_of_all_used_services(board: SharedNodeState) -> None:
     exchange = LoadExchange(board.loads)
     exchange.merge("127.0.0.1:7", "b", [ServiceLoad("b", 700)], NOW_S)
     exchange.record_downstream("call", "b", [ServiceLoad("b"), ServiceLoad("c")])
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -18,7 +18,7 @@
     ServerState,
     ServiceSummary,
 )
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 
 NOW_S = 100.0
@@ -28,8 +28,8 @@
 
 
 @pytest.fixture
-def board() -> Blackboard:
-    board = Blackboard(Identity("127.0.0.9:1", "here", "region", "1"))
+def board() -> SharedNodeState:
+    board = SharedNodeState(Identity("127.0.0.9:1", "here", "region", "1"))
     for address in LOCAL:
         board.members.members[address] = Member(
             Identity(address, "here", "region", "1"),
@@ -45,13 +45,13 @@
     return board
 
 
-def change(board: Blackboard, address: str, **changes: object) -> None:
+def change(board: SharedNodeState, address: str, **changes: object) -> None:
     members = board.members.members
     members[address] = evolve(members[address], **changes)
 
 
 def choose(
-    board: Blackboard,
+    board: SharedNodeState,
     state: RoutingState,
     count: int = 400,
     rank: int = 0,
@@ -67,7 +67,7 @@
     return chosen
 
 
-def test_local_servers_are_chosen_first_and_evenly(board: Blackboard) -> None:
+def test_local_servers_are_chosen_first_and_evenly(board: SharedNodeState) -> None:
     chosen = choose(board, RoutingState(NOW_S))
     assert set(chosen) == set(LOCAL)
     assert max(chosen.values()) < 2 * min(chosen.values())
@@ -82,7 +82,9 @@
         {"server_state": ServerState.STARTING},
     ],
 )
-def test_leaving_server_receives_no_calls(board: Blackboard, departure: dict) -> None:
+def test_leaving_server_receives_no_calls(
+    board: SharedNodeState, departure: dict
+) -> None:
     state = RoutingState(NOW_S)
     choose(board, state)
     change(board, LOCAL[0], **departure)
@@ -94,7 +96,9 @@
     assert set(choose(board, state)) == {None}
 
 
-def test_remote_servers_are_chosen_without_local_headroom(board: Blackboard) -> None:
+def test_remote_servers_are_chosen_without_local_headroom(
+    board: SharedNodeState,
+) -> None:
     state = RoutingState(NOW_S)
     for address in LOCAL:
         change(board, address, headroom=5)
@@ -108,7 +112,7 @@
     assert set(chosen[-5:]) <= set(REMOTE)
 
 
-def test_servers_that_admit_the_rank_are_preferred(board: Blackboard) -> None:
+def test_servers_that_admit_the_rank_are_preferred(board: SharedNodeState) -> None:
     change(board, LOCAL[0], threshold=500)
     change(board, LOCAL[1], threshold=500)
     assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(LOCAL[2:])
@@ -117,7 +121,7 @@
     assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(REMOTE)
 
 
-def test_new_server_receives_calls_gradually(board: Blackboard) -> None:
+def test_new_server_receives_calls_gradually(board: SharedNodeState) -> None:
     state = RoutingState(NOW_S - 60)
     new = board.members.members.pop(LOCAL[0])
     choose(board, state, now_s=NOW_S - 55)
@@ -131,7 +135,7 @@
     assert counts[0] < 40 < counts[4] < counts[30]
 
 
-def test_failing_server_is_avoided_and_probed(board: Blackboard) -> None:
+def test_failing_server_is_avoided_and_probed(board: SharedNodeState) -> None:
     state = RoutingState(NOW_S)
     for _ in range(3):
         state.record_start(LOCAL[0], NOW_S)
@@ -163,7 +167,7 @@
 
 
 def test_held_member_serves_when_there_is_no_other_server(
-    board: Blackboard,
+    board: SharedNodeState,
 ) -> None:
     for address in LOCAL:
         change(board, address, held=True)
--- a/tests/matrix/node.py
+++ b/tests/matrix/node.py
@@ -60,7 +60,7 @@
 
     local._judge_subtree = judge
     remote._judge_failure = lambda failure: NotRun(Reason.PEER_LOST)
-    dispatch.weaken_verdict = lambda verdict, _: verdict
+    dispatch.downgrade_verdict = lambda verdict, _: verdict
 
 
 def _deny(verdict: Verdict) -> Verdict:
@@ -120,7 +120,7 @@
 
     def judge(record: Any, verdict: Verdict) -> Verdict:
         ran = any(child.may_have_run for child in record.children.values())
-        return local.weaken_verdict(verdict, ran)
+        return local.downgrade_verdict(verdict, ran)
 
     local._judge_subtree = judge
 
--- a/tests/relay/test_stalls.py
+++ b/tests/relay/test_stalls.py
@@ -30,7 +30,7 @@
         self.slowest = SlowestAction()
         self.counted = []
         self.watch = StallWatch(
-            0.1, lambda: self.times, self.slowest.take, self.counted.append
+            0.1, lambda: self.times, self.slowest.pop, self.counted.append
         )
 
     def advance(self, steady_s, cpu_s=0.0, suspended_s=0.0, switches=0):
@@ -46,8 +46,8 @@
 
 def test_busy_node_logs_the_slowest_action(lines):
     process = Process()
-    process.slowest.note(lines.append, 0.02)
-    process.slowest.note(Process.advance, 0.9)
+    process.slowest.record(lines.append, 0.02)
+    process.slowest.record(Process.advance, 0.9)
     process.advance(1.1, cpu_s=1.05)
     assert lines == [
         {
@@ -100,6 +100,6 @@
 
 def test_slowest_action_is_reset_when_taken():
     slowest = SlowestAction()
-    slowest.note(slowest.take, 0.3)
-    assert slowest.take() == ("SlowestAction.take", 0.3)
-    assert slowest.take() == ("", 0.0)
+    slowest.record(slowest.pop, 0.3)
+    assert slowest.pop() == ("SlowestAction.pop", 0.3)
+    assert slowest.pop() == ("", 0.0)
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -10,7 +10,7 @@
 from eelgrassmount.members.table import Identity, Member, ServiceSummary
 from eelgrassmount.retry.exchange import FAR_NODES, QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
-from eelgrassmount.shared_node_state import Blackboard
+from eelgrassmount.shared_node_state import SharedNodeState
 from eelgrassmount.timers import ManualClock
 from eelgrassmount.util.background import Background
 
@@ -27,7 +27,7 @@
     nodes: dict[str, QuarantineExchange] = field(factory=dict)
 
     def add(self, address: str, domain: str, group: object) -> None:
-        board = Blackboard(Identity(address, domain, "region", address))
+        board = SharedNodeState(Identity(address, domain, "region", address))
         near, far = (NEAR, FAR) if domain == "a" else (FAR, NEAR)
         for other in near:
             identity = evolve(board.identity, address=other)
--- a/tests/test_logging_setup.py
+++ b/tests/test_logging_setup.py
@@ -9,7 +9,7 @@
 import pytest
 from loguru import logger
 
-from eelgrassmount.logging_setup import setup_logs
+from eelgrassmount.logging_setup import configure_logging
 
 
 @pytest.fixture(autouse=True)
@@ -26,7 +26,7 @@
 
 def test_write_json_away_from_terminal():
     stream = io.StringIO()
-    setup_logs("info", stream)
+    configure_logging("info", stream)
     logger.debug("not shown")
     logger.info("configuration in force", version=7)
     line = json.loads(stream.getvalue())
@@ -36,6 +36,6 @@
 
 @pytest.mark.parametrize("stream", [FailingStream(), io.StringIO()])
 def test_failing_stream_costs_only_the_line(stream):
-    setup_logs("info", stream)
+    configure_logging("info", stream)
     stream.close()
     logger.info("lost")
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -146,7 +146,7 @@
     timers.schedule(1.0, work)
     timers.schedule(1.0, lambda: None)
     timers.advance(1.0)
-    name, seconds = timers.slowest.take()
+    name, seconds = timers.slowest.pop()
     assert name.endswith("work")
     assert seconds == pytest.approx(0.4)
 
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -178,7 +178,7 @@
         deployment.configure(7, LIST)
         await anyio.sleep(APPLY_S)
         reader.node.store.address = LOG.__class__(LOG.host, LOG.port + 1)
-        reader.node.store.end()
+        reader.node.store.close()
         await come_back(deployment, copy)
         await anyio.sleep(4.0)
         assert list_eras(deployment) == {4}
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -208,7 +208,7 @@
     """Let the log answer no call of a node, and end the reads that wait."""
     vm.node.store.address = vm.settings.ready_address
     vm.node.store._connections.address = vm.settings.ready_address
-    vm.node.store.end()
+    vm.node.store.close()
 
 
 def test_failure_domain_alone_reads_by_itself():
