--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -81,7 +81,7 @@
         """Return what follows the topics of the log."""
         return self.readers.followers
 
-    def close(self) -> None:
+    def end(self) -> None:
         """Drop every listener and connection."""
         for listener in self.listeners:
             listener.end()
--- a/eelgrassmount/platform/store_client.py
+++ b/eelgrassmount/platform/store_client.py
@@ -83,7 +83,7 @@
     async def read_newest(self, topic: str) -> Snapshot | StoreFailure:
         """Return the newest record of each key of a topic.
 
-        ``close`` is that of the first page: records that come while the pages are
+        ``end`` is that of the first page: records that come while the pages are
         read are seen again by reads from there.
         """
         found: list[StoredRecord | None] = []
