--- a/eelgrassmount/__main__.py
+++ b/eelgrassmount/__main__.py
@@ -4,13 +4,13 @@
 
 import sys
 
-RELAY = "relay"
+RELAY_COMMAND = "relay"
 
 
 def main() -> int:
     """Run the command that the arguments name."""
-    # a node needs neither the other commands nor what they import
-    if sys.argv[1:] == [RELAY]:
+    # a node must not import the modules of the other commands, which slow its start
+    if sys.argv[1:] == [RELAY_COMMAND]:
         from eelgrassmount.cmd.relay import run_relay
 
         return run_relay()
--- a/eelgrassmount/context.py
+++ b/eelgrassmount/context.py
@@ -1,4 +1,4 @@
-"""The context that a call carries through the chain."""
+"""The context that is passed along with each call of a call graph."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @frozen
 class Context:
-    """What every hop knows about a call.
+    """The data about a call that every hop has.
 
-    ``deadline_s`` is on this process's monotonic clock; between processes only
-    the time remaining travels. ``priority`` is the same at every hop for one
-    root request, from 0 (refused last) to ``PRIORITY_LEVELS - 1``.
-    ``key`` is empty for a call without an idempotency key, ``digest`` identifies the
-    content of the call (method, path and body).
+    ``deadline_s`` is on this process's monotonic clock; processes exchange only the
+    remaining time. ``priority`` is the same at every hop for one root request, from
+    0 (refused last) to ``PRIORITY_LEVELS - 1``. ``key`` is empty for a call without
+    an idempotency key, ``digest`` identifies the content of the call (method, path
+    and body).
     """
 
     root_id: str
@@ -43,15 +43,15 @@
     digest: str = ""
 
     def compute_remaining_s(self, now_s: float) -> float:
-        """Return the seconds left until the deadline, negative when passed."""
+        """Return the seconds until the deadline, negative after it."""
         return self.deadline_s - now_s
 
 
 def compute_priority(root_id: str) -> int:
     """Return the admission priority of a root request.
 
-    Every hop computes the same number, so that under overload all hops admit
-    the same whole requests instead of pieces of many.
+    Every hop computes the same number, so that under overload all hops admit the
+    calls of the same root requests.
     """
     return xxhash.xxh32_intdigest(root_id.encode()) % PRIORITY_LEVELS
 
--- a/eelgrassmount/errors.py
+++ b/eelgrassmount/errors.py
@@ -1,4 +1,4 @@
-"""Every error that the package raises."""
+"""Exceptions that the package raises."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class EelgrassmountError(Exception):
-    """Base of all errors of the package; its text says what to mend."""
+    """Base of all errors of the package; the message says how to correct the cause."""
 
 
 @dataclass(eq=False)
 class AddressError(EelgrassmountError, ValueError):
-    """A text that is not an IPv4 address with a port."""
+    """Text that is not an IPv4 address with a port."""
 
     text: str
 
@@ -23,7 +23,7 @@
 class SettingError(EelgrassmountError):
     """A setting that is missing, unknown or out of range.
 
-    The text is one line that names the setting, the value and what is allowed::
+    The message is one line that names the setting, its value and what is allowed::
 
         drain_limit_s: '-1' is not allowed, give a number from 0.1 to 3600
     """
@@ -51,7 +51,7 @@
 class NodeUnreachableError(EelgrassmountError):
     """The admin listener of a node gave no usable answer.
 
-    ``sent`` tells whether the node may have received the request.
+    ``sent`` is true if the node may have received the request.
     """
 
     address: str
@@ -79,10 +79,9 @@
 
 @dataclass(eq=False)
 class BadFrameError(EelgrassmountError):
-    """A frame from another node that can't be taken.
+    """An invalid frame from another node.
 
-    The connection that it came on is closed, since what follows a bad frame
-    can't be trusted either.
+    The connection is closed, since later frames on it may be invalid too.
     """
 
     detail: str
@@ -98,14 +97,14 @@
 
 @dataclass(eq=False)
 class TruncatedFrameError(BadFrameError):
-    """A frame whose connection ended in the middle of it."""
+    """A frame that is incomplete because its connection was closed."""
 
 
 @dataclass(eq=False)
 class LinkLostError(EelgrassmountError):
-    """A link to another node ended while an answer was awaited on it.
+    """A link to another node was closed before an answer arrived.
 
-    ``sent`` tells whether the other node may have received the message.
+    ``sent`` is true if the other node may have received the message.
     """
 
     address: str
@@ -127,7 +126,7 @@
 
 @dataclass(eq=False)
 class WrongServerError(EelgrassmountError):
-    """A heartbeat that names another service or address than those of this VM."""
+    """A heartbeat that names a service or address other than those of this VM."""
 
     part: str
     found: str
@@ -135,14 +134,14 @@
 
     def __str__(self) -> str:
         return (
-            f"heartbeat: {self.part} {self.found!r} is not {self.expected!r}, which "
-            "this node was told"
+            f"heartbeat: {self.part} {self.found!r} is not {self.expected!r} as in the "
+            "settings of this node"
         )
 
 
 @dataclass(eq=False)
 class ListenError(EelgrassmountError):
-    """An address of the settings on which the node can't listen."""
+    """An address in the settings on which the node can't listen."""
 
     address: str
     cause: str
@@ -167,14 +166,14 @@
     """The body of a request took longer than allowed."""
 
     def __str__(self) -> str:
-        return "the body came too slowly; send it within the time limit"
+        return "the body arrived too slowly; send it within the time limit"
 
 
 @dataclass(eq=False)
 class PlatformDocumentError(EelgrassmountError):
     """A document of the platform, such as a heartbeat, that can't be read.
 
-    ``part`` names the field that is missing or wrong, where it is one::
+    ``part`` names the missing or invalid field, empty if no single field is::
 
         heartbeat: can't be read (info.slots: give a whole number from 1 to 100000)
     """
--- a/eelgrassmount/log_client.py
+++ b/eelgrassmount/log_client.py
@@ -1,4 +1,4 @@
-"""A client of the log service over HTTP."""
+"""HTTP client of the log service."""
 
 from __future__ import annotations
 
@@ -16,39 +16,38 @@
     from collections.abc import Mapping
 
 MAX_CONNECTIONS = 4
-DEFAULT_LIMIT_S = 2.0
-_CONNECT_LIMIT_S = 1.0
+DEFAULT_TIMEOUT_S = 2.0
+_CONNECT_TIMEOUT_S = 1.0
 _KEEP_ALIVE_S = 30.0
-_SENDING = "http11.send_request_headers.started"
+_SEND_STARTED_EVENT = "http11.send_request_headers.started"
 
 
 @define
 class _Attempt:
-    """One request: whether any byte of it may have left this process."""
+    """A request; ``sent`` is true if any byte may have left this process."""
 
     sent: bool = False
 
-    async def watch(self, event: str, info: Mapping[str, object]) -> None:
-        if event == _SENDING:
+    async def trace(self, event: str, info: Mapping[str, object]) -> None:
+        if event == _SEND_STARTED_EVENT:
             self.sent = True
 
 
 @define
 class LogClient:
-    """Speaks to the log service at ``url``, for example ``http://127.0.0.1:80``.
+    """Sends requests to the log service at ``url``, such as ``http://127.0.0.1:80``.
 
-    Every request ends within ``limit_s`` seconds (a read that waits for records:
-    that much later than it waits). A request without a usable answer gives a
-    `LogFailure`; it is never sent a second time from here, because the first one
-    may have taken effect.
+    Every request ends within ``timeout_s`` seconds, plus the time that a read waits for
+    records. A request without a valid answer returns a `LogFailure`. The client never
+    retries a request, since the first attempt may have taken effect.
     """
 
     url: str
-    limit_s: float = DEFAULT_LIMIT_S
+    timeout_s: float = DEFAULT_TIMEOUT_S
     _pool: httpcore.AsyncConnectionPool = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the connections; none is opened yet."""
+        """Prepare the connections, which are opened on first use."""
         self.url = self.url.rstrip("/")
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=MAX_CONNECTIONS,
@@ -89,19 +88,19 @@
     ) -> bytes | LogFailure:
         attempt = _Attempt()
         try:
-            with anyio.fail_after(self.limit_s + wait_s):
+            with anyio.fail_after(self.timeout_s + wait_s):
                 response = await self._pool.request(
                     method,
                     self.url + target,
                     headers=_make_headers(method),
                     content=body,
                     extensions={
-                        "timeout": {"connect": min(_CONNECT_LIMIT_S, self.limit_s)},
-                        "trace": attempt.watch,
+                        "timeout": {"connect": min(_CONNECT_TIMEOUT_S, self.timeout_s)},
+                        "trace": attempt.trace,
                     },
                 )
         except TimeoutError:
-            return LogFailure(f"no answer within {self.limit_s} s", attempt.sent)
+            return LogFailure(f"no answer within {self.timeout_s} s", attempt.sent)
         except (httpcore.TimeoutException, httpcore.NetworkError, OSError) as error:
             return LogFailure(f"{type(error).__name__}: {error}", attempt.sent)
         except httpcore.ProtocolError as error:
@@ -118,7 +117,7 @@
 def _check_status(response: httpcore.Response) -> bytes | LogFailure:
     if response.status == 200:
         return response.content
-    # an error of the server may come after the write, a refusal may not
+    # a server error may follow a write; a status below 500 means that nothing was done
     may_have_written = response.status >= 500
     return LogFailure(f"the log answered {response.status}", may_have_written)
 
--- a/eelgrassmount/log_service.py
+++ b/eelgrassmount/log_service.py
@@ -1,4 +1,4 @@
-"""What controllers may ask of the platform's log service."""
+"""Interface of the platform's log service."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Records in offset order; ``first`` is the oldest offset that is kept."""
+    """Records in offset order; ``first`` is the oldest stored offset."""
 
     first: int
     next: int
@@ -25,14 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The record stands at ``offset``."""
+    """A record that was stored at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogFailure:
-    """The log gave no answer; an append may have taken effect if ``sent``."""
+    """A request without a valid answer.
+
+    If ``sent`` is true, an append may have taken effect.
+    """
 
     detail: str
     sent: bool
--- a/eelgrassmount/logging_setup.py
+++ b/eelgrassmount/logging_setup.py
@@ -1,4 +1,4 @@
-"""Log lines: JSON for programs, plain text on a terminal."""
+"""Configuration of logging: plain text on a terminal, JSON elsewhere."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-_READABLE = (
+_TERMINAL_FORMAT = (
     "<green>{time:HH:mm:ss.SSS}</green> <level>{level: <7}</level> {message} "
     "<dim>{extra}</dim>"
 )
 
 
 def configure_logging(level: str, stream: TextIO | None = None) -> None:
-    """Send log lines of at least ``level`` to ``stream``, by default stderr.
+    """Write log lines of at least ``level`` to ``stream``, by default stderr.
 
-    On a terminal the lines are for people, anywhere else each is one JSON
-    object. Fields are passed by name and stay apart from the text::
+    On a terminal the lines are plain text, elsewhere each line is a JSON object.
+    Fields are passed by name, separate from the message::
 
         logger.info("configuration in force", version=7)
 
-    A stream that fails later costs the line, never the caller.
+    If the stream fails, the line is lost and the caller gets no exception.
     """
     stream = sys.stderr if stream is None else stream
     logger.remove()
@@ -37,7 +37,7 @@
     logger.add(
         sink,
         level=level.upper(),
-        format=_READABLE,
+        format=_TERMINAL_FORMAT,
         catch=True,
         backtrace=False,
         diagnose=False,
@@ -57,7 +57,7 @@
             stream.write(_format_json(message) + "\n")
             stream.flush()
         except (OSError, ValueError):
-            # a closed or full pipe must not end a request
+            # a closed or full pipe must not make a request fail
             return
 
     return write
--- a/eelgrassmount/metered_log.py
+++ b/eelgrassmount/metered_log.py
@@ -1,4 +1,4 @@
-"""A log that counts what is asked of it."""
+"""Metrics of the calls to the log."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @define(eq=False)
 class MeteredLog:
-    """Passes everything on to ``log`` and counts appends and failures."""
+    """Forwards calls to ``log`` and counts appends and failures."""
 
     log: LogService
     metrics: Metrics
@@ -25,7 +25,7 @@
         """Append one record."""
         self.metrics.log_appends.labels(stream).inc()
         result = await self.log.append(stream, body)
-        self._note(result)
+        self._count_failure(result)
         return result
 
     async def read(
@@ -33,10 +33,10 @@
     ) -> Page | LogFailure:
         """Read records from ``offset`` on, waiting up to ``wait_s`` for one."""
         result = await self.log.read(stream, offset, limit, wait_s)
-        self._note(result)
+        self._count_failure(result)
         return result
 
-    def _note(self, result: Appended | Page | LogFailure) -> None:
+    def _count_failure(self, result: Appended | Page | LogFailure) -> None:
         if not isinstance(result, LogFailure):
             return
         kind = LogError.TIMEOUT if result.sent else LogError.UNREACHABLE
--- a/eelgrassmount/metrics.py
+++ b/eelgrassmount/metrics.py
@@ -1,4 +1,4 @@
-"""All metrics of a node, in one place."""
+"""Metrics of a node."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RetryReason(StrEnum):
-    """Why a node sent a call once more."""
+    """Why a node retried a call."""
 
     SERVER_SHED = "server-shed"
     NO_ROOM = "no-room"
@@ -39,7 +39,7 @@
 
 
 class DropReason(StrEnum):
-    """Why an answer was thrown away."""
+    """Why an answer was discarded."""
 
     LATE = "late"
     DOUBLED = "doubled"
@@ -61,7 +61,7 @@
 
 
 class Direction(StrEnum):
-    """Which way bytes go on the links to peers, as seen from this node."""
+    """Direction of traffic on the links to peers, as seen from this node."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -77,7 +77,7 @@
 
 
 class LogError(StrEnum):
-    """How a call of the platform's log failed."""
+    """How a call to the platform's log failed."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "timeout"
@@ -87,7 +87,7 @@
 
 
 class MemberLabel(StrEnum):
-    """How a node sees another one, as a label."""
+    """State of another node in the membership, as a label."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -97,9 +97,10 @@
 
 @frozen
 class Metrics:
-    """The metrics of one node, on a registry of their own.
+    """The metrics of one node, created with `make_metrics`.
 
-    Several nodes can so live in one test process. Build it with `make_metrics`.
+    Each node has a separate registry, so that tests can run several nodes in one
+    process.
     """
 
     registry: CollectorRegistry
@@ -127,8 +128,8 @@
 
 
 def make_metrics() -> Metrics:
-    """Return fresh metrics, with every label value known beforehand at zero."""
-    # the times at which counters were made would double the page
+    """Return new metrics, in which all known label values start at zero."""
+    # creation times would double the number of exported lines
     disable_created_metrics()
     registry = CollectorRegistry()
 
@@ -173,27 +174,27 @@
         drains=count("drains", "Graceful shutdowns begun."),
         internal_errors=count("internal_errors", "Programming errors caught."),
     )
-    _create_labels(metrics)
+    _create_all_labels(metrics)
     return metrics
 
 
 def record_call(
     metrics: Metrics, class_name: str, verdict_name: str, seconds: float
 ) -> None:
-    """Count one finished request of a caller and its duration in seconds."""
+    """Count a completed request of a caller and its duration in seconds."""
     metrics.calls.labels(class_name, verdict_name).inc()
     metrics.call_seconds.labels(class_name).observe(seconds)
 
 
 def create_class_labels(metrics: Metrics, class_names: Iterable[str]) -> None:
-    """Create the series of these classes, so that they show zero before use."""
+    """Create the series of request classes, so that they start at zero."""
     for class_name in class_names:
         metrics.call_seconds.labels(class_name)
         for verdict_name in (ANSWERED, NOT_RUN, MAY_HAVE_RUN):
             metrics.calls.labels(class_name, verdict_name)
 
 
-def _create_labels(metrics: Metrics) -> None:
+def _create_all_labels(metrics: Metrics) -> None:
     for metric, values in (
         (metrics.refusals, Reason),
         (metrics.retries, RetryReason),
--- a/eelgrassmount/platform/__init__.py
+++ b/eelgrassmount/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The log service of the platform."""
+"""Formats and protocols of the platform that the nodes run on."""
--- a/eelgrassmount/platform/configuration.py
+++ b/eelgrassmount/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration document, read into the product's routes."""
+"""Reader of the platform's configuration document."""
 
 from __future__ import annotations
 
@@ -22,171 +22,182 @@
     refuse_field,
 )
 
-IDEMPOTENT = "idempotent"
+IDEMPOTENT_KIND = "idempotent"
 DEFAULT_TIMEOUT_MS = 5000
 DEFAULT_OBJECTIVE_MS = 1000
 DEFAULT_ATTEMPTS = 1
 DEFAULT_PRIORITY = 0
 DEFAULT_HEALTH_PATH = "/health"
-_KIND = "configuration"
-# versions travel between nodes as whole numbers of 64 bits
+_DOCUMENT = "configuration"
+# nodes exchange versions as signed 64-bit integers
 MAX_VERSION = 2**62
 MAX_VERSION_DIGITS = 19
 MAX_PATH_LENGTH = 16384
 MAX_HOST_LENGTH = 253
-TIMES_MS = (0, 86_400_000)
-COUNTS = (0, 2**31 - 1)
-WEIGHTS = (0.0, 1e9)
-# requests a second, or at once
-RATES = (0.0, 1e9)
+DURATION_RANGE_MS = (0, 86_400_000)
+COUNT_RANGE = (0, 2**31 - 1)
+WEIGHT_RANGE = (0.0, 1e9)
+# requests per second, or the size of a burst
+RATE_RANGE = (0.0, 1e9)
 
 
 def read_version(text: Any) -> int:
-    """Return a version such as ``r12`` as its number.
+    """Return the number of a version such as ``r12``.
 
-    Raises `PlatformDocumentError` for anything else.
+    Raises `PlatformDocumentError` if the text is not a version.
     """
     digits = text[1:] if isinstance(text, str) and text.startswith("r") else ""
-    plain = digits.isascii() and digits.isdigit() and len(digits) <= MAX_VERSION_DIGITS
-    if not plain or int(digits) > MAX_VERSION:
-        refuse_field(_KIND, "version", f"one such as r12, up to r{MAX_VERSION}")
+    is_number = (
+        digits.isascii() and digits.isdigit() and len(digits) <= MAX_VERSION_DIGITS
+    )
+    if not is_number or int(digits) > MAX_VERSION:
+        refuse_field(
+            _DOCUMENT, "version", f"a version such as r12, up to r{MAX_VERSION}"
+        )
     return int(digits)
 
 
 def read_configuration(document: bytes) -> RouteTable:
     """Return the routes of a configuration document.
 
-    Raises `PlatformDocumentError`, which names the part that can't be read.
+    Raises `PlatformDocumentError`, which names the invalid field.
     """
-    content = read_object(document, _KIND)
+    content = read_object(document, _DOCUMENT)
     return RouteTable.build(
         read_version(content.get("version")),
         [
             _read_route(
-                read_text(listener, "host", MAX_HOST_LENGTH, _KIND).lower(), rule
+                read_text(listener, "host", MAX_HOST_LENGTH, _DOCUMENT).lower(), rule
             )
-            for listener in read_list(content, "listeners", _KIND)
-            for rule in read_list(listener, "routeRules", _KIND)
+            for listener in read_list(content, "listeners", _DOCUMENT)
+            for rule in read_list(listener, "routeRules", _DOCUMENT)
+        ],
+        [
+            _read_service(cluster)
+            for cluster in read_list(content, "clusters", _DOCUMENT)
         ],
-        [_read_service(one) for one in read_list(content, "clusters", _KIND)],
         _read_limits(content.get("limits")),
         _read_teams(content),
     )
 
 
 def _read_route(host: str, rule: dict[str, Any]) -> Route:
-    prefix = read_text(rule, "match.pathPrefix", MAX_PATH_LENGTH, _KIND)
-    timeout_ms = _read_time(rule, "action.timeoutMs") or DEFAULT_TIMEOUT_MS
-    objective_ms = _read_time(rule, "targetLatencyMs") or DEFAULT_OBJECTIVE_MS
+    prefix = read_text(rule, "match.pathPrefix", MAX_PATH_LENGTH, _DOCUMENT)
+    timeout_ms = _read_duration_ms(rule, "action.timeoutMs") or DEFAULT_TIMEOUT_MS
+    objective_ms = _read_duration_ms(rule, "targetLatencyMs") or DEFAULT_OBJECTIVE_MS
     attempts = _read_count(rule, "action.maxAttempts") or DEFAULT_ATTEMPTS
     return Route(
-        # the rule's own name may change from one version to the next
+        # the name of the rule may differ between versions of the configuration
         name=f"{host}{prefix}",
         host=host,
         prefix=prefix,
-        # a kind of a later release is taken for one that may run only once
-        idempotent=read_name(rule, "kind", _KIND) == IDEMPOTENT,
+        # an unknown kind is treated as non-idempotent, so that it is not retried
+        idempotent=read_name(rule, "kind", _DOCUMENT) == IDEMPOTENT_KIND,
         targets=_read_targets(rule),
         timeout_s=timeout_ms / 1000,
         objective_s=objective_ms / 1000,
         max_attempts=attempts,
         priority=_read_count(rule, "priority") or DEFAULT_PRIORITY,
-        needs_key=not ("anonymous" in rule and read_flag(rule, "anonymous", _KIND)),
+        needs_key=not ("anonymous" in rule and read_flag(rule, "anonymous", _DOCUMENT)),
     )
 
 
 def _read_targets(rule: dict[str, Any]) -> tuple[Target, ...]:
     if not find_field(rule, "action.trafficSplit"):
-        return (Target(read_name(rule, "action.service", _KIND), 1.0),)
+        return (Target(read_name(rule, "action.service", _DOCUMENT), 1.0),)
     targets = tuple(
         Target(
-            read_name(part, "service", _KIND),
-            float(read_number(part, "weight", WEIGHTS, _KIND)),
+            read_name(part, "service", _DOCUMENT),
+            float(read_number(part, "weight", WEIGHT_RANGE, _DOCUMENT)),
         )
-        for part in read_list(rule, "action.trafficSplit", _KIND)
+        for part in read_list(rule, "action.trafficSplit", _DOCUMENT)
     )
     if not any(target.weight for target in targets):
-        refuse_field(_KIND, "action.trafficSplit", "a weight above 0")
+        refuse_field(_DOCUMENT, "action.trafficSplit", "a weight above 0")
     return targets
 
 
 def _read_service(cluster: dict[str, Any]) -> Service:
     path = DEFAULT_HEALTH_PATH
     if cluster.get("healthPath"):
-        path = read_text(cluster, "healthPath", MAX_PATH_LENGTH, _KIND)
+        path = read_text(cluster, "healthPath", MAX_PATH_LENGTH, _DOCUMENT)
     if not path.isascii():
-        refuse_field(_KIND, "healthPath", "a path of plain ASCII characters")
+        refuse_field(_DOCUMENT, "healthPath", "a path of ASCII characters")
     connections = _read_count(cluster, "maxConnections")
-    return Service(read_name(cluster, "name", _KIND), path, connections)
+    return Service(read_name(cluster, "name", _DOCUMENT), path, connections)
 
 
 def _read_teams(content: dict[str, Any]) -> TeamDirectory:
-    """Return the teams, if the configuration is on teams at all."""
+    """Return the teams; without a list of teams, no API key is required."""
     if content.get("tenants") is None:
         return TeamDirectory()
-    found = [_read_team(one) for one in read_list(content, "tenants", _KIND)]
-    names = [one.team.name for one in found]
+    entries = [
+        _read_team(tenant) for tenant in read_list(content, "tenants", _DOCUMENT)
+    ]
+    names = [entry.team.name for entry in entries]
     if len(set(names)) < len(names):
-        refuse_field(_KIND, "tenants.name", "each name once")
-    keys = [key for one in found for key in one.keys]
-    # a key of two teams would let one of them use the quota of the other
+        refuse_field(_DOCUMENT, "tenants.name", "each name once")
+    keys = [key for entry in entries for key in entry.keys]
+    # a key that two teams share would let one team use the quota of the other
     if len(set(keys)) < len(keys):
-        refuse_field(_KIND, "tenants.apiKeys", "each key once")
-    return TeamDirectory.build(found)
+        refuse_field(_DOCUMENT, "tenants.apiKeys", "each key once")
+    return TeamDirectory.build(entries)
 
 
 def _read_team(tenant: dict[str, Any]) -> TeamKeys:
-    name = read_name(tenant, "name", _KIND)
-    # it stands in a header
+    name = read_name(tenant, "name", _DOCUMENT)
+    # the name is sent in a header
     if not name.isascii():
-        refuse_field(_KIND, "tenants.name", "a text of plain ASCII characters")
+        refuse_field(_DOCUMENT, "tenants.name", "a text of ASCII characters")
     team = Team(
         name,
         priority=_read_count(tenant, "priority"),
-        rate=float(read_number(tenant, "ratePerS", RATES, _KIND, missing=0)),
-        burst=float(read_number(tenant, "burst", RATES, _KIND, missing=0)),
+        rate=float(read_number(tenant, "ratePerS", RATE_RANGE, _DOCUMENT, missing=0)),
+        burst=float(read_number(tenant, "burst", RATE_RANGE, _DOCUMENT, missing=0)),
     )
     return TeamKeys(team, _read_keys(tenant))
 
 
 def _read_keys(tenant: dict[str, Any]) -> tuple[str, ...]:
-    """Return the keys of a team, which may have lost all of them."""
+    """Return the API keys of a team; a team may have none."""
     keys = tenant.get("apiKeys")
     if keys is None:
         return ()
     if not isinstance(keys, list) or not all(map(_is_key, keys)):
         allowed = f"a list of texts of 1 to {MAX_NAME_LENGTH} visible characters"
-        refuse_field(_KIND, "tenants.apiKeys", allowed)
+        refuse_field(_DOCUMENT, "tenants.apiKeys", allowed)
     return tuple(keys)
 
 
 def _is_key(value: Any) -> bool:
-    """Tell whether a value can stand in a header and be told from none."""
-    plain = isinstance(value, str) and value.isascii() and is_printable(value)
-    return plain and " " not in value
+    """Return whether a value can be sent in a header and is not empty."""
+    is_text = isinstance(value, str) and value.isascii() and is_printable(value)
+    return is_text and " " not in value
 
 
 def _read_limits(limits: Any) -> ServerLimits:
-    usual = ServerLimits()
+    defaults = ServerLimits()
     if limits is None:
-        return usual
+        return defaults
     if not isinstance(limits, dict):
-        raise PlatformDocumentError(_KIND, "give a JSON object", "limits")
-    header_ms = _read_time(limits, "headerTimeoutMs") or usual.header_limit_s * 1000
-    idle_ms = _read_time(limits, "idleTimeoutMs") or usual.idle_limit_s * 1000
+        raise PlatformDocumentError(_DOCUMENT, "give a JSON object", "limits")
+    header_ms = (
+        _read_duration_ms(limits, "headerTimeoutMs") or defaults.header_limit_s * 1000
+    )
+    idle_ms = _read_duration_ms(limits, "idleTimeoutMs") or defaults.idle_limit_s * 1000
     return ServerLimits(
-        _read_count(limits, "maxHeaderBytes") or usual.max_header_bytes,
-        _read_count(limits, "maxBodyBytes") or usual.max_body_bytes,
+        _read_count(limits, "maxHeaderBytes") or defaults.max_header_bytes,
+        _read_count(limits, "maxBodyBytes") or defaults.max_body_bytes,
         header_ms / 1000,
         idle_ms / 1000,
     )
 
 
-def _read_time(content: dict[str, Any], path: str) -> float:
-    """Return milliseconds; 0 where the operator leaves them to the node."""
-    return read_number(content, path, TIMES_MS, _KIND, missing=0)
+def _read_duration_ms(content: dict[str, Any], path: str) -> float:
+    """Return milliseconds, 0 if the field is missing."""
+    return read_number(content, path, DURATION_RANGE_MS, _DOCUMENT, missing=0)
 
 
 def _read_count(content: dict[str, Any], path: str) -> int:
-    """Return a whole number; 0 where the operator leaves it to the node."""
-    return read_whole(content, path, COUNTS, _KIND, missing=0)
+    """Return a whole number, 0 if the field is missing."""
+    return read_whole(content, path, COUNT_RANGE, _DOCUMENT, missing=0)
--- a/eelgrassmount/platform/headers.py
+++ b/eelgrassmount/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's headers, read and written once at the edges of a node."""
+"""Reader and writer of the platform's HTTP headers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 NOT_RUN = b"eelgrassmount-not-executed"
 INSTANCE = b"eelgrassmount-instance-id"
 
-# headers that concern one connection only, or that a node sets itself
-_OF_ONE_CONNECTION = frozenset(
+# headers that apply to one connection only and are not forwarded
+_HOP_BY_HOP = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -29,43 +29,46 @@
         b"expect",
     )
 )
-_SET_BY_NODE = frozenset((REMAINING_MS, EXPECTED_INSTANCE, CALLER_SERVICE, TEAM))
-# a key is for the nodes alone
-_DROPPED_FROM_REQUEST = _OF_ONE_CONNECTION | _SET_BY_NODE | {API_KEY}
+# headers that only a node may set
+_NODE_HEADERS = frozenset((REMAINING_MS, EXPECTED_INSTANCE, CALLER_SERVICE, TEAM))
+# API keys are checked by the nodes and hidden from backend servers
+_DROPPED_FROM_REQUEST = _HOP_BY_HOP | _NODE_HEADERS | {API_KEY}
 
-# stands for keys that contradict each other, and belongs to no team
-NO_KEY = b""
+# replaces several API keys in one request; belongs to no team
+INVALID_KEY = b""
 MAX_REMAINING_MS = 3_600_000
-# digits of a number that is looked at
-MAX_DIGITS = 9
+# longer numbers are not parsed
+MAX_NUMBER_DIGITS = 9
 
 
 def read_request(headers: list[tuple[bytes, bytes]]) -> RequestHead:
-    """Read the headers of a request; names are in lower case."""
+    """Read the headers of a request, whose names are in lower case."""
     head = RequestHead()
     lines = []
-    named: set[bytes] = set()
+    connection_headers: set[bytes] = set()
     for name, value in headers:
         if name == REQUEST_ID:
             head.request_id = value.decode("latin-1")
         elif name == b"host":
             head.host = value.decode("latin-1").partition(":")[0].lower()
         elif name == REMAINING_MS:
-            head.remaining_ms = _read_remaining(value)
+            head.remaining_ms = _parse_remaining_ms(value)
         elif name == API_KEY:
-            # of two keys, none can be gone by
-            head.api_key = value.strip() if head.api_key is None else NO_KEY
+            # with several keys, the team of the request is ambiguous
+            head.api_key = value.strip() if head.api_key is None else INVALID_KEY
         elif name == b"connection" and value.lower() not in (b"close", b"keep-alive"):
-            named |= {one.strip() for one in value.lower().split(b",")}
+            connection_headers |= {
+                option.strip() for option in value.lower().split(b",")
+            }
         if name not in _DROPPED_FROM_REQUEST:
             lines.append(b"%s: %s\r\n" % (name, value))
-    if named:
-        lines = _list_lines(headers, _DROPPED_FROM_REQUEST | named)
+    if connection_headers:
+        lines = _format_lines(headers, _DROPPED_FROM_REQUEST | connection_headers)
     head.forwarded_headers = b"".join(lines)
     return head
 
 
-def _list_lines(
+def _format_lines(
     headers: list[tuple[bytes, bytes]], dropped: frozenset[bytes]
 ) -> list[bytes]:
     return [
@@ -73,24 +76,24 @@
     ]
 
 
-def _read_remaining(value: bytes) -> int | None:
+def _parse_remaining_ms(value: bytes) -> int | None:
     digits = value.strip()
     if not digits.isdigit():
         return None
-    if len(digits) > MAX_DIGITS:
+    if len(digits) > MAX_NUMBER_DIGITS:
         return MAX_REMAINING_MS
     return min(int(digits), MAX_REMAINING_MS)
 
 
 def write_team(name: str) -> bytes:
-    """Return the header line that names a request's team to the server."""
+    """Return the header line that names the team to the backend server."""
     return b"%s: %s\r\n" % (TEAM, name.encode("latin-1"))
 
 
 def write_request(
     method: str,
     target: str,
-    passed_on: bytes,
+    forwarded_headers: bytes,
     body: bytes,
     remaining_ms: int,
     caller_service: str,
@@ -106,7 +109,7 @@
     return b"%s %s HTTP/1.1\r\n%s%s%s: %d\r\n%s: %s\r\n%s\r\n%s" % (
         method.encode("latin-1"),
         target.encode("latin-1"),
-        passed_on,
+        forwarded_headers,
         length,
         REMAINING_MS,
         remaining_ms,
@@ -118,12 +121,12 @@
 
 
 def write_probe(path: str) -> bytes:
-    """Return the bytes of a health check, whose answer names the incarnation."""
+    """Return the bytes of a health check; the answer names the incarnation."""
     return b"GET %s HTTP/1.1\r\nhost: server\r\n\r\n" % path.encode("latin-1")
 
 
 def read_answer(headers: list[tuple[bytes, bytes]]) -> AnswerHead:
-    """Read the headers of a server's answer; names are in lower case."""
+    """Read the headers of a server's answer, whose names are in lower case."""
     head = AnswerHead()
     lines = []
     for name, value in headers:
@@ -132,17 +135,17 @@
         elif name == NOT_RUN:
             head.not_run = True
         elif name == INSTANCE:
-            named = value.decode("latin-1")
-            # anything else names no server
-            head.instance = named if is_identity(named) else ""
-        if name not in _OF_ONE_CONNECTION:
+            identity = value.decode("latin-1")
+            # an invalid identity must not reach the headers of later requests
+            head.instance = identity if is_identity(identity) else ""
+        if name not in _HOP_BY_HOP:
             lines.append(b"%s: %s\r\n" % (name, value))
     head.forwarded_headers = b"".join(lines)
     return head
 
 
 def find_request_id(headers: list[tuple[bytes, bytes]]) -> bytes:
-    """Return the id of the request that an answer belongs to, if it says so."""
+    """Return the id of the request that an answer names, empty if none."""
     for name, value in headers:
         if name == REQUEST_ID:
             return value
@@ -150,7 +153,7 @@
 
 
 def write_refusal(request_id: str, retry_after_s: float) -> bytes:
-    """Return the header lines of an answer that a node gives itself."""
+    """Return the header lines of a refusal by the node itself."""
     lines = b""
     if request_id:
         lines = b"%s: %s\r\n" % (REQUEST_ID, request_id.encode("latin-1"))
@@ -160,7 +163,7 @@
 
 
 def read_idle_limit(headers: list[tuple[bytes, bytes]]) -> float | None:
-    """Return the seconds that a server keeps an idle connection, if it says so."""
+    """Return the seconds that a server keeps an idle connection, if announced."""
     limit_s = None
     for name, value in headers:
         if name == b"keep-alive":
@@ -174,7 +177,7 @@
         number = number.strip()
         if name.lower() != b"timeout" or not number.isdigit():
             continue
-        if len(number) <= MAX_DIGITS:
+        if len(number) <= MAX_NUMBER_DIGITS:
             return float(number)
     return None
 
--- a/eelgrassmount/platform/heartbeats.py
+++ b/eelgrassmount/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""What backend servers announce to the node on their VM."""
+"""Reader of heartbeats and leaves that backend servers send to their node."""
 
 from __future__ import annotations
 
@@ -25,34 +25,32 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_PREFIX = "/instances/"
-_START = "born"
+_PATH_PREFIX = "/instances/"
+_START_FIELD = "born"
 _READY = "ready"
 _DRAINING = "draining"
 
-# a heartbeat has about 200 bytes
 MAX_BODY_BYTES = 16384
-# servers have some hundred slots; a VM has some thousand descriptors
-SLOTS = (1, 100_000)
-# whole numbers that every reader of JSON keeps exactly
-SEQUENCES = (0, 2**53 - 1)
-# a server is cold for some seconds
-COLD_MS = (0, 3_600_000)
-# from the first millisecond of Unix time to the end of the year 2099: a start far
-# ahead would make every later one look earlier
-STARTS_MS = (1, 4_102_444_799_999)
+SLOTS_RANGE = (1, 100_000)
+# integers that all JSON parsers read exactly
+SEQUENCE_RANGE = (0, 2**53 - 1)
+# remaining warm-up time of a server
+COLD_RANGE_MS = (0, 3_600_000)
+# Unix time up to the end of 2099: after a start in the far future, the node would
+# take all later incarnations for older ones
+START_RANGE_MS = (1, 4_102_444_799_999)
 
 
 def read_announcement(method: str, target: str, body: bytes) -> Heartbeat | None:
-    """Return a heartbeat or a leave, ``None`` for any other call.
+    """Return a heartbeat or a leave, ``None`` for any other request.
 
-    The path names the identity of a server and the body when it was started, which
-    makes one incarnation. Raises `PlatformDocumentError`, which names the field that
-    is missing or wrong.
+    The identity of the server in the path and its start time in the body identify an
+    incarnation. Raises `PlatformDocumentError`, which names the missing or invalid
+    field.
     """
-    if method != "POST" or not target.startswith(_PREFIX):
+    if method != "POST" or not target.startswith(_PATH_PREFIX):
         return None
-    identity, _, kind = target[len(_PREFIX) :].rpartition("/")
+    identity, _, kind = target[len(_PATH_PREFIX) :].rpartition("/")
     read = _READERS.get(kind)
     if read is None:
         return None
@@ -68,18 +66,19 @@
 def _read_heartbeat(identity: str, body: bytes) -> Heartbeat:
     kind = "heartbeat"
     content = read_object(body, kind)
-    # not used here, but a heartbeat without them is not one of the platform's
+    # unused, but the platform requires them in each heartbeat
     for path in ("info.version", "info.zone"):
         read_name(content, path, kind)
     state = read_choice(content, "status.state", (_READY, _DRAINING), kind)
     return Heartbeat(
-        ServerIncarnation(identity, _read_start(content, kind)),
+        ServerIncarnation(identity, _read_start_ms(content, kind)),
         service=read_name(content, "info.service", kind),
         address=str(read_address(content, "address", kind)),
-        slots=read_whole(content, "info.slots", SLOTS, kind),
+        slots=read_whole(content, "info.slots", SLOTS_RANGE, kind),
         draining=state == _DRAINING,
-        sequence=read_whole(content, "status.sequence", SEQUENCES, kind),
-        cold_s=read_number(content, "status.coldRemainingMs", COLD_MS, kind) / 1000,
+        sequence=read_whole(content, "status.sequence", SEQUENCE_RANGE, kind),
+        cold_s=read_number(content, "status.coldRemainingMs", COLD_RANGE_MS, kind)
+        / 1000,
     )
 
 
@@ -87,15 +86,15 @@
     """Return a leave, whose body may be empty."""
     kind = "leave"
     content = read_object(body, kind) if body else {}
-    incarnation = ServerIncarnation(identity, _read_start(content, kind))
+    incarnation = ServerIncarnation(identity, _read_start_ms(content, kind))
     return Heartbeat(incarnation, leaving=True)
 
 
-def _read_start(content: dict[str, Any], kind: str) -> int:
-    """Return when the server was started, which older servers do not say."""
-    if _START not in content:
+def _read_start_ms(content: dict[str, Any], kind: str) -> int:
+    """Return the start time of the server, which older servers do not report."""
+    if _START_FIELD not in content:
         return UNKNOWN_START
-    return read_whole(content, _START, STARTS_MS, kind)
+    return read_whole(content, _START_FIELD, START_RANGE_MS, kind)
 
 
 _READERS: dict[str, Callable[[str, bytes], Heartbeat]] = {
--- a/eelgrassmount/platform/settings.py
+++ b/eelgrassmount/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a node, read into the product's settings."""
+"""Reader of a node's settings file in the platform's format."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-FILE_VARIABLE = "EELGRASSMOUNT_NODE_FILE"
-FILE_DEFAULT = "/etc/eelgrassmount/boot.toml"
-_BOUNDS = {
+SETTINGS_FILE_VARIABLE = "EELGRASSMOUNT_NODE_FILE"
+DEFAULT_SETTINGS_FILE = "/etc/eelgrassmount/boot.toml"
+_SETTING_NAMES_BY_BOUND = {
     "retryBudgetRatio": "retry_ratio",
     "budgetWindowS": "retry_window_s",
     "budgetSlack": "retry_slack",
@@ -34,15 +34,14 @@
 
 def find_settings_file(environment: Mapping[str, str] = os.environ) -> str:
     """Return the path of the settings file."""
-    return environment.get(FILE_VARIABLE) or FILE_DEFAULT
+    return environment.get(SETTINGS_FILE_VARIABLE) or DEFAULT_SETTINGS_FILE
 
 
 def load_settings(path: str) -> RelaySettings:
     """Read the settings file.
 
-    Raises `FileError` when there is no such file and `SettingError`, in one line
-    that says what to mend, when a field is missing or wrong. Fields that are not
-    known are ignored.
+    Raises `FileError` if the file can't be read, and `SettingError` with a message
+    of one line if a field is missing or invalid. Unknown fields are ignored.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -78,7 +77,7 @@
 def _read_text(content: dict[str, Any], path: str) -> str:
     value = find_field(content, path)
     if not isinstance(value, str) or not is_printable(value):
-        allowed = f"a plain text of 1 to {MAX_NAME_LENGTH} characters"
+        allowed = f"a printable text of 1 to {MAX_NAME_LENGTH} characters"
         raise SettingError(path, str(value), allowed)
     return value
 
@@ -105,7 +104,7 @@
 
 
 def _read_bounds(content: dict[str, Any]) -> dict[str, float]:
-    """Return the bounds that are used here and stand in the file, by our names."""
+    """Return the known bounds in the file by the names of their settings."""
     texts = content.get("bounds", [])
     if not isinstance(texts, list):
         raise SettingError("bounds", str(texts), 'a list such as ["graceS=6"]')
@@ -114,14 +113,14 @@
         name, equals, value = str(text).partition("=")
         if not isinstance(text, str) or not equals:
             raise SettingError("bounds", str(text), "entries such as graceS=6")
-        setting = _BOUNDS.get(name)
+        setting = _SETTING_NAMES_BY_BOUND.get(name)
         if setting is None:
             continue
         if setting in bounds:
             raise SettingError("bounds", text, f"{name} once")
         bounds[setting] = parse_number(value)
         lowest, highest = OPTIONAL_SETTING_RANGES[setting]
-        # what is no number lies within no range
+        # also rejects nan
         if not lowest <= bounds[setting] <= highest:
             allowed = f"a number from {lowest:g} to {highest:g}"
             raise SettingError("bounds", text, allowed)
--- a/eelgrassmount/platform/store_client.py
+++ b/eelgrassmount/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's log."""
+"""Client of the keyed topics on the platform's log."""
 
 from __future__ import annotations
 
@@ -29,19 +29,17 @@
 if TYPE_CHECKING:
     from eelgrassmount.util.addresses import Address
 
-LENGTH_BYTES = 4
-HEAD_BYTES = 16
-# an answer usually takes a few milliseconds; a slow log takes a hundred times that
-CALL_LIMIT_S = 2.0
-# what a read may return at once, in kilobytes
+LENGTH_PREFIX_BYTES = 4
+READ_HEADER_BYTES = 16
+CALL_TIMEOUT_S = 2.0
 MAX_READ_KB = 1024
-OFFSETS = (0, 2**62)
-ERA = b"store-era"
-MAX_ERA_DIGITS = 18
-_APPENDED = "answer to an append"
-_PAGE = "page of the newest records"
+OFFSET_RANGE = (0, 2**62)
+EPOCH_HEADER = b"store-era"
+MAX_EPOCH_DIGITS = 18
+_APPEND_ANSWER = "answer to an append"
+_NEWEST_PAGE = "page of the newest records"
 
-_KINDS = {
+_FAILURE_KINDS_BY_STATUS = {
     503: FailureKind.TURNED_AWAY,
     429: FailureKind.LIMITED,
     409: FailureKind.CONFLICT,
@@ -53,40 +51,40 @@
 
 @define(eq=False)
 class StoreClient:
-    """Speaks to the log at ``address``; one connection for each kind of call.
+    """Sends calls to the log at ``address``, on one connection for each kind of call.
 
-    An answer of an era that is over is none.
+    An answer from an outdated log epoch is a failure.
     """
 
     address: Address
-    eras: EraWatch = field(factory=EraWatch)
+    epochs: EraWatch = field(factory=EraWatch)
     _connections: PersistentConnections = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the connections, which are made when they are needed."""
+        """Prepare the connections, which are opened on first use."""
         self._connections = PersistentConnections(self.address)
 
     async def append(self, topic: str, key: str, value: bytes) -> int | StoreFailure:
         """Append a record to a keyed topic and return its offset."""
         content = bytes([len(key)]) + key.encode() + value
-        body = len(content).to_bytes(LENGTH_BYTES, "big") + content
+        body = len(content).to_bytes(LENGTH_PREFIX_BYTES, "big") + content
         target = "/log-append?" + urlencode({"topic": topic, "part": 0})
-        answer = await self._call(topic + "+", "POST", target, body, CALL_LIMIT_S)
+        answer = await self._call(topic + "+", "POST", target, body, CALL_TIMEOUT_S)
         if isinstance(answer, StoreFailure):
             return answer
         try:
-            content = read_object(answer, _APPENDED)
-            return read_whole(content, "offset", OFFSETS, _APPENDED)
+            content = read_object(answer, _APPEND_ANSWER)
+            return read_whole(content, "offset", OFFSET_RANGE, _APPEND_ANSWER)
         except PlatformDocumentError as error:
             return StoreFailure(FailureKind.MALFORMED, str(error))
 
     async def read_newest(self, topic: str) -> Snapshot | StoreFailure:
         """Return the newest record of each key of a topic.
 
-        ``end`` is that of the first page: records that come while the pages are
-        read are seen again by reads from there.
+        ``end`` of the snapshot is that of the first page, so that reads from there
+        return all records that were appended while later pages were read.
         """
-        found: list[StoredRecord | None] = []
+        parsed_records: list[StoredRecord | None] = []
         end: int | None = None
         after = ""
         while True:
@@ -94,19 +92,21 @@
             if after:
                 query["after"] = after
             target = "/log-newest?" + urlencode(query)
-            answer = await self._call(topic, "GET", target, b"", CALL_LIMIT_S)
+            answer = await self._call(topic, "GET", target, b"", CALL_TIMEOUT_S)
             if isinstance(answer, StoreFailure):
                 return answer
             try:
-                page = read_object(answer, _PAGE)
-                items = read_list(page, "items", _PAGE)
-                found += map(_read_item, items)
-                page_end = read_whole(page, "end", OFFSETS, _PAGE)
+                page = read_object(answer, _NEWEST_PAGE)
+                items = read_list(page, "items", _NEWEST_PAGE)
+                parsed_records += map(_parse_item, items)
+                page_end = read_whole(page, "end", OFFSET_RANGE, _NEWEST_PAGE)
                 end = page_end if end is None else end
-                if not read_flag(page, "more", _PAGE):
-                    records = tuple(one for one in found if one is not None)
-                    return Snapshot(records, end, len(found) - len(records))
-                after = _read_last_key(items, after)
+                if not read_flag(page, "more", _NEWEST_PAGE):
+                    records = tuple(
+                        record for record in parsed_records if record is not None
+                    )
+                    return Snapshot(records, end, len(parsed_records) - len(records))
+                after = _find_last_key(items, after)
             except PlatformDocumentError as error:
                 return StoreFailure(FailureKind.MALFORMED, str(error))
 
@@ -122,11 +122,11 @@
             "waitMs": round(wait_s * 1000),
         }
         target = "/log-read?" + urlencode(query)
-        limit_s = wait_s + CALL_LIMIT_S
-        answer = await self._call(topic, "GET", target, b"", limit_s)
+        timeout_s = wait_s + CALL_TIMEOUT_S
+        answer = await self._call(topic, "GET", target, b"", timeout_s)
         if isinstance(answer, StoreFailure):
             return answer
-        return _cut_records(answer, offset)
+        return _parse_batch(answer, offset)
 
     def close(self) -> None:
         """Drop all connections."""
@@ -138,54 +138,67 @@
         method: str,
         target: str,
         body: bytes,
-        limit_s: float,
+        timeout_s: float,
     ) -> bytes | StoreFailure:
         head = (
             f"{method} {target} HTTP/1.1\r\nhost: {self.address}\r\n"
             f"content-length: {len(body)}\r\n\r\n"
         )
         data = head.encode("latin-1") + body
-        asked_in = self.eras.current
-        answer = await self._connections.call(connection_name, data, limit_s)
+        epoch_at_request = self.epochs.current
+        answer = await self._connections.call(connection_name, data, timeout_s)
         if isinstance(answer, StoreFailure):
             return answer
-        era = _read_era(answer.headers)
-        if not self.eras.note_answer(era, asked_in):
-            return StoreFailure(FailureKind.OUTDATED, f"era {era}")
+        epoch = _read_epoch(answer.headers)
+        if not self.epochs.note_answer(epoch, epoch_at_request):
+            return StoreFailure(FailureKind.OUTDATED, f"era {epoch}")
         if answer.status != 200:
-            kind = _KINDS.get(answer.status, FailureKind.MALFORMED)
+            kind = _FAILURE_KINDS_BY_STATUS.get(answer.status, FailureKind.MALFORMED)
             return StoreFailure(kind, f"status {answer.status}")
         return answer.body
 
 
-def _read_era(headers: list[tuple[bytes, bytes]]) -> int:
-    """Return the era that an answer names."""
+def _read_epoch(headers: list[tuple[bytes, bytes]]) -> int:
+    """Return the log epoch that an answer names."""
     for name, value in headers:
         digits = value.strip()
-        if name == ERA and digits.isdigit() and len(digits) <= MAX_ERA_DIGITS:
+        if (
+            name == EPOCH_HEADER
+            and digits.isdigit()
+            and len(digits) <= MAX_EPOCH_DIGITS
+        ):
             return int(digits)
     return UNKNOWN_ERA
 
 
-def _cut_records(content: bytes, offset: int) -> Batch | StoreFailure:
-    """Cut the answer to a read; it begins with the end and the first offset."""
-    if len(content) < HEAD_BYTES:
-        return StoreFailure(FailureKind.MALFORMED, "a read without its head")
-    found: list[StoredRecord | None] = []
-    position = HEAD_BYTES
-    while position + LENGTH_BYTES <= len(content):
-        length = int.from_bytes(content[position : position + LENGTH_BYTES], "big")
-        start = position + LENGTH_BYTES
+def _parse_batch(content: bytes, offset: int) -> Batch | StoreFailure:
+    """Return the records in the answer to a read.
+
+    The answer starts with the end and the first offset of the topic.
+    """
+    if len(content) < READ_HEADER_BYTES:
+        return StoreFailure(FailureKind.MALFORMED, "incomplete header of a read")
+    parsed_records: list[StoredRecord | None] = []
+    position = READ_HEADER_BYTES
+    while position + LENGTH_PREFIX_BYTES <= len(content):
+        length = int.from_bytes(
+            content[position : position + LENGTH_PREFIX_BYTES], "big"
+        )
+        start = position + LENGTH_PREFIX_BYTES
         position = start + length
         if position > len(content):
-            return StoreFailure(FailureKind.MALFORMED, "a record that is cut off")
-        found.append(_read_record(content[start:position], offset + len(found)))
-    records = tuple(one for one in found if one is not None)
-    return Batch(records, offset + len(found), len(found) - len(records))
+            return StoreFailure(FailureKind.MALFORMED, "truncated record")
+        parsed_records.append(
+            _parse_record(content[start:position], offset + len(parsed_records))
+        )
+    records = tuple(record for record in parsed_records if record is not None)
+    return Batch(
+        records, offset + len(parsed_records), len(parsed_records) - len(records)
+    )
 
 
-def _read_record(content: bytes, offset: int) -> StoredRecord | None:
-    """Return a record, ``None`` for one without a key that can be read."""
+def _parse_record(content: bytes, offset: int) -> StoredRecord | None:
+    """Return a record, ``None`` if it has no valid key."""
     if not content or len(content) <= content[0]:
         return None
     key_end = 1 + content[0]
@@ -195,8 +208,8 @@
         return None
 
 
-def _read_item(item: dict[str, Any]) -> StoredRecord | None:
-    """Return a record of a page of the newest, ``None`` if it can't be read."""
+def _parse_item(item: dict[str, Any]) -> StoredRecord | None:
+    """Return a record of a page of the newest records, ``None`` if it is invalid."""
     key, value, offset = item.get("key"), item.get("value"), item.get("offset")
     if not isinstance(key, str) or not isinstance(value, str):
         return None
@@ -208,9 +221,15 @@
         return None
 
 
-def _read_last_key(items: list[dict[str, Any]], before: str) -> str:
-    """Return the key that the next page begins behind, which goes on for ever else."""
+def _find_last_key(items: list[dict[str, Any]], previous: str) -> str:
+    """Return the last key of a page, after which the next page starts.
+
+    Raises `PlatformDocumentError` if the key does not change, since the pages would
+    never end.
+    """
     key = items[-1].get("key") if items else None
-    if not isinstance(key, str) or not key or key == before:
-        refuse_field(_PAGE, "items", "a last key from which to go on")
+    if not isinstance(key, str) or not key or key == previous:
+        refuse_field(
+            _NEWEST_PAGE, "items", "a last key other than that of the page before"
+        )
     return key
--- a/eelgrassmount/platform/topic_names.py
+++ b/eelgrassmount/platform/topic_names.py
@@ -1,11 +1,11 @@
-"""Where things stand on the platform's log."""
+"""Names of topics and keys on the platform's log."""
 
 from __future__ import annotations
 
-# written by the operator only: one record with the whole configuration
+# written only by the operator; one record holds the whole configuration
 CONFIGURATION_TOPIC = "keyed.op"
 CONFIGURATION_KEY = "config"
-# the nodes of this system, one record each
+# one record for each node
 NODES_TOPIC = "keyed.nodes"
-# beside them, what all have learned; no machine has such a name
+# the learned call graph, on the same topic; no node has a name with a slash
 LEARNED_KEY = "learned/calls"
--- a/eelgrassmount/settings.py
+++ b/eelgrassmount/settings.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable, Mapping
 
 ENVIRONMENT_PREFIX = "EELGRASSMOUNT_"
-# read by the command line, not by a node
-OTHER_VARIABLES = frozenset({"EELGRASSMOUNT_ADMIN"})
+# not settings of a node
+COMMAND_LINE_VARIABLES = frozenset({"EELGRASSMOUNT_ADMIN"})
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 FRAME_OVERHEAD_BYTES = 64 * 1024
@@ -23,8 +23,10 @@
 
 _KIB = 1024
 _MIB = 1024 * 1024
-_ADDRESS = "an IPv4 address and port such as 127.1.0.1:8000"
-_LABEL = "1 to 63 letters, digits, '.', '_' or '-', beginning with a letter or digit"
+_ALLOWED_ADDRESS = "an IPv4 address and port such as 127.1.0.1:8000"
+_ALLOWED_LABEL = (
+    "1 to 63 letters, digits, '.', '_' or '-', beginning with a letter or digit"
+)
 _LABEL_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 
 
@@ -45,7 +47,7 @@
 
 
 def _address(meaning: str, default: Any = NOTHING) -> Any:
-    return _make_setting(Rule(meaning, _ADDRESS, parse_address), default)
+    return _make_setting(Rule(meaning, _ALLOWED_ADDRESS, parse_address), default)
 
 
 def _label(meaning: str, default: Any = NOTHING) -> Any:
@@ -54,7 +56,7 @@
             raise ValueError(text)
         return text
 
-    return _make_setting(Rule(meaning, _LABEL, parse), default)
+    return _make_setting(Rule(meaning, _ALLOWED_LABEL, parse), default)
 
 
 def _whole(meaning: str, default: int, low: int, high: int) -> Any:
@@ -71,7 +73,7 @@
 def _number(meaning: str, default: float, low: float, high: float) -> Any:
     def parse(text: str) -> float:
         value = float(text)
-        # also false for nan
+        # also rejects nan
         if not low <= value <= high:
             raise ValueError(text)
         return value
@@ -103,8 +105,8 @@
 class Settings:
     """All settings of a node; units are part of the names.
 
-    A node learns its own addresses and failure domain from here, and nothing
-    about backend servers: these announce themselves.
+    They give the addresses and the failure domain of the node; backend servers are
+    not configured here, but announce themselves.
     """
 
     caller_address: Address = _address("Where callers connect (HTTP).")
@@ -157,16 +159,16 @@
 
 
 def list_rules() -> dict[str, Rule]:
-    """Return the rule of each setting by the setting's name, in page order."""
+    """Return the rules of all settings by name, in the order of the reference page."""
     return {item.name: item.metadata["rule"] for item in fields(Settings)}
 
 
 def load_settings(flags: Mapping[str, str], environment: Mapping[str, str]) -> Settings:
     """Return the settings given by flags and environment variables.
 
-    A flag is named after its setting, the variable is the name in capitals with
-    ``EELGRASSMOUNT_`` before it; the flag wins. Raises `SettingError` for a
-    setting that is unknown, missing, malformed or at odds with another one::
+    A flag is named after its setting, the variable is the name in capitals with the
+    prefix ``EELGRASSMOUNT_``; the flag takes precedence. Raises `SettingError` for a
+    setting that is unknown, missing, malformed or in conflict with another::
 
         load_settings(sys_flags, os.environ).drain_limit_s
     """
@@ -179,9 +181,9 @@
     values = {
         name: _parse_text(name, text, rules[name]) for name, text in texts.items()
     }
-    _require_values(values)
+    _check_required(values)
     settings = Settings(**values)
-    _check_together(settings)
+    _check_combination(settings)
     return settings
 
 
@@ -190,7 +192,10 @@
 ) -> dict[str, str]:
     texts = {}
     for variable, text in environment.items():
-        if not variable.startswith(ENVIRONMENT_PREFIX) or variable in OTHER_VARIABLES:
+        if (
+            not variable.startswith(ENVIRONMENT_PREFIX)
+            or variable in COMMAND_LINE_VARIABLES
+        ):
             continue
         name = variable.removeprefix(ENVIRONMENT_PREFIX).lower()
         if name not in rules:
@@ -206,13 +211,13 @@
         raise SettingError(name, text, rule.allowed) from None
 
 
-def _require_values(values: Mapping[str, Any]) -> None:
+def _check_required(values: Mapping[str, Any]) -> None:
     for item in fields(Settings):
         if item.default is NOTHING and item.name not in values:
             raise SettingError(item.name, "", item.metadata["rule"].allowed)
 
 
-def _check_together(settings: Settings) -> None:
+def _check_combination(settings: Settings) -> None:
     _check_distinct(settings)
     if settings.advertise_address.host == UNSPECIFIED_HOST:
         raise SettingError(
@@ -220,12 +225,12 @@
             str(settings.advertise_address),
             "the address of this VM that other nodes can reach",
         )
-    least_bytes = settings.max_body_bytes + FRAME_OVERHEAD_BYTES
-    if settings.max_frame_bytes < least_bytes:
+    min_bytes = settings.max_body_bytes + FRAME_OVERHEAD_BYTES
+    if settings.max_frame_bytes < min_bytes:
         raise SettingError(
             "max_frame_bytes",
             str(settings.max_frame_bytes),
-            f"at least {least_bytes}, which is max_body_bytes and 64 KiB",
+            f"at least {min_bytes}, which is max_body_bytes and 64 KiB",
         )
 
 
--- a/eelgrassmount/shared_node_state.py
+++ b/eelgrassmount/shared_node_state.py
@@ -1,4 +1,4 @@
-"""The state that controllers share."""
+"""The state that the controllers of a node share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DrainStage(IntEnum):
-    """How far a graceful shutdown has come."""
+    """The stage of a graceful shutdown."""
 
     RUNNING = 0
     DRAINING = 1
@@ -21,10 +21,10 @@
 
 @define
 class LocalServer:
-    """The backend server on this VM, from its own announcements.
+    """The backend server on this VM, as it announces itself.
 
-    ``address`` is ``ip:port``; ``load`` is what the server claims, which is
-    only shown and never decides.
+    ``address`` is ``ip:port``; ``load`` is the load that the server reports, which is
+    only displayed.
     """
 
     service: str = ""
@@ -36,9 +36,9 @@
 
 @define
 class SharedNodeState:
-    """Everything that one controller writes and another one reads.
+    """The data that controllers exchange within a node.
 
-    Each part has one writer: ``configuration`` the configuration follower,
+    Each field has one writer: ``configuration`` the configuration follower,
     ``members`` the membership, ``loads`` the load exchange, ``server`` the
     backend listener, ``drain`` the graceful shutdown.
     """
@@ -53,7 +53,7 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Tell whether this node's backend server may be given new work."""
+        """Return whether this node's backend server accepts new work."""
         return (
             self.drain is DrainStage.RUNNING
             and self.server.state is ServerState.SERVING
--- a/eelgrassmount/verdict.py
+++ b/eelgrassmount/verdict.py
@@ -11,7 +11,7 @@
 
 
 class Reason(StrEnum):
-    """Why a call was refused, or why its fate is unknown.
+    """Why a call was refused, or why its outcome is unknown.
 
     The value of each reason is the label of its counter and the text of the
     ``Eelgrassmount-Reason`` header.
@@ -38,7 +38,7 @@
     DRAINING = "draining"
     ATTEMPTS_SPENT = "attempts-spent"
     RETRY_BUDGET = "retry-budget"
-    # keys
+    # idempotency keys
     KEY_MISSING = "key-missing"
     KEY_MALFORMED = "key-malformed"
     KEY_REUSED = "key-reused"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """One HTTP header; the name is in lower case."""
+    """An HTTP header, whose name is in lower case."""
 
     name: str
     value: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The call ran nowhere: no byte of it, nor of its subtree, was run."""
+    """Neither the call nor any call of its subtree was run."""
 
     reason: Reason
     retry_after_s: float = 0.0
@@ -95,7 +95,7 @@
 
 
 def get_verdict_name(verdict: Verdict) -> str:
-    """Return the name of a verdict as it stands in the verdict header."""
+    """Return the name of a verdict that is sent in the verdict header."""
     match verdict:
         case Answered():
             return ANSWERED
@@ -105,10 +105,10 @@
 
 
 def downgrade_verdict(verdict: Verdict, subtree_ran: bool) -> Verdict:
-    """Turn a *not run* into *may have run* where something else has run.
+    """Turn *not run* into *may have run* if a part of the subtree has run.
 
-    A call whose own server refused it may have had downstream calls that ran
-    before; then "not run" would be false for the subtree as a whole.
+    Downstream calls may have run before the server refused the call itself;
+    "not run" would then be false for the subtree.
     """
     if subtree_ran and isinstance(verdict, NotRun):
         return MayHaveRun(verdict.reason, verdict.retry_after_s)
@@ -116,7 +116,7 @@
 
 
 def set_retry_after(verdict: Verdict, retry_after_s: float) -> Verdict:
-    """Return a refusal with its time to come back set, if it has none yet."""
+    """Return a refusal with ``retry_after_s`` set, unless it is set already."""
     if isinstance(verdict, Answered) or verdict.retry_after_s > 0:
         return verdict
     return replace(verdict, retry_after_s=retry_after_s)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Configuration, heartbeats and settings of the platform."""
+"""Configuration, heartbeats and settings in the platform's formats."""
 
 from __future__ import annotations
 
@@ -86,13 +86,13 @@
 
 
 @pytest.mark.parametrize("text", ["12", "r", "rx", None, 12])
-def test_wrong_version(text):
+def test_invalid_version_is_refused(text):
     with pytest.raises(PlatformDocumentError):
         read_version(text)
 
 
 @pytest.mark.parametrize("document", [b"", b"[]", b'{"version":"r1"}', b"\xff"])
-def test_wrong_configuration(document):
+def test_invalid_configuration_is_refused(document):
     with pytest.raises(PlatformDocumentError):
         read_configuration(document)
 
@@ -120,7 +120,7 @@
     assert heartbeat.leaving
 
 
-def test_leave_says_of_which_start_it_is():
+def test_start_in_a_leave_is_read():
     body = b'{"born":1700000000123}'
     heartbeat = read_announcement("POST", "/instances/i-7/leave", body)
     assert heartbeat.incarnation == ServerIncarnation("i-7", 1700000000123)
@@ -131,7 +131,7 @@
     "born", ["1700000000123", 1.5, True, None, [1], -1, 0, 1e400, 10**20]
 )
 @pytest.mark.parametrize("call", ["heartbeat", "leave"])
-def test_start_that_is_no_whole_number_is_refused(call, born):
+def test_start_that_is_not_a_whole_number_is_refused(call, born):
     body = {
         "address": "10.1.0.8:8301",
         "info": {"service": "desk", "slots": 168},
@@ -147,12 +147,12 @@
     ("method", "target"),
     [("GET", "/instances/i/heartbeat"), ("POST", "/x"), ("POST", "/instances/i/z")],
 )
-def test_other_calls_are_no_announcement(method, target):
+def test_other_requests_are_not_announcements(method, target):
     assert read_announcement(method, target, b"{}") is None
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"[]", b'{"info":{},"status":{}}'])
-def test_wrong_heartbeat(body):
+def test_invalid_heartbeat_is_refused(body):
     with pytest.raises(PlatformDocumentError):
         read_announcement("POST", "/instances/i/heartbeat", body)
 
@@ -176,7 +176,7 @@
         ("nodeId =", "nodeId", "settings file"),
     ],
 )
-def test_wrong_setting_is_named_in_one_line(before, after, name):
+def test_invalid_setting_is_named_in_one_line(before, after, name):
     with pytest.raises(SettingError) as caught:
         parse_settings(SETTINGS.replace(before, after))
     assert caught.value.name == name
@@ -194,7 +194,7 @@
 ALL_BOUNDS = BOUNDS.replace("closed=true", "budgetWindowS=10")
 
 
-def list_warnings(text: str) -> list[str]:
+def collect_warnings(text: str) -> list[str]:
     lines: list[str] = []
     sink = logger.add(lines.append, level="WARNING", format="{message} {extra}")
     try:
@@ -204,7 +204,7 @@
     return lines
 
 
-# With the first of these, no node of a deployment started.
+# Nodes did not start with a value of many decimals.
 @pytest.mark.parametrize("slack", ["32.76923076923077", "1e2", "0.30000000000000004"])
 def test_bounds_may_be_any_decimal(slack):
     settings = parse_settings(
@@ -213,18 +213,17 @@
     assert settings.retry_slack == float(slack)
 
 
-# Settings without bounds, or without one of them, started without a word, by figures
-# that may not be those of the installation.
-def test_defaults_in_force_are_told_in_one_line():
-    assert list_warnings(SETTINGS.replace(BOUNDS, ALL_BOUNDS)) == []
-    lines = list_warnings(SETTINGS)
+# A node with missing bounds must not use defaults without a warning.
+def test_defaults_in_use_are_logged_in_one_line():
+    assert collect_warnings(SETTINGS.replace(BOUNDS, ALL_BOUNDS)) == []
+    lines = collect_warnings(SETTINGS)
     assert len(lines) == 1
     assert "'defaults': {'retry_window_s': 10.0}" in lines[0]
-    lines = list_warnings(SETTINGS.replace(BOUNDS, ""))
+    lines = collect_warnings(SETTINGS.replace(BOUNDS, ""))
     assert len(lines) == 1
     for name in ("retry_ratio", "retry_window_s", "retry_slack", "grace_s"):
         assert name in lines[0]
-    assert list_warnings(SETTINGS.replace(BOUNDS, "bounds = []")) == lines
+    assert collect_warnings(SETTINGS.replace(BOUNDS, "bounds = []")) == lines
 
 
 @pytest.mark.parametrize(
@@ -250,7 +249,7 @@
         '["retryBudgetRatio=-0.2"]',
     ],
 )
-def test_wrong_bounds_are_named(bounds):
+def test_invalid_bounds_are_named(bounds):
     with pytest.raises(SettingError) as caught:
         parse_settings(SETTINGS.replace(BOUNDS, f"bounds = {bounds}"))
     assert caught.value.name.startswith("bounds")
@@ -310,12 +309,12 @@
     assert not table.teams.teams["other"].has_quota()
 
 
-def test_keys_are_required_by_an_empty_list_of_teams_and_not_without_one():
+def test_keys_are_required_with_a_list_of_teams_even_if_empty():
     assert read_teams().teams.is_required
     assert not read_configuration(json.dumps(CONFIGURATION).encode()).teams.is_required
 
 
-def test_route_says_whether_it_needs_a_key():
+def test_route_needs_a_key_unless_anonymous():
     assert read_teams(TEAM).find("shop.example", "/a/1").needs_key
     assert read_teams(TEAM, anonymous=False).find("shop.example", "/a/1").needs_key
     assert not read_teams(TEAM, anonymous=True).find("shop.example", "/a/1").needs_key
@@ -348,7 +347,7 @@
         (["press"], "tenants"),
     ],
 )
-def test_wrong_field_of_a_team_is_named(teams, part):
+def test_invalid_field_of_a_team_is_named(teams, part):
     with pytest.raises(PlatformDocumentError) as caught:
         read_teams(*teams)
     assert caught.value.part == part
@@ -356,13 +355,13 @@
 
 
 @pytest.mark.parametrize("value", [None, 0, 1, "true", []])
-def test_route_that_may_need_a_key_is_not_opened_by_another_type(value):
+def test_anonymous_field_of_another_type_is_refused(value):
     with pytest.raises(PlatformDocumentError) as caught:
         read_teams(TEAM, anonymous=value)
     assert caught.value.part == "anonymous"
 
 
-def test_least_urgent_route_of_an_urgent_team_goes_before_all_others():
+def test_priority_of_the_team_precedes_priority_of_the_route():
     table = read_teams(TEAM)
     booking, listing = (table.find("shop.example", path) for path in ("/a/1", "/b/1"))
     ranks = [
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -7,7 +7,7 @@
 from eelgrassmount.platform import headers
 
 
-def test_request_head_is_read_and_only_what_may_go_on_goes_on():
+def test_request_head_is_read_and_hop_by_hop_headers_are_dropped():
     head = headers.read_request(
         [
             (b"host", b"Shop.Example:80"),
@@ -29,13 +29,13 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"soon", b"1.5"])
-def test_unreadable_time_left_counts_as_none(value):
+def test_invalid_remaining_time_is_ignored(value):
     head = headers.read_request([(b"eelgrassmount-deadline-ms", value)])
     assert head.remaining_ms is None
 
 
 @pytest.mark.parametrize("name", [b"eelgrassmount-tenant", b"x-api-key"])
-def test_team_and_key_of_a_client_go_no_further(name):
+def test_team_and_key_of_a_client_are_not_forwarded(name):
     lines = [(name, b"one"), (b"accept", b"a"), (name, b"two")]
     assert headers.read_request(lines).forwarded_headers == b"accept: a\r\n"
 
@@ -44,17 +44,17 @@
     ("values", "key"),
     [([], None), ([b""], b""), ([b" k-1 "], b"k-1"), ([b"k-1", b"k-1"], b"")],
 )
-def test_key_is_read_if_there_is_one(values, key):
+def test_single_key_is_read(values, key):
     head = headers.read_request([(b"x-api-key", value) for value in values])
     assert head.api_key == key
     assert "k-1" not in repr(head)
 
 
-def test_team_is_named_to_the_server():
+def test_team_header_is_written():
     assert headers.write_team("press-1") == b"eelgrassmount-tenant: press-1\r\n"
 
 
-def test_request_to_the_server():
+def test_request_to_the_server_is_written():
     data = headers.write_request(
         "POST", "/p", b"host: x\r\n", b"body", 250, "desk", "i1"
     )
@@ -87,31 +87,31 @@
     assert b"content-type: text/plain\r\n" in head.forwarded_headers
 
 
-def test_refusal_says_when_to_come_back():
+def test_refusal_has_a_retry_after_header():
     assert headers.write_refusal("a1", 0.25) == (
         b"eelgrassmount-attempt-id: a1\r\nretry-after: 0.250\r\n"
     )
     assert headers.write_refusal("", 0.0) == b""
 
 
-# A server behind the address of this VM's may name itself with anything; the name goes
-# into the header of the next call.
+# The identity from an answer is sent in a header of the next request, so that an
+# invalid one could inject data there.
 @pytest.mark.parametrize(
     "value",
     [b"", b" ", b"a b", b"a\tb", b"\xff\xfe", b"x" * 129, b"a,b", b"a/b", b"%41"],
 )
-def test_answer_with_an_identity_that_is_none_names_nobody(value):
+def test_invalid_identity_in_an_answer_is_ignored(value):
     assert headers.read_answer([(b"eelgrassmount-instance-id", value)]).instance == ""
 
 
-def test_answer_names_the_server():
+def test_identity_in_an_answer_is_read():
     head = headers.read_answer([(b"eelgrassmount-instance-id", b"i-7f3a91c2")])
     assert head.instance == "i-7f3a91c2"
 
 
-# The time limit of a request with 5,000 digits ended in ValueError, and the request in
-# 500; an idle limit of 400 digits made a connection live for ever.
-def test_numbers_of_very_many_digits():
+# A remaining time of 5,000 digits raised ValueError, and an idle limit of 400 digits
+# kept a connection open for ever.
+def test_numbers_with_very_many_digits_are_limited():
     digits = b"9" * 5000
     head = headers.read_request([(b"eelgrassmount-deadline-ms", digits)])
     assert head.remaining_ms == headers.MAX_REMAINING_MS
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats and leaves, also those that no server of the platform would send."""
+"""Valid and invalid heartbeats and leaves."""
 
 from __future__ import annotations
 
@@ -22,28 +22,33 @@
     "status.sequence",
     "status.coldRemainingMs",
 )
-# what no field of a heartbeat may be
-WRONG = (MISSING, None, True, [], {}, "", -5, -0.5)
-# bytes that a decoder of JSON may take for a number, and the part that is wrong
-NO_NUMBERS = (("NaN", "body"), ("-Infinity", "body"), ("1e400", ""), ("1e-400", ""))
+# invalid for every field of a heartbeat
+INVALID_VALUES = (MISSING, None, True, [], {}, "", -5, -0.5)
+# numbers that a JSON decoder may accept, and the part that is named as invalid
+INVALID_NUMBERS = (
+    ("NaN", "body"),
+    ("-Infinity", "body"),
+    ("1e400", ""),
+    ("1e-400", ""),
+)
 
 
 def make_content(path: str = "", value: Any = MISSING) -> dict[str, Any]:
-    """Return a heartbeat in which one field is other than it should be."""
+    """Return a valid heartbeat with one field replaced or removed."""
     content = {
         "address": "10.1.0.8:8301",
         "info": {"service": "desk", "version": "v1", "zone": "a", "slots": 168},
         "status": {"state": "ready", "sequence": 4, "coldRemainingMs": 500},
         "born": 1_790_000_000_000,
     }
-    holder = content
-    *above, name = path.split(".")
-    for one in above:
-        holder = holder[one]
+    parent = content
+    *outer_names, name = path.split(".")
+    for outer_name in outer_names:
+        parent = parent[outer_name]
     if value is not MISSING:
-        holder[name] = value
+        parent[name] = value
     elif name:
-        del holder[name]
+        del parent[name]
     return content
 
 
@@ -56,13 +61,13 @@
     return read_announcement("POST", "/instances/i-7/leave", body)
 
 
-def refuse(content: Any, identity: str = "i-7") -> PlatformDocumentError:
+def read_invalid(content: Any, identity: str = "i-7") -> PlatformDocumentError:
     with pytest.raises(PlatformDocumentError) as caught:
         read(content, identity)
     return caught.value
 
 
-def test_heartbeat_as_the_platform_sends_it():
+def test_valid_heartbeat_is_read():
     heartbeat = read(make_content())
     assert heartbeat.service == "desk"
     assert heartbeat.address == "10.1.0.8:8301"
@@ -72,32 +77,31 @@
     assert heartbeat.incarnation.started_ms == 1_790_000_000_000
 
 
-def test_fields_that_are_not_known_are_ignored():
+def test_unknown_fields_are_ignored():
     content = make_content()
     content["more"] = content["info"]["more"] = {"x": [1]}
     assert read(content) == read(make_content())
 
 
-def test_start_may_be_left_out():
+def test_start_is_optional():
     assert read(make_content("born")).incarnation.started_ms == 0
     assert read_leave(b"").incarnation.started_ms == 0
     assert read_leave(b'{"born":7}').incarnation.started_ms == 7
 
 
-# Heartbeats of other writers arrived in which a number was a text, a fraction or true,
-# or in which a field was missing. They were converted in passing, taken for those of
-# the server of the VM, and used up its sequence. Such a one has to change nothing.
-@pytest.mark.parametrize("value", WRONG, ids=repr)
+# Invalid heartbeats of other programs must not be converted and accepted: they would
+# advance the sequence of this VM's server, so that its own heartbeats are ignored.
+@pytest.mark.parametrize("value", INVALID_VALUES, ids=repr)
 @pytest.mark.parametrize("path", PATHS)
-def test_wrong_field_is_named(path, value):
-    assert refuse(make_content(path, value)).part == path
+def test_invalid_field_is_named(path, value):
+    assert read_invalid(make_content(path, value)).part == path
 
 
-@pytest.mark.parametrize(("text", "part"), NO_NUMBERS)
+@pytest.mark.parametrize(("text", "part"), INVALID_NUMBERS)
 @pytest.mark.parametrize("path", ["info.slots", "status.sequence", "born"])
-def test_number_that_is_none_is_refused(path, text, part):
+def test_invalid_number_is_refused(path, text, part):
     body = json.dumps(make_content(path, 123456)).replace("123456", text)
-    assert refuse(body.encode()).part == (part or path)
+    assert read_invalid(body.encode()).part == (part or path)
 
 
 @pytest.mark.parametrize(
@@ -140,13 +144,13 @@
     ids=lambda value: repr(value)[:20],
 )
 def test_value_of_another_type_or_range_is_named(path, value):
-    assert refuse(make_content(path, value)).part == path
+    assert read_invalid(make_content(path, value)).part == path
 
 
 @pytest.mark.parametrize("path", ["info", "status"])
 @pytest.mark.parametrize("value", [None, [], "x", 3, True])
-def test_part_that_is_no_object_is_refused(path, value):
-    assert refuse({**make_content(), path: value}).part.startswith(f"{path}.")
+def test_part_that_is_not_an_object_is_refused(path, value):
+    assert read_invalid({**make_content(), path: value}).part.startswith(f"{path}.")
 
 
 @pytest.mark.parametrize(
@@ -170,32 +174,32 @@
     ],
     ids=lambda body: repr(body[:12]),
 )
-def test_body_that_cannot_be_read_is_refused(body):
-    assert refuse(body).part == "body"
+def test_invalid_body_is_refused(body):
+    assert read_invalid(body).part == "body"
 
 
 @pytest.mark.parametrize("value", ["null", "true", '"7"', "7.0", "0", "1e3"])
-def test_leave_with_a_wrong_start_is_refused(value):
+def test_leave_with_an_invalid_start_is_refused(value):
     with pytest.raises(PlatformDocumentError) as caught:
         read_leave(b'{"born":%s}' % value.encode())
     assert caught.value.part == "born"
 
 
 @pytest.mark.parametrize("body", [b"x", b"[]", b"\xff", b"[" * 100_000])
-def test_leave_with_a_body_that_cannot_be_read_is_refused(body):
+def test_leave_with_an_invalid_body_is_refused(body):
     with pytest.raises(PlatformDocumentError):
         read_leave(body)
 
 
 @pytest.mark.parametrize("identity", ["", "x" * 129, "a/b", "a b", "%41", "\x85", "i?"])
-def test_identity_with_other_characters_is_refused(identity):
-    assert refuse(make_content(), identity).part == "id"
+def test_invalid_identity_is_refused(identity):
+    assert read_invalid(make_content(), identity).part == "id"
 
 
-def test_error_is_in_words_of_its_own():
-    text = str(refuse(make_content("info.slots", "168")))
+def test_error_message_names_the_field_and_the_cause():
+    text = str(read_invalid(make_content("info.slots", "168")))
     assert text == (
         "heartbeat: can't be read (info.slots: give a whole number from 1 to 100000)"
     )
-    text = str(refuse(b"{"))
+    text = str(read_invalid(b"{"))
     assert text == "heartbeat: can't be read (body: not JSON)"
--- a/tests/platform/test_platform_names.py
+++ b/tests/platform/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder, and the folder stays small."""
+"""Names of the platform occur only in its folder, and the folder stays small."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 FOLDER = ROOT / "platform"
 MAX_LINES = 900
 
-# fields, headers, paths and words that only the platform uses
-NAMES = re.compile(
+# fields, headers, paths and terms that only the platform uses
+PLATFORM_NAMES = re.compile(
     r"Attempt-Id|attempt-id|Deadline-Ms|deadline-ms|Expect-Instance|expect-instance"
     r"|Caller-Service|caller-service|Response-Signature|response-signature"
     r"|Not-Executed|not-executed|Instance-Id|instance-id"
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.parametrize("path", list_sources(), ids=lambda path: path.stem)
-def test_no_name_of_the_platform_outside_its_folder(path):
-    found = NAMES.findall(path.read_text())
+def test_platform_names_occur_only_in_the_folder(path):
+    found = PLATFORM_NAMES.findall(path.read_text())
     assert found == []
 
 
-def test_the_folder_is_small():
+def test_folder_stays_below_its_line_limit():
     lines = sum(
         len(path.read_text().splitlines()) for path in sorted(FOLDER.glob("*.py"))
     )
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""Answers of the log that hold what another writer wrote, or are none."""
+"""Invalid answers of the log, and answers with invalid records."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from eelgrassmount.topics.store import Batch, FailureKind, Snapshot, StoredRecord
 from eelgrassmount.util.addresses import Address
 
-GOOD = StoredRecord("n2", b"value")
+VALID_RECORD = StoredRecord("n2", b"value")
 
 
 class ScriptedStore(StoreClient):
-    """A client whose calls are answered by a script."""
+    """A client with scripted answers."""
 
     def __init__(self, *answers: bytes):
         super().__init__(Address("127.0.0.1", 1))
@@ -36,7 +36,7 @@
     return anyio.run(main)
 
 
-def make_item(key: Any = "n2", value: Any = GOOD.value) -> dict[str, Any]:
+def make_item(key: Any = "n2", value: Any = VALID_RECORD.value) -> dict[str, Any]:
     if isinstance(value, bytes):
         value = base64.b64encode(value).decode()
     return {"key": key, "value": value, "offset": 1}
@@ -74,9 +74,9 @@
     ],
     ids=repr,
 )
-def test_newest_record_that_cannot_be_read_leaves_the_others(item):
+def test_invalid_newest_record_is_skipped(item):
     found = read_newest(make_page(item, make_item()))
-    assert found == Snapshot((GOOD,), 6, unreadable=1)
+    assert found == Snapshot((VALID_RECORD,), 6, unreadable=1)
 
 
 @pytest.mark.parametrize(
@@ -101,11 +101,11 @@
     ],
     ids=lambda page: repr(page[:60]),
 )
-def test_page_that_cannot_be_read_is_a_failure(page):
+def test_invalid_page_is_a_failure(page):
     assert read_newest(page).kind is FailureKind.MALFORMED
 
 
-def test_pages_that_do_not_go_on_are_a_failure():
+def test_pages_with_the_same_last_key_are_a_failure():
     page = make_page(make_item(), more=True)
     assert read_newest(page, page, page).kind is FailureKind.MALFORMED
 
@@ -113,40 +113,40 @@
 @pytest.mark.parametrize(
     "content",
     [
-        # a key that is longer than its record, or no text; a record without a key
+        # a key longer than its record, a key that is not UTF-8, a record without a key
         b"\x09n2value",
         b"\x02\xff\xfevalue",
         b"",
     ],
 )
-def test_record_that_cannot_be_read_leaves_the_others(content):
+def test_invalid_record_is_skipped(content):
     found = read(make_batch(b"\x02n2value", content, b"\x02n2value"))
-    # the offset counts it, or it would be read again for ever
-    assert found == Batch((GOOD, GOOD), 7, unreadable=1)
+    # the offset includes the invalid record, which would be read for ever otherwise
+    assert found == Batch((VALID_RECORD, VALID_RECORD), 7, unreadable=1)
 
 
 @pytest.mark.parametrize("content", [b"", bytes(15), make_batch(b"\x02n2v")[:-1]])
-def test_read_that_is_cut_off_is_a_failure(content):
+def test_truncated_read_is_a_failure(content):
     assert read(content).kind is FailureKind.MALFORMED
 
 
 @pytest.mark.parametrize(
     "answer", [b"", b"{}", b"[]", b'{"offset":"7"}', b'{"offset":true}', b"[" * 100_000]
 )
-def test_append_without_a_whole_offset_is_a_failure(answer):
+def test_append_without_a_valid_offset_is_a_failure(answer):
     found = run_call([answer], "append", "keyed.nodes", "n2", b"v")
     assert found.kind is FailureKind.MALFORMED
 
 
-def test_follower_counts_what_it_cannot_read():
-    told = []
+def test_follower_counts_unreadable_records():
+    reported = []
     store = ScriptedStore(make_page(make_item(value=None)))
     follower = TopicFollower(
         store,
         "keyed.nodes",
         lambda records: None,
         random.Random(1),
-        on_unreadable=lambda topic, count: told.append((topic, count)),
+        on_unreadable=lambda topic, count: reported.append((topic, count)),
     )
     assert anyio.run(follower._read_on) is None
-    assert told == [("keyed.nodes", 1)]
+    assert reported == [("keyed.nodes", 1)]
--- a/tests/test_log_client.py
+++ b/tests/test_log_client.py
@@ -1,4 +1,4 @@
-"""The client of the log, against scripted answers on a socket."""
+"""The log client, with scripted answers on a socket."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
 
-def run_client(reply: bytes | None, use: Callable, silent: bool = False) -> tuple:
-    """Return what ``use(client)`` gave and the requests that the log saw."""
+def run_client(reply: bytes | None, call: Callable, silent: bool = False) -> tuple:
+    """Return the result of ``call(client)`` and the requests that the log received."""
     requests: list[bytes] = []
 
     async def serve(stream: anyio.abc.SocketStream) -> None:
@@ -35,10 +35,10 @@
     async def main() -> object:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        client = LogClient(f"http://127.0.0.1:{port}/", limit_s=0.3)
+        client = LogClient(f"http://127.0.0.1:{port}/", timeout_s=0.3)
         async with listener, anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, serve)
-            result = await use(client)
+            result = await call(client)
             await client.close()
             tasks.cancel_scope.cancel()
         return result
@@ -84,14 +84,14 @@
     assert isinstance(run_client(answer(b'{"first":3}'), read)[0], LogFailure)
 
 
-@pytest.mark.parametrize("use", [append, read])
-def test_silent_log_ends_in_time(use: Callable) -> None:
-    result, _ = run_client(None, use, silent=True)
+@pytest.mark.parametrize("call", [append, read])
+def test_request_to_a_silent_log_times_out(call: Callable) -> None:
+    result, _ = run_client(None, call, silent=True)
     assert isinstance(result, LogFailure)
     assert result.sent
 
 
-def test_unreachable_log_was_sent_nothing() -> None:
+def test_unreachable_log_receives_no_request() -> None:
     async def main() -> object:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
--- a/tests/test_logging_setup.py
+++ b/tests/test_logging_setup.py
@@ -1,4 +1,4 @@
-"""Log lines for programs, and streams that fail."""
+"""JSON log lines, and streams that fail."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         raise BrokenPipeError
 
 
-def test_write_json_away_from_terminal():
+def test_lines_are_json_without_a_terminal():
     stream = io.StringIO()
     configure_logging("info", stream)
     logger.debug("not shown")
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("stream", [FailingStream(), io.StringIO()])
-def test_failing_stream_costs_only_the_line(stream):
+def test_failing_stream_raises_no_exception(stream):
     configure_logging("info", stream)
     stream.close()
     logger.info("lost")
--- a/tests/test_reference_pages.py
+++ b/tests/test_reference_pages.py
@@ -1,4 +1,4 @@
-"""The reference pages name everything that the program has."""
+"""The reference pages list all settings, metrics, reasons and commands."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("page", NAMES)
-def test_page_names_everything(page):
+def test_page_lists_all_names(page):
     text = (REFERENCE / page).read_text()
     assert [name for name in NAMES[page] if f"``{name}``" not in text] == []
 
@@ -57,7 +57,7 @@
     assert [r.allowed for r in list_rules().values() if r.allowed not in text] == []
 
 
-def test_every_refusal_reason_shows_zero():
+def test_every_refusal_reason_starts_at_zero():
     text = generate_latest(metrics.make_metrics().registry).decode()
     for reason in Reason:
         assert f'eelgrassmount_refusals_total{{reason="{reason}"}} 0.0' in text
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: defaults, precedence, and what is refused."""
+"""Settings: defaults, precedence and validation."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 }
 
 
-def test_load_defaults():
+def test_defaults_are_loaded():
     settings = load_settings(REQUIRED, {"HOME": "/", "EELGRASSMOUNT_ADMIN": "x"})
     assert settings.advertise_address == settings.peer_address
     assert settings.peers == ()
     assert settings.key_window_s == 600.0
 
 
-def test_flag_wins_over_environment():
+def test_flag_takes_precedence_over_environment():
     environment = {"EELGRASSMOUNT_PEERS": "127.1.0.2:1", "EELGRASSMOUNT_REGION": "east"}
     settings = load_settings(
         {**REQUIRED, "peers": "127.1.0.3:1, 127.1.0.4:1"}, environment
@@ -53,25 +53,25 @@
         ("no_such_setting", "1", "a flag that is listed"),
     ],
 )
-def test_refuse_wrong_value(name, value, allowed):
+def test_invalid_value_is_refused(name, value, allowed):
     with pytest.raises(SettingError, match=allowed):
         load_settings({**REQUIRED, name: value}, {})
 
 
 @pytest.mark.parametrize("name", sorted(REQUIRED))
-def test_refuse_missing(name):
+def test_missing_setting_is_refused(name):
     flags = {key: text for key, text in REQUIRED.items() if key != name}
     with pytest.raises(SettingError, match=f"^{name}: '' is not allowed"):
         load_settings(flags, {})
 
 
-def test_refuse_unknown_variable():
+def test_unknown_variable_is_refused():
     with pytest.raises(SettingError, match="EELGRASSMOUNT_PEER:"):
         load_settings(REQUIRED, {"EELGRASSMOUNT_PEER": "127.1.0.2:1"})
 
 
 @given(name=st.sampled_from(sorted(list_rules())), text=st.text())
-def test_any_text_loads_or_is_explained(name, text):
+def test_any_text_is_loaded_or_refused_in_one_line(name, text):
     try:
         load_settings({**REQUIRED, name: text}, {})
     except SettingError as error:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer service, driven by a clock of the test's own."""
+"""The timer service on a manual clock."""
 
 from __future__ import annotations
 
@@ -15,65 +15,65 @@
     ManualClock,
     MonotonicClock,
     TimerService,
-    name_action,
-    round_wait,
+    get_action_name,
+    round_up_wait,
 )
 
 
-def make_timers(**rest: object) -> TimerService:
-    return TimerService(ManualClock(0.0), random.Random(1), **rest)
+def make_timers(**options: object) -> TimerService:
+    return TimerService(ManualClock(0.0), random.Random(1), **options)
 
 
 def test_periodic_and_single_actions_run_in_order() -> None:
     timers = make_timers()
-    seen: list[str] = []
-    timers.subscribe(1.0, lambda: seen.append(f"tick {timers.read():g}"))
-    timers.schedule(1.5, lambda: seen.append("once"))
+    runs: list[str] = []
+    timers.subscribe(1.0, lambda: runs.append(f"tick {timers.read():g}"))
+    timers.schedule(1.5, lambda: runs.append("once"))
     timers.advance(3.0)
-    assert seen == ["tick 1", "once", "tick 2", "tick 3"]
+    assert runs == ["tick 1", "once", "tick 2", "tick 3"]
 
 
-def test_cancelled_timer_stays_quiet() -> None:
+def test_cancelled_timer_does_not_run() -> None:
     timers = make_timers()
-    seen: list[int] = []
-    timer = timers.subscribe(1.0, lambda: seen.append(1))
+    runs: list[int] = []
+    timer = timers.subscribe(1.0, lambda: runs.append(1))
     timers.advance(1.0)
     timer.cancel()
     timers.advance(5.0)
-    assert seen == [1]
+    assert runs == [1]
 
 
-def test_process_that_was_frozen_does_not_catch_up() -> None:
+def test_missed_periods_are_not_caught_up() -> None:
     timers = make_timers()
-    seen: list[float] = []
-    timers.subscribe(1.0, lambda: seen.append(timers.read()))
+    runs: list[float] = []
+    timers.subscribe(1.0, lambda: runs.append(timers.read()))
     timers.clock.now_s = 60.0
     timers.run_due()
-    assert seen == [60.0]
+    assert runs == [60.0]
 
 
 def test_jitter_stays_within_its_fraction() -> None:
     timers = make_timers()
-    seen: list[float] = []
-    timers.subscribe(1.0, lambda: seen.append(timers.read()), jitter=0.2)
+    runs: list[float] = []
+    timers.subscribe(1.0, lambda: runs.append(timers.read()), jitter=0.2)
     timers.advance(100.0)
-    gaps = [later - before for before, later in itertools.pairwise(seen)]
-    assert all(0.8 <= gap <= 1.2 for gap in gaps)
-    assert max(gaps) - min(gaps) > 0.1
+    intervals = [later - before for before, later in itertools.pairwise(runs)]
+    assert all(0.8 <= interval <= 1.2 for interval in intervals)
+    assert max(intervals) - min(intervals) > 0.1
 
 
-def test_faulty_action_is_counted_and_stops_nothing() -> None:
+def test_failed_action_is_counted_and_other_timers_run() -> None:
     errors: list[int] = []
-    timers = make_timers(note_error=lambda: errors.append(1))
-    seen: list[int] = []
+    timers = make_timers(on_error=lambda: errors.append(1))
+    runs: list[int] = []
 
     def fail() -> None:
         raise ValueError("faulty")
 
     timers.subscribe(1.0, fail)
-    timers.subscribe(1.0, lambda: seen.append(1))
+    timers.subscribe(1.0, lambda: runs.append(1))
     timers.advance(2.0)
-    assert (len(errors), len(seen)) == (2, 2)
+    assert (len(errors), len(runs)) == (2, 2)
 
 
 @pytest.mark.anyio
@@ -91,37 +91,37 @@
 
 def test_periodic_timers_share_a_grid() -> None:
     timers = make_timers(grid_s=0.1)
-    moments: set[float] = set()
+    run_times_s: set[float] = set()
     counts = [0, 0, 0]
 
     def count(index: int) -> None:
         counts[index] += 1
-        moments.add(round(timers.read(), 6))
+        run_times_s.add(round(timers.read(), 6))
 
     for index, (period_s, jitter) in enumerate([(0.1, 0.0), (0.5, 0.3), (1.0, 0.1)]):
         timers.subscribe(period_s, lambda index=index: count(index), jitter)
     timers.advance(100.0)
-    # each at its own rate, but never at more moments than the grid has
+    # each timer keeps its rate, but all runs fall on the grid
     assert counts == pytest.approx([1000, 200, 100], rel=0.03)
-    assert len(moments) <= 1001
+    assert len(run_times_s) <= 1001
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 0.0004, 0.001, 0.0123, 2.0])
-def test_wait_becomes_longer_by_at_most_a_tick(wait_s) -> None:
-    assert wait_s - LOOP_TICK_S / 50 <= round_wait(wait_s) <= wait_s + LOOP_TICK_S
-    assert round_wait(math.inf) == math.inf
+def test_wait_is_extended_by_at_most_one_tick(wait_s) -> None:
+    assert wait_s - LOOP_TICK_S / 50 <= round_up_wait(wait_s) <= wait_s + LOOP_TICK_S
+    assert round_up_wait(math.inf) == math.inf
 
 
-def test_wait_is_not_looked_at_again_and_again(monkeypatch) -> None:
+def test_loop_does_not_busy_wait(monkeypatch) -> None:
     scope = anyio_loop.CancelScope
-    looks: list[int] = []
+    timeout_checks: list[int] = []
     original = scope._timeout
 
-    def look(self) -> None:
-        looks.append(1)
+    def count_timeout_check(self) -> None:
+        timeout_checks.append(1)
         original(self)
 
-    monkeypatch.setattr(scope, "_timeout", look)
+    monkeypatch.setattr(scope, "_timeout", count_timeout_check)
     timers = TimerService(MonotonicClock(), random.Random(1))
     fired: list[int] = []
     timers.subscribe(0.0103, lambda: fired.append(1))
@@ -134,10 +134,10 @@
 
     anyio.run(main, backend_options={"use_uvloop": True})
     assert len(fired) >= 10
-    assert len(looks) <= 3 * len(fired) + 5
+    assert len(timeout_checks) <= 3 * len(fired) + 5
 
 
-def test_slowest_action_is_noted() -> None:
+def test_slowest_action_is_recorded() -> None:
     timers = make_timers()
 
     def work() -> None:
@@ -151,17 +151,16 @@
     assert seconds == pytest.approx(0.4)
 
 
-def test_naming_an_action_does_not_write_out_its_object() -> None:
-    # The name was looked up with the representation as the default, which was
-    # made each time: that of a node's parts took 3 s of processor time a second.
+def test_action_name_does_not_format_the_object() -> None:
+    # ``repr`` of a method formats its whole object, which is too slow for each run.
     class Part:
         def __repr__(self) -> str:
-            raise AssertionError("written out")
+            raise AssertionError("formatted")
 
         def act(self) -> None:
             pass
 
         __call__ = act
 
-    assert name_action(Part().act).endswith("Part.act")
-    assert name_action(Part()) == "Part"
+    assert get_action_name(Part().act).endswith("Part.act")
+    assert get_action_name(Part()) == "Part"
