--- a/eelgrassmount/platform/configuration.py
+++ b/eelgrassmount/platform/configuration.py
@@ -87,11 +87,11 @@
     objective_ms = _read_duration_ms(rule, "targetLatencyMs") or DEFAULT_OBJECTIVE_MS
     attempts = _read_count(rule, "action.maxAttempts") or DEFAULT_ATTEMPTS
     return Route(
-        # the name of the rule may differ between versions of the configuration
+        # not the name of the rule, which may change with the configuration version
         name=f"{host}{prefix}",
         host=host,
         prefix=prefix,
-        # an unknown kind is treated as non-idempotent, so that it is not retried
+        # requests of an unknown kind must not run twice
         idempotent=read_name(rule, "kind", _DOCUMENT) == IDEMPOTENT_KIND,
         targets=_read_targets(rule),
         timeout_s=timeout_ms / 1000,
@@ -170,9 +170,11 @@
 
 
 def _is_key(value: Any) -> bool:
-    """Return whether a value can be sent in a header and is not empty."""
-    is_text = isinstance(value, str) and value.isascii() and is_printable(value)
-    return is_text and " " not in value
+    """Return whether a value is a non-empty text that can be sent in a header."""
+    is_printable_ascii = (
+        isinstance(value, str) and value.isascii() and is_printable(value)
+    )
+    return is_printable_ascii and " " not in value
 
 
 def _read_limits(limits: Any) -> ServerLimits:
--- a/eelgrassmount/timers.py
+++ b/eelgrassmount/timers.py
@@ -121,7 +121,8 @@
     With ``grid_s``, periodic timers with a period of at least ``grid_s`` run only at
     multiples of it, plus an offset. Timers that are due at nearly the same time then
     share one wake-up, which reduces the cost of an idle process. ``on_error`` is
-    called after an action that raised an exception.
+    called after an action that raised an exception, ``slowest`` records the slowest
+    action.
     """
 
     clock: Clock
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -204,7 +204,7 @@
     return lines
 
 
-# Nodes did not start with a value of many decimals.
+# A bound with many decimals must not keep a node from starting.
 @pytest.mark.parametrize("slack", ["32.76923076923077", "1e2", "0.30000000000000004"])
 def test_bounds_may_be_any_decimal(slack):
     settings = parse_settings(
