--- a/eelgrassmount/errors.py
+++ b/eelgrassmount/errors.py
@@ -134,8 +134,8 @@
 
     def __str__(self) -> str:
         return (
-            f"heartbeat: {self.part} {self.found!r} does not match {self.expected!r} in "
-            "the settings of this node"
+            f"heartbeat: {self.part} {self.found!r} is not {self.expected!r}, which "
+            "this node was told"
         )
 
 
--- a/eelgrassmount/platform/configuration.py
+++ b/eelgrassmount/platform/configuration.py
@@ -170,7 +170,7 @@
 
 
 def _is_key(value: Any) -> bool:
-    """Return whether a value is a non-empty text that can be sent in a header."""
+    """Return whether a value is a text that can be sent in a header."""
     is_printable_ascii = (
         isinstance(value, str) and value.isascii() and is_printable(value)
     )
