--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -8,7 +8,7 @@
 from attrs import define
 
 from eelgrassmount.calls.admission import AdmittingRunner, OwnedRunner
-from eelgrassmount.calls.entry import Entry
+from eelgrassmount.calls.ingress import Entry
 from eelgrassmount.compose.base import Base, build_base
 from eelgrassmount.compose.path import Path, build_path
 from eelgrassmount.config.follower import ConfigFollower
--- a/eelgrassmount/edge/caller.py
+++ b/eelgrassmount/edge/caller.py
@@ -7,7 +7,7 @@
 from attrs import define
 from loguru import logger
 
-from eelgrassmount.calls.entry import Reply
+from eelgrassmount.calls.ingress import Reply
 from eelgrassmount.calls.request import Request
 from eelgrassmount.edge import headers as names
 from eelgrassmount.edge.headers import choose_status, make_verdict_headers
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.calls.entry import Entry
+    from eelgrassmount.calls.ingress import Entry
     from eelgrassmount.calls.inflight import InFlight
     from eelgrassmount.edge.http import Receive, Send
     from eelgrassmount.metrics import Metrics
--- a/tests/calls/test_entry.py
+++ b/tests/calls/test_ingress.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import define
 
-from eelgrassmount.calls.entry import Entry
+from eelgrassmount.calls.ingress import Entry
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.config.classes import (
     Configuration,
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from eelgrassmount.blackboard import Blackboard
-from eelgrassmount.calls.entry import Reply
+from eelgrassmount.calls.ingress import Reply
 from eelgrassmount.calls.inflight import InFlight
 from eelgrassmount.edge import http, protocol
 from eelgrassmount.edge.announcements import parse_announcement
