--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -18,7 +18,7 @@
 
 
 @define(eq=False)
-class AdmittingRunner:
+class AdmissionRunner:
     """Refuses a root request at once that would be refused in its chain.
 
     It stands at the entry for idempotent requests and at the owner of the key
@@ -45,7 +45,7 @@
 
 
 @define(eq=False)
-class OwnedRunner:
+class KeyOwnerRunner:
     """Runs calls for the owner of their keys, which keeps the outcome.
 
     The loads on the outcome serve this node; kept with a key they would be
--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -17,7 +17,7 @@
     from eelgrassmount.calls.remote import RemoteRunner
     from eelgrassmount.load.control import LoadControl
     from eelgrassmount.metrics import Metrics, RetryReason
-    from eelgrassmount.retry.budget import RetryRatio
+    from eelgrassmount.retry.budget import RetryBudget
     from eelgrassmount.retry.exchange import QuarantineExchange
     from eelgrassmount.timers import TimerService
 
@@ -33,7 +33,7 @@
     control: LoadControl
     local: LocalRunner
     remote: RemoteRunner
-    ratio: RetryRatio
+    retry_budget: RetryBudget
     quarantine: QuarantineExchange
     metrics: Metrics
     make_id: Callable[[], str]
@@ -44,7 +44,7 @@
         Every sending has a call id of its own. Once a sending may have run,
         the final verdict is never *not run*.
         """
-        self.ratio.note_first()
+        self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
         may_have_run = False
         outcome = Outcome(NotRun(Reason.NO_SERVER), call.context.attempts_left)
@@ -100,9 +100,9 @@
         context = attempt.context
         match outcome.verdict:
             case Answered():
-                self.quarantine.note_success(context.digest)
+                self.quarantine.record_success(context.digest)
             case MayHaveRun(Reason.SERVER_CRASHED):
-                self.quarantine.note_crash(context.digest, context.call_id)
+                self.quarantine.record_crash(context.digest, context.call_id)
 
     def _find_retry_reason(
         self, call: Call, outcome: Outcome, excluded: set[str]
@@ -117,6 +117,6 @@
             return None
         room_elsewhere = self.control.has_room(context, call.request.service, excluded)
         reason = choose_retry(outcome.verdict, context, room_elsewhere)
-        if reason is None or not self.ratio.take(self.timers.read()):
+        if reason is None or not self.retry_budget.try_spend(self.timers.read()):
             return None
         return reason
--- a/eelgrassmount/calls/handlers.py
+++ b/eelgrassmount/calls/handlers.py
@@ -7,7 +7,7 @@
 from attrs import define
 
 from eelgrassmount.calls.request import Outcome
-from eelgrassmount.calls.table import Fate
+from eelgrassmount.calls.table import CallStatus
 from eelgrassmount.errors import BadFrameError
 from eelgrassmount.gen.ttypes import CallState, FateAnswer, Hello, Message, Route
 from eelgrassmount.metrics import FrameReason
@@ -24,9 +24,9 @@
     from eelgrassmount.timers import TimerService
 
 _STATE_BY_FATE = {
-    Fate.UNKNOWN: CallState.UNKNOWN,
-    Fate.PENDING: CallState.PENDING,
-    Fate.DONE: CallState.DONE,
+    CallStatus.UNKNOWN: CallState.UNKNOWN,
+    CallStatus.PENDING: CallState.PENDING,
+    CallStatus.DONE: CallState.DONE,
 }
 
 
@@ -37,7 +37,7 @@
     timers: TimerService
     table: CallTable
     local: LocalRunner
-    run_owned: Runner
+    run_as_owner: Runner
     in_flight: InFlight
     metrics: Metrics
 
@@ -57,9 +57,9 @@
         except BadFrameError:
             self.metrics.rejected_frames.labels(FrameReason.MALFORMED).inc()
             return self._reply(_find_call_id(frame), _refuse_malformed())
-        with self.in_flight.hold_call():
+        with self.in_flight.track_call():
             if frame.route == Route.OWN:
-                outcome = await self.run_owned(call)
+                outcome = await self.run_as_owner(call)
             else:
                 outcome = await self.local.run(call)
         return self._reply(call.context.call_id, outcome)
@@ -74,9 +74,9 @@
     async def handle_fate(self, sender: Hello, message: Message) -> Message:
         """Say what became of a call."""
         call_id = message.fate_question.call_id
-        fate = self.table.ask_fate(call_id, self.timers.read())
+        fate = self.table.query_status(call_id, self.timers.read())
         answer = FateAnswer(call_id=call_id, state=_STATE_BY_FATE[fate])
-        if fate is Fate.DONE:
+        if fate is CallStatus.DONE:
             outcome = self.table.find(call_id).outcome
             answer.outcome = encode_outcome(call_id, outcome)
         return Message(fate_answer=answer)
--- a/eelgrassmount/calls/inflight.py
+++ b/eelgrassmount/calls/inflight.py
@@ -19,7 +19,7 @@
     calls: int = 0
 
     @contextlib.contextmanager
-    def hold_request(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Count a caller's request while it is being answered."""
         self.requests += 1
         try:
@@ -28,7 +28,7 @@
             self.requests -= 1
 
     @contextlib.contextmanager
-    def hold_call(self) -> Iterator[None]:
+    def track_call(self) -> Iterator[None]:
         """Count a call of another node while it is being answered."""
         self.calls += 1
         try:
--- a/eelgrassmount/calls/ingress.py
+++ b/eelgrassmount/calls/ingress.py
@@ -14,7 +14,7 @@
 from eelgrassmount.edge import headers as names
 from eelgrassmount.edge.headers import find_header, read_whole_number
 from eelgrassmount.metrics import record_call
-from eelgrassmount.retry.budget import EXTRA_ATTEMPTS
+from eelgrassmount.retry.budget import MAX_EXTRA_ATTEMPTS
 from eelgrassmount.verdict import (
     Answered,
     MayHaveRun,
@@ -50,7 +50,7 @@
 
 
 @define(eq=False)
-class Entry:
+class Ingress:
     """Takes requests of callers: class, deadline, admission, key."""
 
     board: Blackboard
@@ -132,7 +132,7 @@
             parent_id="",
             class_name=work_class.name,
             deadline_s=self.timers.read() + timeout_ms / 1000,
-            attempts_left=EXTRA_ATTEMPTS,
+            attempts_left=MAX_EXTRA_ATTEMPTS,
             tier=work_class.tier,
             priority=self.control.prioritize(work_class, root_id),
             depth=0,
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -127,9 +127,9 @@
     def _note_fate(self, context: Context, verdict: Verdict) -> None:
         match verdict:
             case Answered():
-                self.quarantine.note_success(context.digest)
+                self.quarantine.record_success(context.digest)
             case MayHaveRun(Reason.SERVER_CRASHED):
-                self.quarantine.note_crash(context.digest, context.call_id)
+                self.quarantine.record_crash(context.digest, context.call_id)
             case NotRun(Reason.NO_SERVER):
                 self.lose_server()
 
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -56,7 +56,7 @@
         try:
             reply = await self._send(address, call, incarnation="")
             if isinstance(reply, PeerFailure) and reply.sent:
-                reply = await self._settle(call, reply)
+                reply = await self._resolve_lost_call(call, reply)
         except anyio.get_cancelled_exc_class():
             await self._cancel(address, call)
             raise
@@ -77,7 +77,7 @@
             address, Message(call=frame), remaining_s, incarnation
         )
 
-    async def _settle(
+    async def _resolve_lost_call(
         self, call: Call, failure: PeerFailure
     ) -> Message | PeerFailure | None:
         """Ask the same process over a new link what became of a call.
--- a/eelgrassmount/calls/table.py
+++ b/eelgrassmount/calls/table.py
@@ -20,7 +20,7 @@
 SEAL_S = 1200.0
 
 
-class Fate(Enum):
+class CallStatus(Enum):
     """What is known of a call id."""
 
     UNKNOWN = "unknown"
@@ -121,13 +121,13 @@
         record.done.set()
         self.running -= 1
 
-    def ask_fate(self, call_id: str, now_s: float) -> Fate:
+    def query_status(self, call_id: str, now_s: float) -> CallStatus:
         """Return the fate of a call; an unknown one is sealed from now on."""
         record = self.records.get(call_id)
         if record is None:
             self.sealed[call_id] = now_s
-            return Fate.UNKNOWN
-        return Fate.PENDING if record.outcome is None else Fate.DONE
+            return CallStatus.UNKNOWN
+        return CallStatus.PENDING if record.outcome is None else CallStatus.DONE
 
     def cancel(self, call_id: str, now_s: float) -> bool:
         """Cancel a call unless it has begun and is not idempotent.
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -78,7 +78,7 @@
     await serve_http(backend, base.settings.backend_address, base.tasks)
     await _wait_until_joined(base.board)
     server = await serve_http(
-        caller, base.settings.caller_address, base.tasks, caller.note_malformed
+        caller, base.settings.caller_address, base.tasks, caller.record_malformed
     )
     node.callers.append(server)
 
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -7,8 +7,8 @@
 import anyio
 from attrs import define
 
-from eelgrassmount.calls.admission import AdmittingRunner, OwnedRunner
-from eelgrassmount.calls.ingress import Entry
+from eelgrassmount.calls.admission import AdmissionRunner, KeyOwnerRunner
+from eelgrassmount.calls.ingress import Ingress
 from eelgrassmount.compose.base import Base, build_base
 from eelgrassmount.compose.path import Path, build_path
 from eelgrassmount.config.follower import ConfigFollower
@@ -36,7 +36,7 @@
     membership: Membership
     follower: ConfigFollower
     keys: KeyService
-    entry: Entry
+    entry: Ingress
     shutdown: Shutdown
     callers: list[HttpServer]
 
@@ -51,10 +51,10 @@
         base.board, base.timers, base.peers, base.log, base.rng, _name_seeds(settings)
     )
     keys = _build_keys(base, path)
-    entry = Entry(
+    entry = Ingress(
         base.board,
         base.timers,
-        AdmittingRunner(base.board, path.control, path.dispatcher.run),
+        AdmissionRunner(base.board, path.control, path.dispatcher.run),
         keys,
         path.control,
         base.metrics,
@@ -89,13 +89,13 @@
     def note_event(name: str) -> None:
         base.metrics.key_events.labels(name).inc()
 
-    admitting = AdmittingRunner(base.board, path.control, path.dispatcher.run)
+    admitting = AdmissionRunner(base.board, path.control, path.dispatcher.run)
     return KeyService.create(
         base.board,
         base.timers,
         base.peers,
         base.log,
-        OwnedRunner(path.control, admitting),
+        KeyOwnerRunner(path.control, admitting),
         base.rng,
         KeySettings(
             window_s=base.settings.key_window_s, table_size=base.settings.key_table_size
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -18,7 +18,7 @@
 from eelgrassmount.edge.server import ServerClient
 from eelgrassmount.load.control import LoadControl
 from eelgrassmount.load.dispatcher import LimitedDispatcher
-from eelgrassmount.retry.budget import RetryRatio
+from eelgrassmount.retry.budget import RetryBudget
 from eelgrassmount.retry.exchange import QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
 
@@ -71,7 +71,7 @@
         control,
         local,
         RemoteRunner(base.board, base.peers, base.timers),
-        RetryRatio(),
+        RetryBudget(),
         quarantine,
         base.metrics,
         base.make_id,
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -13,7 +13,7 @@
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.errors import ListenError
 from eelgrassmount.gen import ttypes
-from eelgrassmount.http1.server import SWEEP_PERIOD_S, HttpListener, ServerLimits
+from eelgrassmount.http1.server import SWEEP_INTERVAL_S, HttpListener, ServerLimits
 from eelgrassmount.platform.heartbeats import read_announcement
 from eelgrassmount.platform.settings import load_settings
 from eelgrassmount.platform.topics import (
@@ -180,13 +180,13 @@
         REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
     )
     timers.subscribe(REQUEST_COUNT_INTERVAL_S, make_learning_step(node))
-    timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
-    timers.subscribe(SWEEP_PERIOD_S, node.dispatcher.pool.sweep)
-    timers.subscribe(SWEEP_PERIOD_S, node.inbound.expire)
-    timers.subscribe(SWEEP_PERIOD_S, node.decisions.report_dropped_lines)
-    timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
-    timers.subscribe(SWEEP_PERIOD_S, node.ingress.lineage.forget_answers)
-    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.decay)
+    timers.subscribe(SWEEP_INTERVAL_S, node.callers.sweep)
+    timers.subscribe(SWEEP_INTERVAL_S, node.dispatcher.pool.sweep)
+    timers.subscribe(SWEEP_INTERVAL_S, node.inbound.expire)
+    timers.subscribe(SWEEP_INTERVAL_S, node.decisions.report_dropped_lines)
+    timers.subscribe(SWEEP_INTERVAL_S, node.forget_routes)
+    timers.subscribe(SWEEP_INTERVAL_S, node.ingress.lineage.forget_answers)
+    timers.subscribe(SWEEP_INTERVAL_S, node.beliefs.completed.decay)
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
--- a/eelgrassmount/edge/caller.py
+++ b/eelgrassmount/edge/caller.py
@@ -25,8 +25,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from eelgrassmount.calls.ingress import Entry
     from eelgrassmount.calls.inflight import InFlight
+    from eelgrassmount.calls.ingress import Ingress
     from eelgrassmount.edge.http import Receive, Send
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.verdict import Verdict
@@ -36,7 +36,7 @@
 class CallerListener:
     """The ASGI application for callers."""
 
-    entry: Entry
+    entry: Ingress
     max_body_bytes: int
     metrics: Metrics
     in_flight: InFlight
@@ -44,7 +44,7 @@
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
         """Answer one request of a caller."""
-        with self.in_flight.hold_request():
+        with self.in_flight.track_request():
             await self._serve(scope, receive, send)
 
     async def _serve(self, scope: Any, receive: Receive, send: Send) -> None:
@@ -70,7 +70,7 @@
         if reply is not None:
             await self._answer(send, reply)
 
-    def note_malformed(self) -> None:
+    def record_malformed(self) -> None:
         """Count what can't be read as a request."""
         self.metrics.refusals.labels(Reason.MALFORMED).inc()
 
--- a/eelgrassmount/edge/headers.py
+++ b/eelgrassmount/edge/headers.py
@@ -142,7 +142,7 @@
     return int(text)
 
 
-def check_digest(headers: Iterable[Header], body: bytes) -> bool:
+def is_digest_valid(headers: Iterable[Header], body: bytes) -> bool:
     """Tell whether a body agrees with its ``Content-Digest``, if it has one.
 
     Only the ``sha-256`` member of RFC 9530 is looked at.
--- a/eelgrassmount/edge/http.py
+++ b/eelgrassmount/edge/http.py
@@ -82,17 +82,17 @@
     app: Any,
     address: Address,
     group: Background,
-    note_malformed: Callable[[], None] = lambda: None,
+    record_malformed: Callable[[], None] = lambda: None,
 ) -> HttpServer:
     """Start a listener in the task group and return when it listens.
 
-    ``note_malformed`` is called for what can't be read as a request. Raises
+    ``record_malformed`` is called for what can't be read as a request. Raises
     `ListenError` when the address can't be bound.
     """
     listening = _bind_socket(address)
     config = uvicorn.Config(
         app,
-        http=make_protocol(note_malformed),
+        http=make_protocol(record_malformed),
         log_config=None,
         access_log=False,
         lifespan="off",
--- a/eelgrassmount/edge/protocol.py
+++ b/eelgrassmount/edge/protocol.py
@@ -33,7 +33,7 @@
     one, which is called when the connection is lost.
     """
 
-    note_malformed: Callable[[], None] = staticmethod(lambda: None)
+    record_malformed: Callable[[], None] = staticmethod(lambda: None)
     _in_head = True
     _head_bytes = 0
     _timer: asyncio.TimerHandle | None = None
@@ -100,7 +100,7 @@
 
     def send_400_response(self, msg: str) -> None:
         """Refuse what is not a request, count it and close the connection."""
-        self.note_malformed()
+        self.record_malformed()
         if self.transport.is_closing():
             return
         headers = make_verdict_headers(NotRun(Reason.MALFORMED))
@@ -132,11 +132,11 @@
             self.transport.close()
 
 
-def make_protocol(note_malformed: Callable[[], None]) -> type[BoundedProtocol]:
-    """Return the protocol of one listener, which counts by ``note_malformed``."""
+def make_protocol(record_malformed: Callable[[], None]) -> type[BoundedProtocol]:
+    """Return the protocol of one listener, which counts by ``record_malformed``."""
 
     class Protocol(BoundedProtocol):
         pass
 
-    Protocol.note_malformed = staticmethod(note_malformed)
+    Protocol.record_malformed = staticmethod(record_malformed)
     return Protocol
--- a/eelgrassmount/edge/server.py
+++ b/eelgrassmount/edge/server.py
@@ -17,8 +17,8 @@
     connect,
 )
 from eelgrassmount.edge.headers import (
-    check_digest,
     find_header,
+    is_digest_valid,
     keep_passing,
     read_whole_number,
 )
@@ -207,7 +207,7 @@
             self.metrics.dropped_answers.labels(DropReason.DOUBLED).inc()
         if find_header(result.headers, names.CALL) != call.context.call_id:
             return self._drop(DropReason.WRONG_CALL)
-        if not check_digest(result.headers, result.body):
+        if not is_digest_valid(result.headers, result.body):
             return self._drop(DropReason.BAD_DIGEST)
         failure = _find_failure(result.status, result.headers)
         if failure is not None:
--- a/eelgrassmount/http1/client.py
+++ b/eelgrassmount/http1/client.py
@@ -23,7 +23,7 @@
 UNACKNOWLEDGED_LIMIT_MS = 1500
 
 
-class Break(Enum):
+class ExchangeFailure(Enum):
     """Why an exchange ended without an answer."""
 
     REFUSED = "refused"  # no byte of the request was sent
@@ -42,7 +42,7 @@
     body: bytes
 
 
-def watch_silence(transport: asyncio.BaseTransport) -> None:
+def enable_keep_alive(transport: asyncio.BaseTransport) -> None:
     """Let the system find out when the other side has gone silent."""
     sock = transport.get_extra_info("socket")
     if sock is None:
@@ -90,8 +90,8 @@
         self.on_lost = on_lost
         self.closed = False
         self.idle_since_s = 0.0
-        self.idle_limit_s: float | None = None
-        self._done: Callable[[ClientAnswer | Break], None] | None = None
+        self.idle_timeout_s: float | None = None
+        self._done: Callable[[ClientAnswer | ExchangeFailure], None] | None = None
         self._accepts: Callable[[ClientAnswer], bool] | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._head_only = False
@@ -102,12 +102,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Note the transport (called by the event loop)."""
         self.transport = transport
-        watch_silence(transport)
+        enable_keep_alive(transport)
 
     def send(
         self,
         data: bytes,
-        done: Callable[[ClientAnswer | Break], None],
+        done: Callable[[ClientAnswer | ExchangeFailure], None],
         accepts: Callable[[ClientAnswer], bool] | None = None,
         head_only: bool = False,
     ) -> None:
@@ -128,7 +128,7 @@
 
     def cancel(self) -> None:
         """Give up the request by closing the connection."""
-        self._end(Break.CANCELLED)
+        self._end(ExchangeFailure.CANCELLED)
 
     def close(self) -> None:
         """Close the connection."""
@@ -149,7 +149,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if self._answer is None:
-                self._end(Break.MALFORMED)
+                self._end(ExchangeFailure.MALFORMED)
                 return
             # the answer before the bad bytes is complete
             self._reusable = False
@@ -170,16 +170,16 @@
         if not self.closed:
             self.closed = True
             self.on_lost(self)
-        self._tell(Break.TRUNCATED if self._begun else Break.CLOSED)
+        self._tell(ExchangeFailure.TRUNCATED if self._begun else ExchangeFailure.CLOSED)
         # it leads back here: without this, a lost connection stays until the
         # collector runs
         self._parser = None
 
-    def _end(self, outcome: Break) -> None:
+    def _end(self, outcome: ExchangeFailure) -> None:
         self.close()
         self._tell(outcome)
 
-    def _tell(self, outcome: ClientAnswer | Break) -> None:
+    def _tell(self, outcome: ClientAnswer | ExchangeFailure) -> None:
         done = self._done
         if done is not None:
             self._done = None
--- a/eelgrassmount/http1/exchange.py
+++ b/eelgrassmount/http1/exchange.py
@@ -55,7 +55,7 @@
     on_abandon: Callable[[], None] | None = None
     answer: Answer | None = None
 
-    def find_peer(self) -> str:
+    def get_peer_ip(self) -> str:
         """Return the IP address that the request came from, if it is still known."""
         transport = self.connection.transport
         peer = None if transport is None else transport.get_extra_info("peername")
--- a/eelgrassmount/http1/server.py
+++ b/eelgrassmount/http1/server.py
@@ -18,7 +18,7 @@
 # answers kept in order for one client; beyond it the connection is not read on
 MAX_PIPELINED = 64
 # how often the connections are looked through for those that take too long
-SWEEP_PERIOD_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 
 @frozen
@@ -27,22 +27,22 @@
 
     max_header_bytes: int = 65536
     max_body_bytes: int = 64 * 1024 * 1024
-    header_limit_s: float = 10.0
-    idle_limit_s: float = 60.0
+    header_timeout_s: float = 10.0
+    idle_timeout_s: float = 60.0
 
 
 @define(eq=False)
 class HttpListener:
     """Takes connections and hands each complete request to ``handle``.
 
-    ``ending`` makes each connection close behind the answers to what it has read;
+    ``stopping`` makes each connection close behind the answers to what it has read;
     connections without an open request are closed by `close_idle`.
     """
 
     handle: Callable[[Exchange], None]
     clock: Callable[[], float]
     limits: ServerLimits = field(factory=ServerLimits)
-    ending: bool = False
+    stopping: bool = False
     connections: set[ServerConnection] = field(factory=set)
     _server: asyncio.Server | None = None
 
@@ -105,9 +105,9 @@
         self._paused = False
 
     @property
-    def ending(self) -> bool:
+    def stopping(self) -> bool:
         """Tell whether the connection closes behind the answers that are open."""
-        return self.listener.ending
+        return self.listener.stopping
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Note the transport (called by the event loop)."""
@@ -153,9 +153,9 @@
         """Close the connection when its client takes too long."""
         limits = self.listener.limits
         age_s = now_s - self.last_s
-        if self._reading and age_s > limits.header_limit_s:
+        if self._reading and age_s > limits.header_timeout_s:
             self._refuse(408)
-        elif self.is_idle() and age_s > limits.idle_limit_s:
+        elif self.is_idle() and age_s > limits.idle_timeout_s:
             self.close()
 
     def close(self) -> None:
@@ -173,7 +173,7 @@
                 continue
             # what was read is answered, also behind the first answer of the end: of two
             # requests on a connection, one was dropped with its server at work
-            closing = not exchange.keep_alive or (self.ending and not pending)
+            closing = not exchange.keep_alive or (self.stopping and not pending)
             self.transport.write(exchange.write_answer(closing))
             self.last_s = self.listener.clock()
             if closing:
@@ -233,7 +233,7 @@
     def on_message_complete(self) -> None:
         """Hand the complete request on."""
         self._reading = False
-        if self.ending and self.pending:
+        if self.stopping and self.pending:
             # the answers of those before close the connection: it counts as not read
             self._last_taken = True
         if self._last_taken or self.closed:
--- a/eelgrassmount/platform/configuration.py
+++ b/eelgrassmount/platform/configuration.py
@@ -172,8 +172,8 @@
         return usual
     if not isinstance(limits, dict):
         raise PlatformDocumentError(_KIND, "give a JSON object", "limits")
-    header_ms = _read_time(limits, "headerTimeoutMs") or usual.header_limit_s * 1000
-    idle_ms = _read_time(limits, "idleTimeoutMs") or usual.idle_limit_s * 1000
+    header_ms = _read_time(limits, "headerTimeoutMs") or usual.header_timeout_s * 1000
+    idle_ms = _read_time(limits, "idleTimeoutMs") or usual.idle_timeout_s * 1000
     return ServerLimits(
         _read_count(limits, "maxHeaderBytes") or usual.max_header_bytes,
         _read_count(limits, "maxBodyBytes") or usual.max_body_bytes,
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -64,7 +64,7 @@
         exchange.respond(200, ACCEPTED, b"{}")
 
     def _refuse(self, exchange: Exchange, status: int, cause: str, detail: str) -> None:
-        source = exchange.find_peer()
+        source = exchange.get_peer_ip()
         self.refused.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
         exchange.respond(status, b"", detail.encode())
 
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 from loguru import logger
 
-from eelgrassmount.http1.client import Break, ClientAnswer, open_connection
+from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure, open_connection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,7 +38,7 @@
 class PendingRequest:
     """A request to the server whose outcome has not been reported yet."""
 
-    on_done: Callable[[ClientAnswer | Break], None]
+    on_done: Callable[[ClientAnswer | ExchangeFailure], None]
     connection: ClientConnection | None = None
     completed: bool = False
     head_only: bool = False
@@ -50,13 +50,13 @@
         if self.connection is not None:
             self.connection.cancel()
         else:
-            self.complete(Break.CANCELLED)
+            self.complete(ExchangeFailure.CANCELLED)
 
     def is_written(self) -> bool:
         """Return whether the request was written, so that the server may read it."""
         return self.connection is not None
 
-    def complete(self, outcome: ClientAnswer | Break) -> None:
+    def complete(self, outcome: ClientAnswer | ExchangeFailure) -> None:
         """Report the outcome, once."""
         if not self.completed:
             self.completed = True
@@ -80,7 +80,7 @@
         data: bytes,
         fresh: bool,
         accepts: Callable[[ClientAnswer], bool],
-        done: Callable[[ClientAnswer | Break], None],
+        done: Callable[[ClientAnswer | ExchangeFailure], None],
         head_only: bool = False,
     ) -> PendingRequest:
         """Send a whole request; ``fresh`` requires a recently used connection.
@@ -133,7 +133,7 @@
         return None
 
     def _is_usable(self, connection: ClientConnection, now_s: float) -> bool:
-        limit_s = connection.idle_limit_s
+        limit_s = connection.idle_timeout_s
         if limit_s is None:
             limit_s = DEFAULT_IDLE_TIMEOUT_S
         limit_s = min(max(0.0, limit_s - IDLE_TIMEOUT_MARGIN_S), self._trusted_idle_s)
@@ -150,14 +150,14 @@
         sent_s = self.clock()
         idle_s = sent_s - connection.idle_since_s
 
-        def complete(outcome: ClientAnswer | Break) -> None:
+        def complete(outcome: ClientAnswer | ExchangeFailure) -> None:
             closed_soon = self.clock() - sent_s < MAX_DROP_DETECTION_S
-            if outcome is Break.CLOSED and closed_soon:
+            if outcome is ExchangeFailure.CLOSED and closed_soon:
                 self._reduce_trusted_idle(idle_s)
             if isinstance(outcome, ClientAnswer):
                 limit_s = self.read_idle_limit(outcome)
                 if limit_s is not None:
-                    connection.idle_limit_s = limit_s
+                    connection.idle_timeout_s = limit_s
             request.complete(outcome)
 
         connection.send(data, complete, accepts, request.head_only)
@@ -175,11 +175,11 @@
             )
         except OSError:
             # the caller counts this as an unreachable server
-            request.complete(Break.REFUSED)
+            request.complete(ExchangeFailure.REFUSED)
             return
         self.on_open()
         if connection.closed:
-            request.complete(Break.REFUSED)
+            request.complete(ExchangeFailure.REFUSED)
         elif request.completed:
             self._add_idle(connection)
         else:
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -11,7 +11,7 @@
 from attrs import define, field
 from loguru import logger
 
-from eelgrassmount.http1.client import Break, ClientAnswer
+from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure
 from eelgrassmount.policy.scheduling import (
     compute_due_factor,
     compute_max_wait_s,
@@ -46,11 +46,11 @@
 REJECTION_LOG_INTERVAL_S = 1.0
 
 _OUTCOMES = {
-    Break.REFUSED: (Outcome.NOT_RUN, Reason.NO_SERVER),
-    Break.CLOSED: (Outcome.MAY_HAVE_RUN, Reason.SERVER_CRASHED),
-    Break.TRUNCATED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
-    Break.MALFORMED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
-    Break.CANCELLED: (Outcome.MAY_HAVE_RUN, Reason.CANCELLED),
+    ExchangeFailure.REFUSED: (Outcome.NOT_RUN, Reason.NO_SERVER),
+    ExchangeFailure.CLOSED: (Outcome.MAY_HAVE_RUN, Reason.SERVER_CRASHED),
+    ExchangeFailure.TRUNCATED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
+    ExchangeFailure.MALFORMED: (Outcome.MAY_HAVE_RUN, Reason.BAD_ANSWER),
+    ExchangeFailure.CANCELLED: (Outcome.MAY_HAVE_RUN, Reason.CANCELLED),
 }
 
 
@@ -187,7 +187,7 @@
         next heartbeat.
         """
 
-        def on_answer(answer: ClientAnswer | Break) -> None:
+        def on_answer(answer: ClientAnswer | ExchangeFailure) -> None:
             if isinstance(answer, ClientAnswer) and answer.status == 200:
                 head = self.dialect.read_answer(answer.headers)
                 if self.server.incarnation is None:
@@ -352,7 +352,7 @@
             call.method == "HEAD",
         )
 
-    def _finish(self, job: Job, result: ClientAnswer | Break) -> None:
+    def _finish(self, job: Job, result: ClientAnswer | ExchangeFailure) -> None:
         now_s = self.clock()
         self._update_queue_time(now_s)
         self.running.discard(job)
@@ -368,7 +368,7 @@
         job.done(reply)
 
     def _create_reply(
-        self, job: Job, result: ClientAnswer | Break, now_s: float
+        self, job: Job, result: ClientAnswer | ExchangeFailure, now_s: float
     ) -> Reply:
         if isinstance(result, ClientAnswer):
             return self._create_answer_reply(result)
@@ -377,9 +377,9 @@
             reason = Reason.DEADLINE
         elif job.server_restarted:
             reason = Reason.SERVER_CRASHED
-        if result is Break.REFUSED:
+        if result is ExchangeFailure.REFUSED:
             self._handle_unreachable(now_s)
-        elif result is Break.CLOSED:
+        elif result is ExchangeFailure.CLOSED:
             self._broken_connections.append((now_s, job))
         return Reply(outcome, reason)
 
@@ -437,7 +437,7 @@
         if reply.outcome is Outcome.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
         if self.quarantine.suspects and reply.outcome is Outcome.ANSWERED:
-            self.quarantine.note_success(job.call.find_digest(), now_s)
+            self.quarantine.record_success(job.call.find_digest(), now_s)
         if lost:
             self.measures.record_lost_run()
         elif not (failed and job.silent):
--- a/eelgrassmount/relay/frames.py
+++ b/eelgrassmount/relay/frames.py
@@ -14,7 +14,7 @@
 
 from eelgrassmount.errors import BadFrameError, OverlongFrameError
 from eelgrassmount.gen import ttypes
-from eelgrassmount.http1.client import watch_silence
+from eelgrassmount.http1.client import enable_keep_alive
 from eelgrassmount.relay.checks import check_struct
 
 LENGTH_BYTES = 4
@@ -126,7 +126,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport (called by the event loop)."""
         self.transport = transport
-        watch_silence(transport)
+        enable_keep_alive(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Mark the connection closed (called by the event loop)."""
--- a/eelgrassmount/relay/persistent_connections.py
+++ b/eelgrassmount/relay/persistent_connections.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.http1.client import Break, ClientAnswer, open_connection
+from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure, open_connection
 from eelgrassmount.topics.store import FailureKind, StoreFailure
 
 if TYPE_CHECKING:
@@ -37,11 +37,11 @@
                 connection = await open_connection(self.address, CONNECT_TIMEOUT_S)
             except OSError as error:
                 return StoreFailure(FailureKind.UNREACHABLE, repr(error))
-        outcome: asyncio.Future[ClientAnswer | Break] = (
+        outcome: asyncio.Future[ClientAnswer | ExchangeFailure] = (
             asyncio.get_running_loop().create_future()
         )
 
-        def on_answer(answer: ClientAnswer | Break) -> None:
+        def on_answer(answer: ClientAnswer | ExchangeFailure) -> None:
             if not outcome.done():
                 outcome.set_result(answer)
 
@@ -56,7 +56,7 @@
             # a connection with an unanswered request cannot be reused
             if not outcome.done() or outcome.cancelled():
                 connection.cancel()
-        if isinstance(answer, Break):
+        if isinstance(answer, ExchangeFailure):
             return StoreFailure(FailureKind.UNANSWERED, answer.value)
         if not connection.closed:
             self._connections[kind] = connection
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -43,7 +43,7 @@
         self.node_state.stopping = True
         logger.info("stopping", open=self.count_open())
         # Clients may still send requests over their connections during the drain.
-        self.callers.ending = True
+        self.callers.stopping = True
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
         self.node_state.closing = True
--- a/eelgrassmount/retry/budget.py
+++ b/eelgrassmount/retry/budget.py
@@ -5,14 +5,14 @@
 from attrs import define
 
 # sendings beyond the first, over the whole tree of one request
-EXTRA_ATTEMPTS = 3
+MAX_EXTRA_ATTEMPTS = 3
 # extra sendings that a node may make, as a part of the first sendings
 RETRY_FRACTION = 0.1
 # what a quiet node may still spend at once, and how fast it gets that back
-MIN_RETRIES = 10.0
-MIN_RETRIES_PER_S = 1.0
+MIN_RETRY_CREDIT = 10.0
+MIN_RETRY_CREDIT_PER_S = 1.0
 # credit is not saved up beyond this
-MAX_RETRIES = 100.0
+MAX_RETRY_CREDIT = 100.0
 
 
 def split_attempts(attempts_left: int) -> int:
@@ -26,21 +26,21 @@
 
 
 @define
-class RetryRatio:
+class RetryBudget:
     """Limits the retries of a node to a fraction of its first sendings.
 
     A node with little to send would save up next to nothing, so its credit
     also grows slowly with time, up to a small number.
     """
 
-    credit: float = MIN_RETRIES
+    credit: float = MIN_RETRY_CREDIT
     _read_s: float = 0.0
 
-    def note_first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Note a first sending, which earns credit for retries."""
-        self.credit = min(MAX_RETRIES, self.credit + RETRY_FRACTION)
+        self.credit = min(MAX_RETRY_CREDIT, self.credit + RETRY_FRACTION)
 
-    def take(self, now_s: float) -> bool:
+    def try_spend(self, now_s: float) -> bool:
         """Take the credit for one retry; ``False`` when there is none."""
         self._earn(now_s - self._read_s)
         self._read_s = now_s
@@ -50,6 +50,6 @@
         return True
 
     def _earn(self, seconds: float) -> None:
-        if self.credit < MIN_RETRIES:
-            earned = MIN_RETRIES_PER_S * seconds
-            self.credit = min(MIN_RETRIES, self.credit + earned)
+        if self.credit < MIN_RETRY_CREDIT:
+            earned = MIN_RETRY_CREDIT_PER_S * seconds
+            self.credit = min(MIN_RETRY_CREDIT, self.credit + earned)
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -7,7 +7,7 @@
 from attrs import define
 
 from eelgrassmount.gen.ttypes import Gossip, Message, QuarantineNote
-from eelgrassmount.retry.quarantine import MAX_CALLS, QUARANTINE_S, Suspect
+from eelgrassmount.retry.quarantine import MAX_CRASHED_CALLS, QUARANTINE_S, Suspect
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -22,7 +22,7 @@
 # the worst suspects ride on each gossip message
 MAX_NOTES = 5
 # nodes of each other failure domain that are told of a crash at once
-FAR_NODES = 2
+MAX_NODES_PER_REMOTE_DOMAIN = 2
 
 
 @define(eq=False)
@@ -47,14 +47,14 @@
         """Return how many contents are refused at present."""
         return self.quarantine.count_refused(self.clock.read())
 
-    def note_crash(self, digest: str, call_id: str) -> None:
+    def record_crash(self, digest: str, call_id: str) -> None:
         """Note that a server crashed while it was running a call."""
-        if self.quarantine.note_crash(digest, call_id, self.clock.read()):
+        if self.quarantine.record_crash(digest, call_id, self.clock.read()):
             self._tell([*self._list_near(), *self._list_far()])
 
-    def note_success(self, digest: str) -> None:
+    def record_success(self, digest: str) -> None:
         """Note that a server has run a content to its end."""
-        self.quarantine.note_success(digest, self.clock.read())
+        self.quarantine.record_success(digest, self.clock.read())
 
     def fill(self, gossip: Gossip) -> None:
         """Add what this node suspects to a message."""
@@ -99,7 +99,7 @@
         return [
             address
             for addresses in by_domain.values()
-            for address in sorted(addresses)[:FAR_NODES]
+            for address in sorted(addresses)[:MAX_NODES_PER_REMOTE_DOMAIN]
         ]
 
     def _tell(self, addresses: Iterable[str]) -> None:
@@ -115,12 +115,12 @@
         digest=suspect.digest,
         crashes=suspect.crashes,
         remaining_ms=int((suspect.expires_s - now_s) * 1000),
-        calls=sorted(suspect.calls)[:MAX_CALLS],
+        calls=sorted(suspect.calls)[:MAX_CRASHED_CALLS],
         cleared=cleared,
     )
 
 
 def _decode(note: QuarantineNote, now_s: float) -> Suspect:
     remaining_s = min(note.remaining_ms / 1000, QUARANTINE_S)
-    calls = frozenset(note.calls[:MAX_CALLS])
+    calls = frozenset(note.calls[:MAX_CRASHED_CALLS])
     return Suspect(note.digest, calls, now_s + remaining_s)
--- a/eelgrassmount/retry/quarantine.py
+++ b/eelgrassmount/retry/quarantine.py
@@ -14,13 +14,13 @@
 # crashes in all, over all servers, after which a content is refused
 MAX_CRASHES = 2
 # the same for a content that a server has run to its end not long ago
-MAX_CRASHES_PROVEN = 6
+MAX_CRASHES_AFTER_SUCCESS = 6
 # a content is forgotten this long after its last crash, or its last success
 QUARANTINE_S = 300.0
 MAX_SUSPECTS = 1000
-MAX_PROVEN = 10_000
+MAX_SUCCEEDED = 10_000
 # crashes of one content that are told apart
-MAX_CALLS = 16
+MAX_CRASHED_CALLS = 16
 
 
 @frozen
@@ -53,7 +53,7 @@
 
     suspects: dict[str, Suspect] = field(factory=dict)
     _cleared: dict[str, Suspect] = field(factory=dict)
-    _proven_s: dict[str, float] = field(factory=dict)
+    _succeeded_s: dict[str, float] = field(factory=dict)
 
     def check(self, digest: str, now_s: float) -> NotRun | None:
         """Refuse a content that has crashed too many servers."""
@@ -65,22 +65,22 @@
         return NotRun(Reason.QUARANTINED, suspect.expires_s - now_s)
 
     def _find_limit(self, digest: str, now_s: float) -> int:
-        proven_s = self._proven_s.get(digest)
+        proven_s = self._succeeded_s.get(digest)
         if proven_s is None or now_s - proven_s >= QUARANTINE_S:
             return MAX_CRASHES
-        return MAX_CRASHES_PROVEN
+        return MAX_CRASHES_AFTER_SUCCESS
 
-    def note_crash(self, digest: str, call_id: str, now_s: float) -> bool:
+    def record_crash(self, digest: str, call_id: str, now_s: float) -> bool:
         """Note a crash of the server that was running a call; tell if it is news."""
         calls = frozenset([call_id])
         return self.merge([Suspect(digest, calls, now_s + QUARANTINE_S)], now_s)
 
-    def note_success(self, digest: str, now_s: float) -> None:
+    def record_success(self, digest: str, now_s: float) -> None:
         """Clear a content that a server has run to its end."""
-        self._proven_s.pop(digest, None)
-        self._proven_s[digest] = now_s
-        if len(self._proven_s) > MAX_PROVEN:
-            del self._proven_s[next(iter(self._proven_s))]
+        self._succeeded_s.pop(digest, None)
+        self._succeeded_s[digest] = now_s
+        if len(self._succeeded_s) > MAX_SUCCEEDED:
+            del self._succeeded_s[next(iter(self._succeeded_s))]
         suspect = self.suspects.get(digest)
         if suspect is not None:
             self.clear([suspect])
@@ -111,7 +111,7 @@
         if known is None or now_s >= known.expires_s:
             known = Suspect(suspect.digest, frozenset(), 0.0)
         calls = suspect.calls - known.calls - self._find_cleared(suspect.digest)
-        if not calls or known.crashes >= MAX_CALLS:
+        if not calls or known.crashes >= MAX_CRASHED_CALLS:
             return False
         self.suspects[suspect.digest] = Suspect(
             suspect.digest,
@@ -126,10 +126,10 @@
             for digest, suspect in list(table.items()):
                 if now_s >= suspect.expires_s:
                     del table[digest]
-        for digest, proven_s in list(self._proven_s.items()):
+        for digest, proven_s in list(self._succeeded_s.items()):
             if now_s - proven_s < QUARANTINE_S:
                 break
-            del self._proven_s[digest]
+            del self._succeeded_s[digest]
 
     def list_cleared(self) -> list[Suspect]:
         """Return what has been cleared, the latest first."""
--- a/tests/calls/test_dispatch.py
+++ b/tests/calls/test_dispatch.py
@@ -6,7 +6,7 @@
 
 from eelgrassmount.calls.dispatch import Dispatcher
 from eelgrassmount.metrics import make_metrics
-from eelgrassmount.retry.budget import RetryRatio
+from eelgrassmount.retry.budget import RetryBudget
 from eelgrassmount.retry.quarantine import MAX_CRASHES
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason, Verdict
 from tests.calls.fakes import (
@@ -39,7 +39,7 @@
         control=FakeControl(addresses, room),
         local=runner,
         remote=runner,
-        ratio=RetryRatio(),
+        retry_budget=RetryBudget(),
         quarantine=make_quarantine(),
         metrics=make_metrics(),
         make_id=make_ids(),
--- a/tests/calls/test_ingress.py
+++ b/tests/calls/test_ingress.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import define
 
-from eelgrassmount.calls.ingress import Entry
+from eelgrassmount.calls.ingress import Ingress
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.config.classes import (
     Configuration,
@@ -37,12 +37,12 @@
         return "em1~next"
 
 
-def make_entry(configured: bool = True) -> Entry:
+def make_entry(configured: bool = True) -> Ingress:
     board = make_board()
     if configured:
         board.configuration = Configuration(1, Document((BOOKING,), ("bowbazar",)))
     timers = make_timers()
-    return Entry(
+    return Ingress(
         board=board,
         timers=timers,
         run=FakeKeys().run,
--- a/tests/calls/test_local.py
+++ b/tests/calls/test_local.py
@@ -138,7 +138,7 @@
 
 async def test_sealed_call_never_begins() -> None:
     runner = make_runner()
-    runner.table.ask_fate("call", 0.0)
+    runner.table.query_status("call", 0.0)
     outcome = await runner.run(make_call())
     assert isinstance(outcome.verdict, NotRun)
     assert runner.client.runs == []
--- a/tests/calls/test_table.py
+++ b/tests/calls/test_table.py
@@ -6,7 +6,7 @@
 from attrs import evolve
 
 from eelgrassmount.calls.request import Call, Outcome, Request
-from eelgrassmount.calls.table import KEEP_S, SEAL_S, CallTable, Fate
+from eelgrassmount.calls.table import KEEP_S, SEAL_S, CallStatus, CallTable
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 
@@ -34,7 +34,7 @@
 
 async def test_call_that_was_asked_for_before_it_arrived_never_runs() -> None:
     table = CallTable()
-    assert table.ask_fate("late", 0.0) is Fate.UNKNOWN
+    assert table.query_status("late", 0.0) is CallStatus.UNKNOWN
     assert table.open(make_call("late")) is None
     table.expire(SEAL_S + 1.0)
     assert table.open(make_call("late")) is not None
@@ -43,9 +43,9 @@
 async def test_fate_follows_the_call() -> None:
     table = CallTable()
     record = table.open(make_call("one"))
-    assert table.ask_fate("one", 0.0) is Fate.PENDING
+    assert table.query_status("one", 0.0) is CallStatus.PENDING
     table.finish(record, Outcome(NotRun(Reason.DEADLINE)), 1.0)
-    assert table.ask_fate("one", 2.0) is Fate.DONE
+    assert table.query_status("one", 2.0) is CallStatus.DONE
     table.expire(DEADLINE_S + KEEP_S)
     assert table.find("one") is not None
     table.expire(DEADLINE_S + KEEP_S + 0.1)
@@ -60,7 +60,7 @@
     table.finish(answered, Outcome(Answered(200, (), b"long")), 1.0)
     table.finish(refused, Outcome(NotRun(Reason.OVERLOAD)), 1.0)
     table.expire(DEADLINE_S)
-    assert table.ask_fate("answered", DEADLINE_S) is Fate.DONE
+    assert table.query_status("answered", DEADLINE_S) is CallStatus.DONE
     assert answered.outcome.verdict == MayHaveRun(Reason.PEER_LOST)
     assert refused.outcome.verdict == NotRun(Reason.OVERLOAD)
 
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from eelgrassmount.blackboard import Blackboard
-from eelgrassmount.calls.ingress import Reply
 from eelgrassmount.calls.inflight import InFlight
+from eelgrassmount.calls.ingress import Reply
 from eelgrassmount.edge import http, protocol
 from eelgrassmount.edge.announcements import parse_announcement
 from eelgrassmount.edge.backend import BackendListener
@@ -125,7 +125,7 @@
     async with anyio.create_task_group() as group:
         background = Background(group, lambda: None)
         server = await serve_http(
-            listener, address, background, listener.note_malformed
+            listener, address, background, listener.record_malformed
         )
         yield Bench(entry, address, listener)
         server.end()
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrassmount.http1.client import Break, ClientAnswer, ClientConnection
+from eelgrassmount.http1.client import ClientAnswer, ClientConnection, ExchangeFailure
 from tests.http1.transports import MemoryTransport
 
 OK = b"HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nhi"
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.idle: list[ClientConnection] = []
         self.lost: list[ClientConnection] = []
-        self.told: list[ClientAnswer | Break] = []
+        self.told: list[ClientAnswer | ExchangeFailure] = []
         self.connection = ClientConnection(self.idle.append, self.lost.append)
         self.transport = MemoryTransport(self.connection)
         self.connection.connection_made(self.transport)
@@ -98,29 +98,29 @@
 def test_answer_without_length_is_not_complete_when_reset(setup):
     setup.receive(b"HTTP/1.1 200 OK\r\n\r\nab")
     setup.end(ConnectionResetError())
-    assert setup.told == [Break.TRUNCATED]
+    assert setup.told == [ExchangeFailure.TRUNCATED]
 
 
 def test_cut_answer_is_not_complete(setup):
     setup.receive(OK[:-1])
     setup.end()
-    assert setup.told == [Break.TRUNCATED]
+    assert setup.told == [ExchangeFailure.TRUNCATED]
 
 
 def test_connection_that_ends_without_an_answer(setup):
     setup.end()
-    assert setup.told == [Break.CLOSED]
+    assert setup.told == [ExchangeFailure.CLOSED]
 
 
 def test_malformed_answer(setup):
     setup.receive(b"nonsense\r\n\r\n")
-    assert setup.told == [Break.MALFORMED]
+    assert setup.told == [ExchangeFailure.MALFORMED]
     assert setup.connection.closed
 
 
 def test_cancelled_request_closes_the_connection(setup):
     setup.connection.cancel()
-    assert setup.told == [Break.CANCELLED]
+    assert setup.told == [ExchangeFailure.CANCELLED]
     assert setup.transport.closing
     setup.end(ConnectionResetError())
-    assert setup.told == [Break.CANCELLED]
+    assert setup.told == [ExchangeFailure.CANCELLED]
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -79,7 +79,7 @@
 
 def test_ending_listener_closes_each_connection_behind_its_answer(setup):
     setup.receive(GET)
-    setup.listener.ending = True
+    setup.listener.stopping = True
     setup.taken[0].respond(200)
     assert setup.transport.written.count(b"connection: close") == 1
     assert setup.transport.closing
@@ -95,7 +95,7 @@
     setup.receive(GET + GET)
     for exchange in setup.taken:
         exchange.on_abandon = lambda: abandoned.append("left")
-    setup.listener.ending = True
+    setup.listener.stopping = True
     setup.taken[0].respond(200, b"", b"first")
     assert abandoned == []
     assert not setup.transport.closing
@@ -107,7 +107,7 @@
 
 def test_ending_listener_reads_nothing_behind_its_last_answer(setup):
     setup.receive(GET + GET)
-    setup.listener.ending = True
+    setup.listener.stopping = True
     setup.taken[1].respond(200, b"", b"second")
     setup.receive(GET)
     assert len(setup.taken) == 2
@@ -119,7 +119,7 @@
 def test_answer_that_was_ready_before_the_end_is_sent(setup):
     setup.receive(GET + GET)
     setup.taken[1].respond(200, b"", b"second")
-    setup.listener.ending = True
+    setup.listener.stopping = True
     setup.taken[0].respond(200, b"", b"first")
     assert setup.transport.written.endswith(b"second")
 
@@ -131,7 +131,7 @@
     the connection with the bytes that still waited.
     """
     setup.receive(GET)
-    setup.listener.ending = True
+    setup.listener.stopping = True
     setup.transport.unsent = 100_000
     setup.taken[0].respond(200, b"", b"long")
     assert setup.listener.count_open() == 1
@@ -178,7 +178,7 @@
 
 
 def test_slow_request_is_timed_out(setup):
-    setup.listener.limits = ServerLimits(header_limit_s=3.0)
+    setup.listener.limits = ServerLimits(header_timeout_s=3.0)
     setup.receive(b"GET / HT")
     setup.now_s += 3.5
     setup.listener.sweep()
@@ -186,7 +186,7 @@
 
 
 def test_idle_limit_counts_from_the_last_answer(setup):
-    setup.listener.limits = ServerLimits(idle_limit_s=10.0)
+    setup.listener.limits = ServerLimits(idle_timeout_s=10.0)
     setup.receive(GET)
     setup.now_s += 8.0
     setup.taken[0].respond(200)
--- a/tests/matrix/node.py
+++ b/tests/matrix/node.py
@@ -11,7 +11,7 @@
 
 from eelgrassmount.calls import dispatch, downstream, local, remote
 from eelgrassmount.calls.request import Outcome
-from eelgrassmount.calls.table import CallTable, Fate
+from eelgrassmount.calls.table import CallStatus, CallTable
 from eelgrassmount.cmd.main import main
 from eelgrassmount.edge import headers as names
 from eelgrassmount.edge import server
@@ -20,7 +20,7 @@
 from eelgrassmount.keys.service import KeyService
 from eelgrassmount.metrics import RetryReason
 from eelgrassmount.peer.link import Link
-from eelgrassmount.retry.budget import RetryRatio
+from eelgrassmount.retry.budget import RetryBudget
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.verdict import Answered, Header, NotRun, Reason, Verdict
 
@@ -82,17 +82,17 @@
     async def settle(self: Any, call: Call, failure: Any) -> Any:
         return failure
 
-    remote.RemoteRunner._settle = settle
+    remote.RemoteRunner._resolve_lost_call = settle
     ServerProbes.start = lambda self: None
 
 
 def drop_seals() -> None:
     """Say that a call is unknown, but let it run when it arrives late."""
 
-    def ask_fate(self: CallTable, call_id: str, now_s: float) -> Fate:
-        return Fate.UNKNOWN
+    def query_status(self: CallTable, call_id: str, now_s: float) -> CallStatus:
+        return CallStatus.UNKNOWN
 
-    CallTable.ask_fate = ask_fate
+    CallTable.query_status = query_status
 
 
 def drop_call_ids() -> None:
@@ -112,7 +112,7 @@
 
 def drop_digests() -> None:
     """Take bodies without checking them."""
-    server.check_digest = lambda headers, body: True
+    server.is_digest_valid = lambda headers, body: True
 
 
 def drop_parts() -> None:
@@ -132,7 +132,7 @@
 
 def drop_budget() -> None:
     """Let every hop retry as it likes, and take repeats of servers for new calls."""
-    RetryRatio.take = lambda self, now_s: True
+    RetryBudget.try_spend = lambda self, now_s: True
     server.LOST_REASONS = frozenset()
     attempt = dispatch.Dispatcher._attempt
     handle = downstream.Downstream.handle
--- a/tests/matrix/storm.py
+++ b/tests/matrix/storm.py
@@ -9,7 +9,7 @@
 import fire
 from attrs import frozen
 
-from eelgrassmount.retry.budget import EXTRA_ATTEMPTS
+from eelgrassmount.retry.budget import MAX_EXTRA_ATTEMPTS
 from standins.caller import CallClass, Load, Phase, run_load
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from standins.faults import set_fault
@@ -128,7 +128,7 @@
 
 def check(depths: list[Depth]) -> list[str]:
     """Return where more ran than the bounds allow."""
-    bounds = {"GET": 1 + EXTRA_ATTEMPTS, "POST": 1}
+    bounds = {"GET": 1 + MAX_EXTRA_ATTEMPTS, "POST": 1}
     return [
         f"{item.method} at depth {item.depth}: {item.most} runs, "
         f"at most {bounds[item.method]} allowed"
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -75,7 +75,7 @@
     split = table.find("shop.example", "/b/1")
     assert split.targets == (Target("one", 90.0), Target("two", 10.0))
     assert table.limits.max_header_bytes == 1000
-    assert table.limits.idle_limit_s == 15.0
+    assert table.limits.idle_timeout_s == 15.0
     assert table.services["desk"].health_path == "/h"
 
 
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -14,9 +14,9 @@
 from eelgrassmount.compose.relay import RelayNode, build_relay
 from eelgrassmount.compose.relay_run import start_relay
 from eelgrassmount.http1.client import (
-    Break,
     ClientAnswer,
     ClientConnection,
+    ExchangeFailure,
     open_connection,
 )
 from eelgrassmount.relay.settings import RelaySettings
@@ -96,7 +96,7 @@
         self.sequence = 0
         self.started_ms = max(self.started_ms + 1, read_unix_ms())
 
-    async def announce(self, draining: bool = False) -> ClientAnswer | Break:
+    async def announce(self, draining: bool = False) -> ClientAnswer | ExchangeFailure:
         """Send a heartbeat of the server."""
         self.sequence += 1
         body = {
@@ -202,7 +202,9 @@
     return await open_connection(address, TIMEOUT_S)
 
 
-async def send(connection: ClientConnection, data: bytes) -> ClientAnswer | Break:
+async def send(
+    connection: ClientConnection, data: bytes
+) -> ClientAnswer | ExchangeFailure:
     """Send a request and return its outcome."""
     future = asyncio.get_running_loop().create_future()
     head_only = data.startswith(b"HEAD ")
@@ -226,7 +228,7 @@
 
 async def request(
     address: Address, method: str, target: str, body: bytes = b"", **names: str
-) -> ClientAnswer | Break:
+) -> ClientAnswer | ExchangeFailure:
     """Send one request over a new connection."""
     connection = await connect(address)
     answer = await send(connection, make_request(method, target, body, **names))
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
     from eelgrassmount.compose.relay_node import RelayNode
-    from eelgrassmount.http1.client import Break, ClientAnswer
+    from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure
 
 # depends on the process, so that concurrent test runs use different addresses
 HOST = f"127.78.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
@@ -44,13 +44,15 @@
 
     node: RelayNode
 
-    async def post(self, target: str, body: bytes = b"") -> ClientAnswer | Break:
+    async def post(
+        self, target: str, body: bytes = b""
+    ) -> ClientAnswer | ExchangeFailure:
         """Send one request to the listener for announcements."""
         return await request(SETTINGS.announce_address, "POST", target, body)
 
     async def announce(
         self, identity: str = "i-1", sequence: int = 1, **changes: Any
-    ) -> ClientAnswer | Break:
+    ) -> ClientAnswer | ExchangeFailure:
         """Send a heartbeat with some fields changed."""
         body = make_heartbeat(sequence, **changes)
         return await self.post(f"/instances/{identity}/heartbeat", body)
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -7,7 +7,7 @@
 import anyio
 from attrs import define, field
 
-from eelgrassmount.http1.client import Break, ClientAnswer
+from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure
 from eelgrassmount.relay.backend import MAX_FRESH_IDLE_S, BackendPool
 from eelgrassmount.util.addresses import Address
 from tests.relay.deployment import LOOPBACK_PREFIX
@@ -74,7 +74,7 @@
     def clock(self) -> float:
         return self.now_s
 
-    async def send(self, fresh: bool) -> ClientAnswer | Break:
+    async def send(self, fresh: bool) -> ClientAnswer | ExchangeFailure:
         future = asyncio.get_running_loop().create_future()
         address = self.server.address
         self.pool.send(address, REQUEST, fresh, lambda _: True, future.set_result)
@@ -113,7 +113,7 @@
         idle_s = SERVER_IDLE_TIMEOUT_S * 1.5
         assert isinstance(await setup.send(False), ClientAnswer)
         setup.now_s += idle_s
-        assert await setup.send(False) is Break.CLOSED
+        assert await setup.send(False) is ExchangeFailure.CLOSED
         for fresh in (False, True):
             assert isinstance(await setup.send(fresh), ClientAnswer)
             setup.now_s += idle_s
@@ -126,7 +126,7 @@
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
         setup.now_s += SERVER_IDLE_TIMEOUT_S * 1.5
-        assert await setup.send(False) is Break.CLOSED
+        assert await setup.send(False) is ExchangeFailure.CLOSED
         for _ in range(60):
             setup.pool.sweep()
         await setup.send(False)
@@ -181,7 +181,7 @@
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
         setup.now_s += SERVER_IDLE_TIMEOUT_S * 1.5
-        assert await setup.send(False) is Break.CLOSED
+        assert await setup.send(False) is ExchangeFailure.CLOSED
         await setup.send(False)
         opened = setup.server.opened
         setup.pool.reset()
@@ -209,6 +209,6 @@
                 await anyio.sleep(0.01)
         assert pending.is_written()
         pending.cancel()
-        assert outcomes == [Break.CANCELLED]
+        assert outcomes == [ExchangeFailure.CANCELLED]
 
     run(scenario)
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -11,7 +11,7 @@
 from eelgrassmount.compose.relay import build_relay
 from eelgrassmount.compose.relay_run import start_relay, stop_relay
 from eelgrassmount.gen import ttypes
-from eelgrassmount.http1.client import Break
+from eelgrassmount.http1.client import ExchangeFailure
 from eelgrassmount.platform.topics import LEARNED_KEY
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import UNKNOWN_START
@@ -521,11 +521,11 @@
             while not back.server.runs:
                 await anyio.sleep(0.01)
         front.node.beliefs.stopping = True
-        front.node.callers.ending = True
+        front.node.callers.stopping = True
         ready = await request(front.settings.ready_address, "GET", "/ready")
         assert ready.status == 503
         answer = await asyncio.wait_for(future, 3)
-        assert not isinstance(answer, Break)
+        assert not isinstance(answer, ExchangeFailure)
         assert answer.status == 200
         assert dict(answer.headers)[b"connection"] == b"close"
 
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from eelgrassmount.http1.client import Break, ClientAnswer
+from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure
 from eelgrassmount.platform.headers import DIALECT
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.dispatcher import CRASH_WINDOW_S, Dispatcher, Job
@@ -38,7 +38,7 @@
         self.done = done
 
     def cancel(self):
-        self.end(Break.CANCELLED)
+        self.end(ExchangeFailure.CANCELLED)
 
     def is_written(self):
         return self not in self.pool.connecting
@@ -220,10 +220,10 @@
 @pytest.mark.parametrize(
     ("outcome", "expected"),
     [
-        (Break.REFUSED, Outcome.NOT_RUN),
-        (Break.CLOSED, Outcome.MAY_HAVE_RUN),
-        (Break.TRUNCATED, Outcome.MAY_HAVE_RUN),
-        (Break.MALFORMED, Outcome.MAY_HAVE_RUN),
+        (ExchangeFailure.REFUSED, Outcome.NOT_RUN),
+        (ExchangeFailure.CLOSED, Outcome.MAY_HAVE_RUN),
+        (ExchangeFailure.TRUNCATED, Outcome.MAY_HAVE_RUN),
+        (ExchangeFailure.MALFORMED, Outcome.MAY_HAVE_RUN),
         (ClientAnswer(200, [], b"x"), Outcome.MAY_HAVE_RUN),
         (ClientAnswer(421, [], b""), Outcome.NOT_RUN),
         (
@@ -321,10 +321,10 @@
 
 def test_crash_is_reported_once_the_server_refuses_connections(setup):
     first = setup.submit(request_id="a")
-    setup.pool.open[0].end(Break.CLOSED)
+    setup.pool.open[0].end(ExchangeFailure.CLOSED)
     assert setup.crashes == []
     setup.submit(request_id="b")
-    setup.pool.open[0].end(Break.REFUSED)
+    setup.pool.open[0].end(ExchangeFailure.REFUSED)
     assert setup.crashes == [(I1, [first])]
 
 
@@ -459,10 +459,10 @@
 
 def test_call_that_broke_shortly_before_a_restart_is_suspected(setup):
     setup.submit(request_id="long ago")
-    setup.pool.open[0].end(Break.CLOSED)
+    setup.pool.open[0].end(ExchangeFailure.CLOSED)
     setup.now_s += 2 * CRASH_WINDOW_S
     broken = setup.submit(request_id="a")
-    setup.pool.open[0].end(Break.CLOSED)
+    setup.pool.open[0].end(ExchangeFailure.CLOSED)
     setup.now_s += CRASH_WINDOW_S / 2
     setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == [(I1, [broken])]
@@ -475,7 +475,7 @@
 
 def test_call_that_broke_after_a_restart_is_not_suspected(setup):
     setup.submit()
-    setup.pool.open[0].end(Break.CLOSED)
+    setup.pool.open[0].end(ExchangeFailure.CLOSED)
     setup.restart(age_s=CRASH_WINDOW_S / 4)
     assert setup.crashes == []
 
--- a/tests/retry/test_budget.py
+++ b/tests/retry/test_budget.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from eelgrassmount.retry.budget import (
-    EXTRA_ATTEMPTS,
-    MAX_RETRIES,
-    MIN_RETRIES,
-    MIN_RETRIES_PER_S,
+    MAX_EXTRA_ATTEMPTS,
+    MAX_RETRY_CREDIT,
+    MIN_RETRY_CREDIT,
+    MIN_RETRY_CREDIT_PER_S,
     RETRY_FRACTION,
-    RetryRatio,
+    RetryBudget,
     split_attempts,
 )
 
@@ -42,30 +42,30 @@
 
 
 def test_chain_of_twelve_gets_at_most_the_extra_attempts() -> None:
-    spent, _ = _run_tree(EXTRA_ATTEMPTS, fan_out=1, depth=12)
-    assert spent == EXTRA_ATTEMPTS
+    spent, _ = _run_tree(MAX_EXTRA_ATTEMPTS, fan_out=1, depth=12)
+    assert spent == MAX_EXTRA_ATTEMPTS
 
 
 def test_ratio_bounds_retries_to_a_fraction_of_first_sendings() -> None:
-    ratio = RetryRatio()
+    ratio = RetryBudget()
     first_sendings = 1000
     retries = 0
     for _ in range(first_sendings):
-        ratio.note_first()
-        retries += ratio.take(0.0)
-    assert retries <= MIN_RETRIES + RETRY_FRACTION * first_sendings
+        ratio.record_first_attempt()
+        retries += ratio.try_spend(0.0)
+    assert retries <= MIN_RETRY_CREDIT + RETRY_FRACTION * first_sendings
 
 
 def test_credit_is_not_saved_up_without_end() -> None:
-    ratio = RetryRatio()
+    ratio = RetryBudget()
     for _ in range(100_000):
-        ratio.note_first()
-    assert sum(ratio.take(1e6) for _ in range(1000)) == MAX_RETRIES
+        ratio.record_first_attempt()
+    assert sum(ratio.try_spend(1e6) for _ in range(1000)) == MAX_RETRY_CREDIT
 
 
 def test_quiet_node_gets_a_few_retries_back_in_time() -> None:
-    ratio = RetryRatio()
-    assert sum(ratio.take(0.0) for _ in range(100)) == MIN_RETRIES
-    assert sum(ratio.take(2.0) for _ in range(100)) == 2 * MIN_RETRIES_PER_S
-    assert sum(ratio.take(1e6) for _ in range(100)) == MIN_RETRIES
-    assert not ratio.take(1e6)
+    ratio = RetryBudget()
+    assert sum(ratio.try_spend(0.0) for _ in range(100)) == MIN_RETRY_CREDIT
+    assert sum(ratio.try_spend(2.0) for _ in range(100)) == 2 * MIN_RETRY_CREDIT_PER_S
+    assert sum(ratio.try_spend(1e6) for _ in range(100)) == MIN_RETRY_CREDIT
+    assert not ratio.try_spend(1e6)
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -9,7 +9,7 @@
 from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.gen.ttypes import Gossip, QuarantineNote
 from eelgrassmount.members.table import Identity, Member, ServiceSummary
-from eelgrassmount.retry.exchange import FAR_NODES, QuarantineExchange
+from eelgrassmount.retry.exchange import MAX_NODES_PER_REMOTE_DOMAIN, QuarantineExchange
 from eelgrassmount.retry.quarantine import Quarantine
 from eelgrassmount.timers import ManualClock
 from eelgrassmount.util.background import Background
@@ -60,15 +60,15 @@
             for address in addresses:
                 network.add(address, domain, group)
         first = network.nodes[NEAR[0]]
-        first.note_crash("poison", "one")
+        first.record_crash("poison", "one")
         await anyio.wait_all_tasks_blocked()
         # all know of it, also those of the other failure domain not told first
-        assert len(FAR) > FAR_NODES
-        network.nodes[FAR[2]].note_crash("poison", "two")
+        assert len(FAR) > MAX_NODES_PER_REMOTE_DOMAIN
+        network.nodes[FAR[2]].record_crash("poison", "two")
         await anyio.wait_all_tasks_blocked()
         refusals = [node.check("poison") for node in network.nodes.values()]
         assert None not in refusals
-        first.note_success("poison")
+        first.record_success("poison")
         gossip = Gossip()
         first.fill(gossip)
         network.nodes[FAR[1]].observe(NEAR[0], gossip)
--- a/tests/retry/test_quarantine.py
+++ b/tests/retry/test_quarantine.py
@@ -4,8 +4,8 @@
 
 from eelgrassmount.retry.quarantine import (
     MAX_CRASHES,
-    MAX_CRASHES_PROVEN,
-    MAX_PROVEN,
+    MAX_CRASHES_AFTER_SUCCESS,
+    MAX_SUCCEEDED,
     MAX_SUSPECTS,
     QUARANTINE_S,
     Quarantine,
@@ -24,7 +24,7 @@
     quarantine = Quarantine()
     for crash in range(MAX_CRASHES):
         assert quarantine.check("poison", float(crash)) is None
-        quarantine.note_crash("poison", f"call {crash}", float(crash))
+        quarantine.record_crash("poison", f"call {crash}", float(crash))
     refusal = quarantine.check("poison", LATER_S)
     assert isinstance(refusal, NotRun)
     assert refusal.reason is Reason.QUARANTINED
@@ -35,7 +35,7 @@
 
 def test_crashes_at_other_nodes_count_too_and_each_once() -> None:
     quarantine = Quarantine()
-    assert quarantine.note_crash("poison", "one", 0.0)
+    assert quarantine.record_crash("poison", "one", 0.0)
     # the same crash, heard of from the node that sent the call
     assert not quarantine.merge([suspect("poison", "one")], 1.0)
     assert quarantine.check("poison", 1.0) is None
@@ -46,20 +46,20 @@
 
 def test_content_that_completes_is_cleared_for_good() -> None:
     quarantine = Quarantine()
-    quarantine.note_crash("popular", "one", 0.0)
-    quarantine.note_success("popular", 1.0)
+    quarantine.record_crash("popular", "one", 0.0)
+    quarantine.record_success("popular", 1.0)
     # others still spread what has been cleared here
     assert not quarantine.merge([suspect("popular", "one")], 2.0)
-    quarantine.note_crash("popular", "two", 2.0)
+    quarantine.record_crash("popular", "two", 2.0)
     assert quarantine.check("popular", 2.0) is None
 
 
 def test_popular_content_survives_the_crashes_that_another_one_causes() -> None:
     quarantine = Quarantine()
-    quarantine.note_success("popular", 0.0)
-    for crash in range(MAX_CRASHES_PROVEN):
+    quarantine.record_success("popular", 0.0)
+    for crash in range(MAX_CRASHES_AFTER_SUCCESS):
         assert quarantine.check("popular", 1.0) is None
-        quarantine.note_crash("popular", f"call {crash}", 1.0)
+        quarantine.record_crash("popular", f"call {crash}", 1.0)
     assert quarantine.check("popular", 1.0) is not None
     quarantine.expire(QUARANTINE_S + 1.0)
     assert quarantine.check("popular", QUARANTINE_S + 1.0) is None
@@ -78,9 +78,9 @@
 
 def test_success_of_long_ago_proves_nothing() -> None:
     quarantine = Quarantine()
-    quarantine.note_success("poison", 0.0)
+    quarantine.record_success("poison", 0.0)
     for crash in range(MAX_CRASHES):
-        quarantine.note_crash("poison", f"call {crash}", QUARANTINE_S)
+        quarantine.record_crash("poison", f"call {crash}", QUARANTINE_S)
     assert quarantine.check("poison", QUARANTINE_S) is not None
 
 
@@ -93,6 +93,6 @@
     assert quarantine.check("poison", 1.0) is not None
     quarantine.expire(99.0)
     assert "poison" not in quarantine.suspects
-    for number in range(MAX_PROVEN + 5):
-        quarantine.note_success(f"p{number}", 0.0)
-    assert len(quarantine._proven_s) == MAX_PROVEN
+    for number in range(MAX_SUCCEEDED + 5):
+        quarantine.record_success(f"p{number}", 0.0)
+    assert len(quarantine._succeeded_s) == MAX_SUCCEEDED
