--- a/eelgrassmount/retry/__init__.py
+++ b/eelgrassmount/retry/__init__.py
@@ -1,1 +1,1 @@
-"""Bounds on retries."""
+"""Retry budgets, retry decisions and the quarantine of crashing requests."""
--- a/eelgrassmount/retry/budget.py
+++ b/eelgrassmount/retry/budget.py
@@ -1,55 +1,52 @@
-"""The attempts that a whole request may spend."""
+"""Limits on the retries of one request and of one node."""
 
 from __future__ import annotations
 
 from attrs import define
 
-# sendings beyond the first, over the whole tree of one request
+# Retries over the whole call tree of one request.
 MAX_EXTRA_ATTEMPTS = 3
-# extra sendings that a node may make, as a part of the first sendings
-RETRY_FRACTION = 0.1
-# what a quiet node may still spend at once, and how fast it gets that back
+# Retry credit that each first attempt earns.
+RETRY_CREDIT_PER_CALL = 0.1
+# Credit below this grows with time, so that a node with few calls can retry.
 MIN_RETRY_CREDIT = 10.0
 MIN_RETRY_CREDIT_PER_S = 1.0
-# credit is not saved up beyond this
 MAX_RETRY_CREDIT = 100.0
 
 
 def split_attempts(attempts_left: int) -> int:
-    """Return the attempts that go down with one of several downstream calls.
+    """Return the part of the remaining attempts for one downstream call.
 
-    Half, rounded up, goes along and what is not used comes back; the rest
-    stays for the calls made at the same time. The sum over a whole tree never
-    exceeds what its root was given.
+    The call gets half, rounded up, and returns what it does not use. The rest is for
+    concurrent calls. The sum over a call tree never exceeds the attempts of its root.
     """
     return (attempts_left + 1) // 2
 
 
 @define
 class RetryBudget:
-    """Limits the retries of a node to a fraction of its first sendings.
+    """Limits the retries of a node to a fraction of its first attempts.
 
-    A node with little to send would save up next to nothing, so its credit
-    also grows slowly with time, up to a small number.
+    Low credit also grows with time, up to ``MIN_RETRY_CREDIT``.
     """
 
     credit: float = MIN_RETRY_CREDIT
-    _read_s: float = 0.0
+    _updated_s: float = 0.0
 
     def record_first_attempt(self) -> None:
-        """Note a first sending, which earns credit for retries."""
-        self.credit = min(MAX_RETRY_CREDIT, self.credit + RETRY_FRACTION)
+        """Add the retry credit that a first attempt earns."""
+        self.credit = min(MAX_RETRY_CREDIT, self.credit + RETRY_CREDIT_PER_CALL)
 
     def try_spend(self, now_s: float) -> bool:
-        """Take the credit for one retry; ``False`` when there is none."""
-        self._earn(now_s - self._read_s)
-        self._read_s = now_s
+        """Spend the credit for one retry; return ``False`` if there is too little."""
+        self._add_time_credit(now_s - self._updated_s)
+        self._updated_s = now_s
         if self.credit < 1.0:
             return False
         self.credit -= 1.0
         return True
 
-    def _earn(self, seconds: float) -> None:
+    def _add_time_credit(self, seconds: float) -> None:
         if self.credit < MIN_RETRY_CREDIT:
             earned = MIN_RETRY_CREDIT_PER_S * seconds
             self.credit = min(MIN_RETRY_CREDIT, self.credit + earned)
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -1,4 +1,4 @@
-"""Telling other nodes of requests that crash their servers."""
+"""Exchange of quarantined requests between nodes."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     from eelgrassmount.util.background import Background
     from eelgrassmount.verdict import NotRun
 
-# the worst suspects ride on each gossip message
+# Suspects, and clearances, in one gossip message.
 MAX_NOTES = 5
-# nodes of each other failure domain that are told of a crash at once
+# Nodes of each remote failure domain that this node notifies of a crash.
 MAX_NODES_PER_REMOTE_DOMAIN = 2
 
 
 @define(eq=False)
 class QuarantineExchange:
-    """Tells others of crashes at once, and again with the gossip.
+    """Reports crashes to other nodes, at once and in the regular gossip.
 
-    A crash is told to all nodes of the own failure domain and a few of each
-    other one. Whoever hears of it from another failure domain tells its own.
+    A crash is reported to all nodes of the local failure domain and to a few nodes of
+    each remote one. These forward the report within their own failure domain.
     """
 
     board: Blackboard
@@ -40,24 +40,24 @@
     tasks: Background
 
     def check(self, digest: str) -> NotRun | None:
-        """Refuse a content that has crashed too many servers."""
+        """Return a refusal if requests with this digest crashed too many servers."""
         return self.quarantine.check(digest, self.clock.read())
 
     def count_refused(self) -> int:
-        """Return how many contents are refused at present."""
+        """Return the number of digests that are refused now."""
         return self.quarantine.count_refused(self.clock.read())
 
     def record_crash(self, digest: str, call_id: str) -> None:
-        """Note that a server crashed while it was running a call."""
+        """Record a server crash during a call and report it to other nodes."""
         if self.quarantine.record_crash(digest, call_id, self.clock.read()):
-            self._tell([*self._list_near(), *self._list_far()])
+            self._send([*self._list_local_nodes(), *self._list_remote_nodes()])
 
     def record_success(self, digest: str) -> None:
-        """Note that a server has run a content to its end."""
+        """Record that a server has completed a request with this digest."""
         self.quarantine.record_success(digest, self.clock.read())
 
     def fill(self, gossip: Gossip) -> None:
-        """Add what this node suspects to a message."""
+        """Add this node's suspects and clearances to a gossip message."""
         now_s = self.clock.read()
         self.quarantine.expire(now_s)
         suspects = self.quarantine.list_suspects()[:MAX_NOTES]
@@ -68,7 +68,7 @@
         ]
 
     def observe(self, address: str, gossip: Gossip) -> None:
-        """Take over what another node suspects or has cleared."""
+        """Apply the suspects and clearances of another node."""
         now_s = self.clock.read()
         notes = [
             note
@@ -77,32 +77,32 @@
         ]
         self.quarantine.clear(_decode(note, now_s) for note in notes if note.cleared)
         suspects = [_decode(note, now_s) for note in notes if not note.cleared]
-        near = address in self.board.members.members
-        if self.quarantine.merge(suspects, now_s) and not near:
-            self._tell(self._list_near())
+        same_domain = address in self.board.members.members
+        if self.quarantine.merge(suspects, now_s) and not same_domain:
+            self._send(self._list_local_nodes())
 
-    def _list_near(self) -> list[str]:
-        own = self.board.identity.address
+    def _list_local_nodes(self) -> list[str]:
+        local_address = self.board.identity.address
         members = self.board.members.members.values()
         return [
             member.identity.address
             for member in members
-            if member.present and member.identity.address != own
+            if member.present and member.identity.address != local_address
         ]
 
-    def _list_far(self) -> list[str]:
+    def _list_remote_nodes(self) -> list[str]:
         by_domain: dict[str, set[str]] = {}
         for summary in self.board.members.summaries.values():
             if summary.failure_domain != self.board.identity.failure_domain:
-                found = by_domain.setdefault(summary.failure_domain, set())
-                found.update(summary.addresses)
+                nodes = by_domain.setdefault(summary.failure_domain, set())
+                nodes.update(summary.addresses)
         return [
             address
             for addresses in by_domain.values()
             for address in sorted(addresses)[:MAX_NODES_PER_REMOTE_DOMAIN]
         ]
 
-    def _tell(self, addresses: Iterable[str]) -> None:
+    def _send(self, addresses: Iterable[str]) -> None:
         for address in addresses:
             gossip = Gossip()
             self.fill(gossip)
--- a/tests/retry/test_budget.py
+++ b/tests/retry/test_budget.py
@@ -1,4 +1,4 @@
-"""The attempt budget of a whole request and the retry ratio of a node."""
+"""The attempt budget of a request and the retry budget of a node."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     MAX_RETRY_CREDIT,
     MIN_RETRY_CREDIT,
     MIN_RETRY_CREDIT_PER_S,
-    RETRY_FRACTION,
+    RETRY_CREDIT_PER_CALL,
     RetryBudget,
     split_attempts,
 )
 
 
 def _run_tree(attempts: int, fan_out: int, depth: int) -> tuple[int, int]:
-    """Run a tree whose leaves always fail; return the extra sendings and the rest."""
+    """Run a tree of failing calls; return the retries made and the attempts left."""
     spent = 0
     while True:
         left = attempts
@@ -34,38 +34,38 @@
 
 
 @given(st.integers(0, 6), st.integers(1, 3), st.integers(0, 5))
-def test_whole_tree_never_spends_more_than_its_root_was_given(
+def test_call_tree_never_retries_more_than_its_root_may(
     attempts: int, fan_out: int, depth: int
 ) -> None:
     spent, left = _run_tree(attempts, fan_out, depth)
     assert spent + left == attempts
 
 
-def test_chain_of_twelve_gets_at_most_the_extra_attempts() -> None:
+def test_long_chain_retries_no_more_than_the_extra_attempts() -> None:
     spent, _ = _run_tree(MAX_EXTRA_ATTEMPTS, fan_out=1, depth=12)
     assert spent == MAX_EXTRA_ATTEMPTS
 
 
-def test_ratio_bounds_retries_to_a_fraction_of_first_sendings() -> None:
-    ratio = RetryBudget()
-    first_sendings = 1000
+def test_retries_are_limited_to_a_fraction_of_first_attempts() -> None:
+    budget = RetryBudget()
+    first_attempts = 1000
     retries = 0
-    for _ in range(first_sendings):
-        ratio.record_first_attempt()
-        retries += ratio.try_spend(0.0)
-    assert retries <= MIN_RETRY_CREDIT + RETRY_FRACTION * first_sendings
+    for _ in range(first_attempts):
+        budget.record_first_attempt()
+        retries += budget.try_spend(0.0)
+    assert retries <= MIN_RETRY_CREDIT + RETRY_CREDIT_PER_CALL * first_attempts
 
 
-def test_credit_is_not_saved_up_without_end() -> None:
-    ratio = RetryBudget()
+def test_retry_credit_is_bounded() -> None:
+    budget = RetryBudget()
     for _ in range(100_000):
-        ratio.record_first_attempt()
-    assert sum(ratio.try_spend(1e6) for _ in range(1000)) == MAX_RETRY_CREDIT
+        budget.record_first_attempt()
+    assert sum(budget.try_spend(1e6) for _ in range(1000)) == MAX_RETRY_CREDIT
 
 
-def test_quiet_node_gets_a_few_retries_back_in_time() -> None:
-    ratio = RetryBudget()
-    assert sum(ratio.try_spend(0.0) for _ in range(100)) == MIN_RETRY_CREDIT
-    assert sum(ratio.try_spend(2.0) for _ in range(100)) == 2 * MIN_RETRY_CREDIT_PER_S
-    assert sum(ratio.try_spend(1e6) for _ in range(100)) == MIN_RETRY_CREDIT
-    assert not ratio.try_spend(1e6)
+def test_node_with_few_calls_regains_some_credit_with_time() -> None:
+    budget = RetryBudget()
+    assert sum(budget.try_spend(0.0) for _ in range(100)) == MIN_RETRY_CREDIT
+    assert sum(budget.try_spend(2.0) for _ in range(100)) == 2 * MIN_RETRY_CREDIT_PER_S
+    assert sum(budget.try_spend(1e6) for _ in range(100)) == MIN_RETRY_CREDIT
+    assert not budget.try_spend(1e6)
--- a/tests/retry/test_decisions.py
+++ b/tests/retry/test_decisions.py
@@ -1,4 +1,4 @@
-"""Which verdicts allow another sending."""
+"""Verdicts after which a call is retried."""
 
 from __future__ import annotations
 
@@ -23,31 +23,39 @@
     idempotent=True,
 )
 _ENTRY = _CONTEXT
-_DEEP = evolve(_CONTEXT, depth=3)
-_BOOKING = evolve(_CONTEXT, idempotent=False)
+_DOWNSTREAM = evolve(_CONTEXT, depth=3)
+_NOT_IDEMPOTENT = evolve(_CONTEXT, idempotent=False)
 
 
 @pytest.mark.parametrize(
-    ("verdict", "context", "room", "expected"),
+    ("verdict", "context", "has_other_server", "expected"),
     [
         (Answered(200, (), b""), _ENTRY, True, None),
-        (NotRun(Reason.DRAINING), _DEEP, False, RetryReason.DRAINING),
-        (NotRun(Reason.PEER_LOST), _BOOKING, False, RetryReason.PEER_LOST),
-        (NotRun(Reason.SERVER_SILENT), _BOOKING, False, RetryReason.SERVER_SILENT),
+        (NotRun(Reason.DRAINING), _DOWNSTREAM, False, RetryReason.DRAINING),
+        (NotRun(Reason.PEER_LOST), _NOT_IDEMPOTENT, False, RetryReason.PEER_LOST),
+        (
+            NotRun(Reason.SERVER_SILENT),
+            _NOT_IDEMPOTENT,
+            False,
+            RetryReason.SERVER_SILENT,
+        ),
         (NotRun(Reason.OVERLOAD), _ENTRY, True, RetryReason.NO_ROOM),
         (NotRun(Reason.OVERLOAD), _ENTRY, False, None),
-        (NotRun(Reason.OVERLOAD), _DEEP, True, None),
-        (NotRun(Reason.SERVER_SHED), _DEEP, True, None),
+        (NotRun(Reason.OVERLOAD), _DOWNSTREAM, True, None),
+        (NotRun(Reason.SERVER_SHED), _DOWNSTREAM, True, None),
         (NotRun(Reason.QUARANTINED), _ENTRY, True, None),
         (NotRun(Reason.DEADLINE), _ENTRY, True, None),
-        (MayHaveRun(Reason.PEER_LOST), _DEEP, False, RetryReason.PEER_LOST),
-        (MayHaveRun(Reason.SERVER_CRASHED), _BOOKING, True, None),
-        (MayHaveRun(Reason.PEER_LOST), _BOOKING, True, None),
+        (MayHaveRun(Reason.PEER_LOST), _DOWNSTREAM, False, RetryReason.PEER_LOST),
+        (MayHaveRun(Reason.SERVER_CRASHED), _NOT_IDEMPOTENT, True, None),
+        (MayHaveRun(Reason.PEER_LOST), _NOT_IDEMPOTENT, True, None),
         (MayHaveRun(Reason.PARTIAL), _ENTRY, True, None),
         (MayHaveRun(Reason.DEADLINE), _ENTRY, True, None),
     ],
 )
 def test_choose_retry(
-    verdict: object, context: Context, room: bool, expected: RetryReason | None
+    verdict: object,
+    context: Context,
+    has_other_server: bool,
+    expected: RetryReason | None,
 ) -> None:
-    assert choose_retry(verdict, context, room) == expected
+    assert choose_retry(verdict, context, has_other_server) == expected
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -1,4 +1,4 @@
-"""How nodes hear of requests that crash their servers."""
+"""Exchange of quarantined requests between nodes."""
 
 from __future__ import annotations
 
@@ -16,70 +16,70 @@
 
 pytestmark = pytest.mark.anyio
 
-NEAR = ("127.1.0.1:1", "127.1.0.2:1", "127.1.0.3:1")
-FAR = ("127.2.0.1:1", "127.2.0.2:1", "127.2.0.3:1")
+DOMAIN_A = ("127.1.0.1:1", "127.1.0.2:1", "127.1.0.3:1")
+DOMAIN_B = ("127.2.0.1:1", "127.2.0.2:1", "127.2.0.3:1")
 
 
 @define
 class Network:
-    """Nodes that know each other; each message is delivered at once."""
+    """Nodes that know each other; each message is delivered immediately."""
 
     nodes: dict[str, QuarantineExchange] = field(factory=dict)
 
     def add(self, address: str, domain: str, group: object) -> None:
         board = Blackboard(Identity(address, domain, "region", address))
-        near, far = (NEAR, FAR) if domain == "a" else (FAR, NEAR)
-        for other in near:
+        local, remote = (DOMAIN_A, DOMAIN_B) if domain == "a" else (DOMAIN_B, DOMAIN_A)
+        for other in local:
             identity = evolve(board.identity, address=other)
             board.members.members[other] = Member(identity)
-        summary = ServiceSummary("b" if domain == "a" else "a", "s", 1, 3, 1, 1, far)
+        summary = ServiceSummary("b" if domain == "a" else "a", "s", 1, 3, 1, 1, remote)
         board.members.summaries[summary.failure_domain, "s"] = summary
         self.nodes[address] = QuarantineExchange(
             board,
             ManualClock(),
-            _Port(self, address),
+            _PeerPort(self, address),
             Quarantine(),
             Background(group, lambda: None),
         )
 
 
 @define
-class _Port:
+class _PeerPort:
     network: Network
-    own: str
+    local_address: str
 
     async def tell(self, address, message):
-        self.network.nodes[address].observe(self.own, message.gossip)
+        self.network.nodes[address].observe(self.local_address, message.gossip)
         return True
 
 
 async def test_crashes_and_clearances_reach_every_node() -> None:
     network = Network()
     async with anyio.create_task_group() as group:
-        for domain, addresses in (("a", NEAR), ("b", FAR)):
+        for domain, addresses in (("a", DOMAIN_A), ("b", DOMAIN_B)):
             for address in addresses:
                 network.add(address, domain, group)
-        first = network.nodes[NEAR[0]]
+        first = network.nodes[DOMAIN_A[0]]
         first.record_crash("poison", "one")
         await anyio.wait_all_tasks_blocked()
-        # all know of it, also those of the other failure domain not told first
-        assert len(FAR) > MAX_NODES_PER_REMOTE_DOMAIN
-        network.nodes[FAR[2]].record_crash("poison", "two")
+        # Nodes that were not notified directly learn of the crash in their own domain.
+        assert len(DOMAIN_B) > MAX_NODES_PER_REMOTE_DOMAIN
+        network.nodes[DOMAIN_B[2]].record_crash("poison", "two")
         await anyio.wait_all_tasks_blocked()
         refusals = [node.check("poison") for node in network.nodes.values()]
         assert None not in refusals
         first.record_success("poison")
         gossip = Gossip()
         first.fill(gossip)
-        network.nodes[FAR[1]].observe(NEAR[0], gossip)
-        assert network.nodes[FAR[1]].check("poison") is None
+        network.nodes[DOMAIN_B[1]].observe(DOMAIN_A[0], gossip)
+        assert network.nodes[DOMAIN_B[1]].check("poison") is None
 
 
-async def test_notes_that_say_nothing_are_skipped() -> None:
+async def test_incomplete_notes_are_ignored() -> None:
     network = Network()
     async with anyio.create_task_group() as group:
-        network.add(NEAR[0], "a", group)
+        network.add(DOMAIN_A[0], "a", group)
         notes = [QuarantineNote(), QuarantineNote("poison", 2, 0, ["one", "two"])]
         notes.append(QuarantineNote("poison", 2, 1000, []))
-        network.nodes[NEAR[0]].observe(NEAR[1], Gossip(quarantine=notes))
-        assert network.nodes[NEAR[0]].quarantine.list_suspects() == []
+        network.nodes[DOMAIN_A[0]].observe(DOMAIN_A[1], Gossip(quarantine=notes))
+        assert network.nodes[DOMAIN_A[0]].quarantine.list_suspects() == []
