--- a/eelgrassmount/calls/__init__.py
+++ b/eelgrassmount/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a call through a node."""
+"""Processing of calls on a node."""
--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -1,4 +1,4 @@
-"""Admission of root requests, in front of the dispatcher."""
+"""Admission of root requests before dispatch."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @define(eq=False)
 class AdmissionRunner:
-    """Refuses a root request at once that would be refused in its chain.
+    """Applies admission control to root requests before they are dispatched.
 
-    It stands at the entry for idempotent requests and at the owner of the key
-    for all others, which runs a key only if it has no outcome yet.
+    The entry node admits idempotent requests. Others are admitted by the owner of their
+    key, which runs a request only if the key has no outcome yet.
     """
 
     board: Blackboard
@@ -46,10 +46,10 @@
 
 @define(eq=False)
 class KeyOwnerRunner:
-    """Runs calls for the owner of their keys, which keeps the outcome.
+    """Runs calls for the owner of their keys, which stores the outcome.
 
-    The loads on the outcome serve this node; kept with a key they would be
-    stale when the outcome is given again.
+    Loads are removed from the outcome, since they would be stale when a stored outcome
+    is returned for a retry.
     """
 
     control: LoadControl
--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Running a call on some node of its service, with bounded retries."""
+"""Dispatch of calls to the nodes of their service, with bounded retries."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 class Dispatcher:
     """Chooses a node for a call and retries within the request's budget."""
 
-    own_address: str
+    local_address: str
     timers: TimerService
     control: LoadControl
     local: LocalRunner
@@ -41,8 +41,8 @@
     async def run(self, call: Call) -> Outcome:
         """Run a call and return its outcome.
 
-        Every sending has a call id of its own. Once a sending may have run,
-        the final verdict is never *not run*.
+        Every attempt has its own call id. Once an attempt may have run, the final verdict
+        is never *not run*.
         """
         self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
@@ -55,7 +55,7 @@
         while address is not None:
             outcome = await self._attempt(address, call, outcome.attempts_left)
             may_have_run |= isinstance(outcome.verdict, MayHaveRun)
-            # a connection that went silent says nothing against its server
+            # A silent connection does not mean a faulty server: it may be tried again.
             if outcome.verdict != SERVER_SILENT:
                 excluded.add(address)
             reason = self._find_retry_reason(call, outcome, excluded)
@@ -81,11 +81,11 @@
         started_s = self.timers.read()
         outcome = Outcome(MayHaveRun(Reason.CANCELLED))
         try:
-            if address == self.own_address:
+            if address == self.local_address:
                 outcome = await self.local.run(attempt)
             else:
                 outcome = await self.remote.run(address, attempt)
-                self._note_fate(attempt, outcome)
+                self._record_outcome(attempt, outcome)
         finally:
             self.control.record_end(
                 address,
@@ -96,7 +96,7 @@
             )
         return outcome
 
-    def _note_fate(self, attempt: Call, outcome: Outcome) -> None:
+    def _record_outcome(self, attempt: Call, outcome: Outcome) -> None:
         context = attempt.context
         match outcome.verdict:
             case Answered():
@@ -107,7 +107,7 @@
     def _find_retry_reason(
         self, call: Call, outcome: Outcome, excluded: set[str]
     ) -> RetryReason | None:
-        """Return why to send once more, ``None`` when that is not allowed."""
+        """Return the reason for a retry, or ``None`` if the call may not be retried."""
         context = call.context
         if outcome.attempts_left < 1:
             return None
@@ -115,8 +115,10 @@
             return None
         if self._check(call) is not None:
             return None
-        room_elsewhere = self.control.has_room(context, call.request.service, excluded)
-        reason = choose_retry(outcome.verdict, context, room_elsewhere)
+        has_other_server = self.control.has_room(
+            context, call.request.service, excluded
+        )
+        reason = choose_retry(outcome.verdict, context, has_other_server)
         if reason is None or not self.retry_budget.try_spend(self.timers.read()):
             return None
         return reason
--- a/eelgrassmount/calls/downstream.py
+++ b/eelgrassmount/calls/downstream.py
@@ -1,4 +1,4 @@
-"""Calls that the backend server on this VM makes while it serves a call."""
+"""Downstream calls that the backend server on this VM makes while it serves a call."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import define, evolve
 
 from eelgrassmount.calls.request import Call, Outcome, Request
-from eelgrassmount.calls.table import CallRecord, CallTable, Child
+from eelgrassmount.calls.table import CallRecord, CallTable, DownstreamCall
 from eelgrassmount.config.classes import is_idempotent
 from eelgrassmount.context import MAX_DEPTH, compute_digest, derive_child
 from eelgrassmount.retry.budget import split_attempts
@@ -25,25 +25,25 @@
 
 @define(eq=False)
 class Downstream:
-    """Runs downstream calls, each once for its parent.
+    """Runs each downstream call once for its parent call.
 
-    A repeat of a call under the same parent (same name, method, path and
-    body) is the same call: it waits for, or gets again, the same outcome.
+    A retry under the same parent has the same name, method, path and body. It joins the
+    first call and gets the same outcome.
     """
 
     board: Blackboard
     timers: TimerService
     table: CallTable
     run: Runner
-    group: Background
+    tasks: Background
     make_id: Callable[[], str]
     exchange: LoadExchange
 
     async def handle(self, parent_id: str, call_name: str, request: Request) -> Verdict:
         """Return the verdict on a downstream call.
 
-        A call whose parent is not running here (any more) is refused, since
-        nobody waits for the result.
+        A call is refused if its parent is not running on this node, since nothing would
+        use the answer.
         """
         parent = self.table.find(parent_id)
         if parent is None or parent.outcome is not None or parent.cancelled:
@@ -60,8 +60,8 @@
 
     def _start(
         self, parent: CallRecord, child_key: str, digest: str, request: Request
-    ) -> Child:
-        child = Child()
+    ) -> DownstreamCall:
+        child = DownstreamCall()
         parent.children[child_key] = child
         attempts = split_attempts(parent.attempts_left)
         parent.attempts_left -= attempts
@@ -73,14 +73,14 @@
                 self.board.configuration.document, request.method, request.path
             ),
         )
-        # in the node's own group: the server may drop its connection and ask
-        # again without ending the call
-        self.group.start_soon(self._run, parent, child, Call(context, request))
+        # The call must outlive the server's connection: the server may reconnect and
+        # retry without cancelling the call.
+        self.tasks.start_soon(self._run, parent, child, Call(context, request))
         return child
 
-    async def _run(self, parent: CallRecord, child: Child, call: Call) -> None:
+    async def _run(self, parent: CallRecord, child: DownstreamCall, call: Call) -> None:
         outcome = Outcome(MayHaveRun(Reason.CANCELLED), 0)
-        parent.note_child_start(self.timers.read())
+        parent.record_child_start(self.timers.read())
         child.scope.deadline = call.context.deadline_s
         try:
             with child.scope:
@@ -93,5 +93,5 @@
                 call.context.parent_id, call.request.service, outcome.loads
             )
             parent.attempts_left += outcome.attempts_left
-            parent.note_child_end(self.timers.read())
+            parent.record_child_end(self.timers.read())
             child.done.set()
--- a/eelgrassmount/calls/handlers.py
+++ b/eelgrassmount/calls/handlers.py
@@ -1,4 +1,4 @@
-"""Answers to the messages that other nodes send about calls."""
+"""Handlers of messages from other nodes about calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from eelgrassmount.peer.port import Handlers
     from eelgrassmount.timers import TimerService
 
-_STATE_BY_FATE = {
+_STATE_BY_STATUS = {
     CallStatus.UNKNOWN: CallState.UNKNOWN,
     CallStatus.PENDING: CallState.PENDING,
     CallStatus.DONE: CallState.DONE,
@@ -32,7 +32,7 @@
 
 @define(eq=False)
 class CallHandlers:
-    """Handlers for calls, cancellations and questions about calls."""
+    """Handlers for calls, cancellations and status queries."""
 
     timers: TimerService
     table: CallTable
@@ -42,15 +42,15 @@
     metrics: Metrics
 
     def make_handlers(self) -> Handlers:
-        """Return the handlers by the message fields that they answer."""
+        """Return the handlers by message field."""
         return {
             "call": self.handle_call,
             "cancel": self.handle_cancel,
-            "fate_question": self.handle_fate,
+            "fate_question": self.handle_status_query,
         }
 
     async def handle_call(self, sender: Hello, message: Message) -> Message:
-        """Run a call, as its owner or on the own backend server."""
+        """Run a call as the owner of its key, or on the local backend server."""
         frame = message.call
         try:
             call = decode_call(frame, self.timers.read())
@@ -68,15 +68,15 @@
         return Message(outcome=encode_outcome(call_id, outcome))
 
     async def handle_cancel(self, sender: Hello, message: Message) -> None:
-        """Cancel a call, or seal its id if it has not arrived."""
+        """Cancel a call, or block its id if the call has not arrived."""
         self.table.cancel(message.cancel.call_id, self.timers.read())
 
-    async def handle_fate(self, sender: Hello, message: Message) -> Message:
-        """Say what became of a call."""
+    async def handle_status_query(self, sender: Hello, message: Message) -> Message:
+        """Report the status of a call, with its outcome if it is done."""
         call_id = message.fate_question.call_id
-        fate = self.table.query_status(call_id, self.timers.read())
-        answer = FateAnswer(call_id=call_id, state=_STATE_BY_FATE[fate])
-        if fate is CallStatus.DONE:
+        status = self.table.query_status(call_id, self.timers.read())
+        answer = FateAnswer(call_id=call_id, state=_STATE_BY_STATUS[status])
+        if status is CallStatus.DONE:
             outcome = self.table.find(call_id).outcome
             answer.outcome = encode_outcome(call_id, outcome)
         return Message(fate_answer=answer)
--- a/eelgrassmount/calls/inflight.py
+++ b/eelgrassmount/calls/inflight.py
@@ -1,4 +1,4 @@
-"""How many requests and calls this node still has to answer."""
+"""Counts of requests and calls that this node has yet to answer."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @define
 class InFlight:
-    """Counts requests of callers and calls of other nodes being answered."""
+    """Counts the callers' requests and other nodes' calls in progress."""
 
     requests: int = 0
     calls: int = 0
 
     @contextlib.contextmanager
     def track_request(self) -> Iterator[None]:
-        """Count a caller's request while it is being answered."""
+        """Count a caller's request until it is answered."""
         self.requests += 1
         try:
             yield
@@ -29,7 +29,7 @@
 
     @contextlib.contextmanager
     def track_call(self) -> Iterator[None]:
-        """Count a call of another node while it is being answered."""
+        """Count another node's call until it is answered."""
         self.calls += 1
         try:
             yield
--- a/eelgrassmount/calls/ingress.py
+++ b/eelgrassmount/calls/ingress.py
@@ -1,4 +1,4 @@
-"""Requests of callers."""
+"""Handling of requests from callers."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.timers import TimerService
 
-# unreserved characters of RFC 3986, with an optional failure domain in front
+# Unreserved characters of RFC 3986, after an optional failure domain.
 _KEY_PATTERN = re.compile(r"([A-Za-z0-9._-]{1,63}:)?[A-Za-z0-9._~-]{1,128}")
 MAX_TIMEOUT_MS = 600_000
-# how long after its deadline a caller is answered at the latest
-GRACE_S = 0.1
+# Maximum delay of an answer beyond the request's deadline.
+ANSWER_GRACE_S = 0.1
 
 
 @frozen
 class Reply:
-    """What a caller is told: the verdict and what goes along with it."""
+    """The verdict on a caller's request, its root id and a key for the next request."""
 
     verdict: Verdict
     root_id: str
@@ -51,7 +51,7 @@
 
 @define(eq=False)
 class Ingress:
-    """Takes requests of callers: class, deadline, admission, key."""
+    """Classifies callers' requests, sets their deadlines and runs them."""
 
     board: Blackboard
     timers: TimerService
@@ -62,31 +62,31 @@
     make_id: Callable[[], str]
 
     async def handle(self, request: Request) -> Reply:
-        """Return the final word on a caller's request."""
+        """Run a caller's request and return its reply."""
         root_id = self.make_id()
         started_s = self.timers.read()
         work_class = find_class(
             self.board.configuration.document, request.method, request.path
         )
         if work_class is None:
-            verdict = _refuse(self._explain_no_class(), request)
+            verdict = _refuse(self._find_refusal_reason(), request)
         else:
             outcome = await self._run_class(request, work_class, root_id)
             verdict = outcome.verdict
-            self._note_outcome(work_class, outcome, self.timers.read() - started_s)
+            self._record_outcome(work_class, outcome, self.timers.read() - started_s)
         return Reply(verdict, root_id, self.keys.mint())
 
-    def _note_outcome(
+    def _record_outcome(
         self, work_class: WorkClass, outcome: Outcome, seconds: float
     ) -> None:
         answered = isinstance(outcome.verdict, Answered)
-        complete = answered and seconds * 1000 <= work_class.within_ms
-        touched = {load.service for load in outcome.loads}
-        self.control.record_request(work_class.name, complete, touched)
+        in_time = answered and seconds * 1000 <= work_class.within_ms
+        used_services = {load.service for load in outcome.loads}
+        self.control.record_request(work_class.name, in_time, used_services)
         verdict_name = name_verdict(outcome.verdict)
         record_call(self.metrics, work_class.name, verdict_name, seconds)
 
-    def _explain_no_class(self) -> Reason:
+    def _find_refusal_reason(self) -> Reason:
         if self.board.configuration.version == 0:
             return Reason.NO_CONFIGURATION
         return Reason.NO_ROUTE
@@ -105,16 +105,15 @@
         return await self._run_until_deadline(Call(context, request))
 
     async def _run_until_deadline(self, call: Call) -> Outcome:
-        """Run a call; a caller is answered in time whatever is waited for.
+        """Run a call; answer the caller in time even if a component does not respond.
 
-        The parts on the way keep the deadline themselves, and know more of
-        the fate of the call than is known here.
+        Other components enforce the deadline too and know more about the outcome, so
+        they get ``ANSWER_GRACE_S`` to report it first.
         """
-        limit_s = call.context.measure_remaining(self.timers.read()) + GRACE_S
+        timeout_s = call.context.measure_remaining(self.timers.read()) + ANSWER_GRACE_S
         outcome = Outcome(MayHaveRun(Reason.DEADLINE))
-        with anyio.move_on_after(limit_s):
-            # admission of a keyed call is up to the owner of its key, which
-            # knows whether the answer is there already
+        with anyio.move_on_after(timeout_s):
+            # The owner of a key admits the call, since it may have a stored answer.
             run = self.run if call.context.idempotent else self.keys.run
             outcome = await run(call)
         return outcome
@@ -143,10 +142,10 @@
 
 
 def _refuse(reason: Reason, request: Request) -> NotRun | MayHaveRun:
-    """Refuse a request that this node can't place.
+    """Refuse a request that this node can't classify.
 
-    This sending ran nowhere, but with a key an earlier sending of the same
-    request may have, through a node that could place it.
+    This attempt did not run, but an earlier attempt with the same key may have run
+    through another node.
     """
     if find_header(request.headers, names.IDEMPOTENCY_KEY) is None:
         return NotRun(reason)
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -1,4 +1,4 @@
-"""Running a call on the backend server of this VM."""
+"""Execution of calls on the backend server of this VM."""
 
 from __future__ import annotations
 
@@ -42,23 +42,22 @@
 
 @define(eq=False)
 class LocalRunner:
-    """Runs calls on the own backend server: each call id once."""
+    """Runs each call id once on the local backend server."""
 
     board: Blackboard
     timers: TimerService
     table: CallTable
-    gate: ServerDispatcher
+    dispatcher: ServerDispatcher
     client: ServerClient
     quarantine: QuarantineExchange
     exchange: LoadExchange
     metrics: Metrics
-    lose_server: Callable[[], None]
+    on_server_lost: Callable[[], None]
 
     async def run(self, call: Call) -> Outcome:
         """Run a call and return its outcome.
 
-        A call id that is known already is not run again: its outcome is
-        waited for.
+        A duplicate of a known call id does not run; it waits for the same outcome.
         """
         record = self.table.find(call.context.call_id)
         if record is not None:
@@ -76,16 +75,16 @@
             with record.scope:
                 verdict = await self._admit(record)
             if record.scope.cancelled_caught:
-                verdict = _describe_cut(record)
+                verdict = _judge_interrupted(record)
         finally:
-            self._cancel_children(record)
+            self._cancel_downstream_calls(record)
             outcome = self._finish(record, verdict)
         return outcome
 
     def _finish(self, record: CallRecord, verdict: Verdict) -> Outcome:
         now_s = self.timers.read()
         loads = self.exchange.collect(
-            record.call.context.call_id, self.gate.describe(), now_s
+            record.call.context.call_id, self.dispatcher.describe(), now_s
         )
         outcome = Outcome(_judge_subtree(record, verdict), record.attempts_left, loads)
         self.table.finish(record, outcome, now_s)
@@ -96,7 +95,7 @@
         refusal = self._check(record.call)
         if refusal is not None:
             return refusal
-        refusal = await self.gate.enter(context)
+        refusal = await self.dispatcher.enter(context)
         if refusal is not None:
             return refusal
         started_s = self.timers.read()
@@ -104,34 +103,34 @@
         try:
             verdict = await self._send(record)
         finally:
-            self.gate.leave(self._measure(record, verdict, started_s))
+            self.dispatcher.leave(self._measure(record, verdict, started_s))
         return verdict
 
     def _check(self, call: Call) -> NotRun | None:
         if call.request.service != self.board.server.service:
             return NotRun(Reason.NO_SERVER)
         if not self.board.accepts_work:
-            return NotRun(_explain_closed(self.board))
+            return NotRun(_find_refusal_reason(self.board))
         return self.quarantine.check(call.context.digest)
 
     async def _send(self, record: CallRecord) -> Verdict:
-        def note_begun() -> None:
-            record.begun = True
+        def mark_started() -> None:
+            record.started = True
 
         verdict = await self.client.send(
-            self.board.server.address, record.call, record.attempts_left, note_begun
+            self.board.server.address, record.call, record.attempts_left, mark_started
         )
-        self._note_fate(record.call.context, verdict)
+        self._record_outcome(record.call.context, verdict)
         return verdict
 
-    def _note_fate(self, context: Context, verdict: Verdict) -> None:
+    def _record_outcome(self, context: Context, verdict: Verdict) -> None:
         match verdict:
             case Answered():
                 self.quarantine.record_success(context.digest)
             case MayHaveRun(Reason.SERVER_CRASHED):
                 self.quarantine.record_crash(context.digest, context.call_id)
             case NotRun(Reason.NO_SERVER):
-                self.lose_server()
+                self.on_server_lost()
 
     def _measure(
         self, record: CallRecord, verdict: Verdict, started_s: float
@@ -149,13 +148,13 @@
             record.call.context.class_name,
         )
 
-    def _cancel_children(self, record: CallRecord) -> None:
+    def _cancel_downstream_calls(self, record: CallRecord) -> None:
         for child in record.children.values():
             if child.outcome is None:
                 child.scope.cancel()
 
 
-def _explain_closed(board: Blackboard) -> Reason:
+def _find_refusal_reason(board: Blackboard) -> Reason:
     if board.server.state is ServerState.STARTING:
         return Reason.SERVER_STARTING
     if board.server.state is ServerState.ABSENT:
@@ -163,19 +162,18 @@
     return Reason.DRAINING
 
 
-def _describe_cut(record: CallRecord) -> Verdict:
+def _judge_interrupted(record: CallRecord) -> Verdict:
     reason = Reason.CANCELLED if record.cancelled else Reason.DEADLINE
-    if record.begun:
+    if record.started:
         return MayHaveRun(reason)
     return NotRun(reason)
 
 
 def _judge_subtree(record: CallRecord, verdict: Verdict) -> Verdict:
-    """Return the verdict on a call with its downstream calls.
+    """Return the verdict on a call and its downstream calls.
 
-    An answer that was made while a downstream call failed is not taken, since
-    it may lack a part; a server that did no work itself may still have had
-    downstream calls that ran.
+    An answer is rejected if a downstream call failed, since it may be incomplete. A
+    call that did not run itself may still have made downstream calls that ran.
     """
     children = record.children.values()
     failed = any(not child.answered for child in children)
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -1,4 +1,4 @@
-"""Sending a call to another node, and finding out what became of it."""
+"""Execution of calls on other nodes, and recovery of calls whose link was lost."""
 
 from __future__ import annotations
 
@@ -20,39 +20,39 @@
     from eelgrassmount.peer.pool import PeerPool
     from eelgrassmount.timers import TimerService
 
-# the other node gives its answer by the deadline; this is for the way back
-GRACE_S = 0.02
-CANCEL_LIMIT_S = 0.5
-ASK_AGAIN_S = 0.1
-# how often a call that never arrived is sent to the same node again
-RESENDINGS = 2
+# Network time for an answer that the other node sends at the deadline.
+REPLY_GRACE_S = 0.02
+CANCEL_TIMEOUT_S = 0.5
+STATUS_QUERY_INTERVAL_S = 0.1
+# Resends, to the same node, of a call that never arrived there.
+MAX_RESENDS = 2
 
 
 @define(eq=False)
 class RemoteRunner:
-    """Lets other nodes run calls on their backend servers."""
+    """Sends calls to other nodes, which run them on their backend servers."""
 
     board: Blackboard
     peers: PeerPool
     timers: TimerService
 
     async def run(self, address: str, call: Call) -> Outcome:
-        """Let the node at ``address`` run a call and return its outcome.
+        """Run a call on the node at ``address`` and return its outcome.
 
-        A call that was lost together with its link, and that the node promises
-        never to run, is sent to the same node again: that is no retry.
+        A call that was lost with its link is sent to the same node again if that node
+        will never run the lost one. This does not count as a retry.
         """
-        for number in range(1 + RESENDINGS):
-            again = _rename(call, number)
-            reply = await self._ask_or_cancel(address, again)
+        for number in range(1 + MAX_RESENDS):
+            attempt = _with_resend_id(call, number)
+            reply = await self._send_or_cancel(address, attempt)
             if reply is not None:
-                return self._judge(again, reply)
+                return self._judge(attempt, reply)
         return Outcome(NotRun(Reason.PEER_LOST), call.context.attempts_left)
 
-    async def _ask_or_cancel(
+    async def _send_or_cancel(
         self, address: str, call: Call
     ) -> Message | PeerFailure | None:
-        """Return the reply of a node, ``None`` if the call will never run there."""
+        """Return the reply of a node, or ``None`` if the call will never run there."""
         try:
             reply = await self._send(address, call, incarnation="")
             if isinstance(reply, PeerFailure) and reply.sent:
@@ -65,14 +65,14 @@
     def _judge(self, call: Call, reply: Message | PeerFailure) -> Outcome:
         if isinstance(reply, PeerFailure):
             return Outcome(_judge_failure(reply), call.context.attempts_left)
-        return self._read(call, reply)
+        return self._read_outcome(call, reply)
 
     async def _send(
         self, address: str, call: Call, incarnation: str
     ) -> Message | PeerFailure:
         now_s = self.timers.read()
         frame = encode_call(call, Route.RUN, now_s)
-        remaining_s = call.context.measure_remaining(now_s) + GRACE_S
+        remaining_s = call.context.measure_remaining(now_s) + REPLY_GRACE_S
         return await self.peers.ask(
             address, Message(call=frame), remaining_s, incarnation
         )
@@ -80,28 +80,28 @@
     async def _resolve_lost_call(
         self, call: Call, failure: PeerFailure
     ) -> Message | PeerFailure | None:
-        """Ask the same process over a new link what became of a call.
+        """Query the status of a lost call from the same process over a new link.
 
-        A call that is not idempotent can't be sent elsewhere, so it is worth
-        waiting for the word of a node that is cut off or frozen.
+        A call that is not idempotent can't be sent to another node, so the queries
+        continue while the node is disconnected or frozen.
         """
         while call.context.measure_remaining(self.timers.read()) > 0:
-            reply = await self._ask_fate(call, failure)
+            reply = await self._query_status(call, failure)
             if not isinstance(reply, PeerFailure):
                 return reply
-            if call.context.idempotent or self._is_gone(failure):
+            if call.context.idempotent or self._is_process_gone(failure):
                 return failure
-            await anyio.sleep(ASK_AGAIN_S)
+            await anyio.sleep(STATUS_QUERY_INTERVAL_S)
         await self._cancel(failure.address, call)
         return failure
 
-    async def _ask_fate(
+    async def _query_status(
         self, call: Call, failure: PeerFailure
     ) -> Message | PeerFailure | None:
         remaining_s = call.context.measure_remaining(self.timers.read())
-        question = Message(fate_question=FateQuestion(call.context.call_id))
+        query = Message(fate_question=FateQuestion(call.context.call_id))
         reply = await self.peers.ask(
-            failure.address, question, remaining_s, failure.incarnation
+            failure.address, query, remaining_s, failure.incarnation
         )
         if isinstance(reply, PeerFailure) or reply.fate_answer is None:
             return failure
@@ -110,11 +110,11 @@
                 return None
             case CallState.DONE:
                 return Message(outcome=reply.fate_answer.outcome)
-        # it is known there, so this joins it instead of running it again
+        # The node knows the call id, so a duplicate joins the call and does not run.
         return await self._rejoin(call, failure)
 
-    def _is_gone(self, failure: PeerFailure) -> bool:
-        """Tell whether a process has been replaced or given up for lost."""
+    def _is_process_gone(self, failure: PeerFailure) -> bool:
+        """Return whether the process that received a call restarted, died or left."""
         hello = self.peers.find_hello(failure.address)
         if hello is not None and hello.incarnation != failure.incarnation:
             return True
@@ -129,7 +129,7 @@
             return failure
         return reply
 
-    def _read(self, call: Call, reply: Message) -> Outcome:
+    def _read_outcome(self, call: Call, reply: Message) -> Outcome:
         frame = reply.outcome
         if frame is None or frame.call_id != call.context.call_id:
             return Outcome(MayHaveRun(Reason.BAD_ANSWER), 0)
@@ -141,13 +141,13 @@
         return evolve(outcome, attempts_left=attempts_left)
 
     async def _cancel(self, address: str, call: Call) -> None:
-        with anyio.CancelScope(shield=True), anyio.move_on_after(CANCEL_LIMIT_S):
+        with anyio.CancelScope(shield=True), anyio.move_on_after(CANCEL_TIMEOUT_S):
             message = Message(cancel=Cancel(call.context.call_id))
             await self.peers.tell(address, message)
 
 
-def _rename(call: Call, number: int) -> Call:
-    """Return a call under a new id, as the old one must never run any more."""
+def _with_resend_id(call: Call, number: int) -> Call:
+    """Return a call with a new id, since the other node has blocked the old one."""
     if not number:
         return call
     call_id = f"{call.context.call_id}.{number}"
--- a/eelgrassmount/calls/request.py
+++ b/eelgrassmount/calls/request.py
@@ -1,4 +1,4 @@
-"""A call: its context and its content."""
+"""Requests, calls and their outcomes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class Request:
-    """The content of a call, as the caller or the backend server gave it."""
+    """The content of a call, as the caller or the backend server sent it."""
 
     service: str
     method: str
@@ -22,7 +22,7 @@
 
 @frozen
 class Call:
-    """One call on its way to a backend server."""
+    """A request with its call context."""
 
     context: Context
     request: Request
@@ -30,10 +30,10 @@
 
 @frozen
 class Outcome:
-    """The verdict on a call and the attempts that its subtree did not use.
+    """The verdict on a call and the attempts that its call tree did not use.
 
-    ``loads`` are those of the services that the call touched, for admission
-    further up the chain.
+    ``loads`` has the loads of the services that the call used, for admission by the
+    nodes upstream.
     """
 
     verdict: Verdict
--- a/tests/calls/fakes.py
+++ b/tests/calls/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the parts around the path of a call."""
+"""Fakes of the components that calls pass through."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from eelgrassmount.load.port import Sample
     from eelgrassmount.verdict import NotRun
 
-OWN = "127.0.0.1:1"
+LOCAL = "127.0.0.1:1"
 ANSWER = Answered(200, (), b"whole")
 
 
@@ -51,7 +51,7 @@
 
 
 def make_board() -> Blackboard:
-    return Blackboard(Identity(OWN, "bowbazar", "kolkata", "first"))
+    return Blackboard(Identity(LOCAL, "bowbazar", "kolkata", "first"))
 
 
 def make_timers() -> TimerService:
@@ -65,21 +65,23 @@
 
 @define
 class FakeControl:
-    """Offers addresses in order and notes what it is told."""
+    """Offers addresses in order and records the verdicts of finished calls."""
 
     addresses: list[str]
-    room: bool = True
-    ended: list[Verdict] = field(factory=list)
+    has_capacity: bool = True
+    verdicts: list[Verdict] = field(factory=list)
 
     def choose(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> str | None:
-        return next((one for one in self.addresses if one not in excluded), None)
+        return next(
+            (address for address in self.addresses if address not in excluded), None
+        )
 
     def has_room(
         self, context: Context, service: str, excluded: Collection[str]
     ) -> bool:
-        return self.room
+        return self.has_capacity
 
     def record_end(
         self,
@@ -89,34 +91,34 @@
         loads: Iterable[ServiceLoad],
         latency_s: float,
     ) -> None:
-        self.ended.append(verdict)
+        self.verdicts.append(verdict)
 
 
 @define
 class ScriptedRunner:
-    """Gives scripted verdicts and keeps the calls that it was given."""
+    """Returns scripted verdicts and records the calls."""
 
     verdicts: list[Verdict]
     calls: list[Call] = field(factory=list)
-    spent: int = 0
+    attempts_used: int = 0
 
     async def run(self, address: str | Call, call: Call | None = None) -> Outcome:
         call = address if call is None else call
         self.calls.append(call)
         verdict = self.verdicts.pop(0)
-        return Outcome(verdict, call.context.attempts_left - self.spent)
+        return Outcome(verdict, call.context.attempts_left - self.attempts_used)
 
 
 @define
-class OpenGate:
-    """Admits everything, refuses with what it is given, or keeps calls waiting."""
+class FakeDispatcher:
+    """Admits all calls, refuses them with ``refusal``, or keeps them waiting."""
 
     refusal: NotRun | None = None
-    shut: bool = False
+    blocked: bool = False
     samples: list[Sample] = field(factory=list)
 
     async def enter(self, context: Context) -> NotRun | None:
-        if self.shut:
+        if self.blocked:
             await anyio.sleep_forever()
         return self.refusal
 
@@ -128,5 +130,5 @@
 
 
 def make_quarantine() -> QuarantineExchange:
-    """Return the quarantine of a node that knows no other one."""
+    """Return the quarantine of a node that knows no other nodes."""
     return QuarantineExchange(make_board(), ManualClock(), None, Quarantine(), None)
--- a/tests/calls/test_dispatch.py
+++ b/tests/calls/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The choice of nodes, retries, and the final verdict of a call."""
+"""The choice of nodes, the retries and the final verdict of a call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason, Verdict
 from tests.calls.fakes import (
     ANSWER,
-    OWN,
+    LOCAL,
     FakeControl,
     ScriptedRunner,
     make_call,
@@ -26,17 +26,17 @@
 LOST = MayHaveRun(Reason.PEER_LOST)
 DRAINING = NotRun(Reason.DRAINING)
 SILENT = NotRun(Reason.SERVER_SILENT)
-FULL = NotRun(Reason.OVERLOAD)
+OVERLOADED = NotRun(Reason.OVERLOAD)
 
 
 def make_dispatcher(
-    verdicts: list[Verdict], addresses: list[str], room: bool = True
+    verdicts: list[Verdict], addresses: list[str], has_capacity: bool = True
 ) -> Dispatcher:
     runner = ScriptedRunner(list(verdicts))
     return Dispatcher(
-        own_address=OWN,
+        local_address=LOCAL,
         timers=make_timers(),
-        control=FakeControl(addresses, room),
+        control=FakeControl(addresses, has_capacity),
         local=runner,
         remote=runner,
         retry_budget=RetryBudget(),
@@ -47,38 +47,38 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "verdicts", "room", "expected", "attempts_left"),
+    ("changes", "verdicts", "has_capacity", "expected", "attempts_left"),
     [
         ({}, [ANSWER], True, ANSWER, 3),
         ({}, [DRAINING, LOST, ANSWER], True, ANSWER, 1),
-        # one sending may have run, so a later "not run" is not believed
+        # One attempt may have run, so the verdict can't be "not run".
         ({}, [LOST, DRAINING, DRAINING, DRAINING], True, "may-have-run", 0),
         ({"idempotent": False}, [DRAINING, ANSWER], True, ANSWER, 2),
         ({"idempotent": False}, [LOST], True, LOST, 3),
-        ({}, [FULL, ANSWER], True, ANSWER, 2),
-        ({}, [FULL], False, FULL, 3),
-        ({"depth": 1}, [FULL], True, FULL, 3),
+        ({}, [OVERLOADED, ANSWER], True, ANSWER, 2),
+        ({}, [OVERLOADED], False, OVERLOADED, 3),
+        ({"depth": 1}, [OVERLOADED], True, OVERLOADED, 3),
         ({"attempts_left": 0}, [LOST], True, LOST, 0),
     ],
 )
 async def test_verdict_and_attempts(
     changes: dict[str, object],
     verdicts: list[Verdict],
-    room: bool,
+    has_capacity: bool,
     expected: Verdict | str,
     attempts_left: int,
 ) -> None:
-    dispatcher = make_dispatcher(verdicts, [A, OWN, B, C, D, E], room)
+    dispatcher = make_dispatcher(verdicts, [A, LOCAL, B, C, D, E], has_capacity)
     outcome = await dispatcher.run(make_call(**changes))
     if expected == "may-have-run":
         expected = MayHaveRun(verdicts[-1].reason)
     assert outcome.verdict == expected
     assert outcome.attempts_left == attempts_left
     assert dispatcher.local.verdicts == []
-    assert len(dispatcher.control.ended) == len(verdicts)
+    assert len(dispatcher.control.verdicts) == len(verdicts)
 
 
-async def test_every_sending_has_an_id_of_its_own_and_the_attempts_left() -> None:
+async def test_every_attempt_has_its_own_id_and_the_attempts_left() -> None:
     dispatcher = make_dispatcher([DRAINING, DRAINING, ANSWER], [A, B, C])
     await dispatcher.run(make_call())
     contexts = [call.context for call in dispatcher.local.calls]
@@ -86,18 +86,18 @@
     assert [context.attempts_left for context in contexts] == [3, 2, 1]
 
 
-async def test_server_whose_connection_went_silent_is_tried_again() -> None:
+async def test_server_with_a_silent_connection_is_tried_again() -> None:
     dispatcher = make_dispatcher([SILENT, SILENT, ANSWER], [A])
     outcome = await dispatcher.run(make_call(idempotent=False))
     assert (outcome.verdict, outcome.attempts_left) == (ANSWER, 1)
 
 
-async def test_no_node_of_the_service_means_not_run() -> None:
+async def test_call_to_a_service_without_nodes_is_not_run() -> None:
     outcome = await make_dispatcher([], []).run(make_call())
     assert outcome.verdict == NotRun(Reason.NO_SERVER)
 
 
-async def test_request_that_crashes_servers_stops_after_a_few() -> None:
+async def test_request_that_crashes_servers_is_quarantined() -> None:
     crash = MayHaveRun(Reason.SERVER_CRASHED)
     dispatcher = make_dispatcher([crash] * 4, [A, B, C, D])
     first = await dispatcher.run(make_call())
@@ -108,7 +108,7 @@
     assert len(dispatcher.remote.calls) == MAX_CRASHES
 
 
-async def test_retries_of_all_calls_are_a_fraction_of_first_sendings() -> None:
+async def test_retries_of_all_calls_are_a_fraction_of_first_attempts() -> None:
     calls = 100
     dispatcher = make_dispatcher([LOST] * 1000, [A, B, C, D, E])
     for _ in range(calls):
--- a/tests/calls/test_ingress.py
+++ b/tests/calls/test_ingress.py
@@ -1,4 +1,4 @@
-"""What callers are told when a request can't be placed."""
+"""Verdicts on requests that a node can't classify."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @define
 class FakeKeys:
-    """Answers every keyed call at once."""
+    """Answers every keyed call immediately."""
 
     async def run(self, call: Call) -> Outcome:
         return Outcome(ANSWER)
@@ -37,7 +37,7 @@
         return "em1~next"
 
 
-def make_entry(configured: bool = True) -> Ingress:
+def make_ingress(configured: bool = True) -> Ingress:
     board = make_board()
     if configured:
         board.configuration = Configuration(1, Document((BOOKING,), ("bowbazar",)))
@@ -66,7 +66,7 @@
         ),
         (True, "/jobdesk/other", (), NotRun(Reason.NO_ROUTE)),
         (False, "/jobdesk/bookings", (), NotRun(Reason.NO_CONFIGURATION)),
-        # an earlier sending of the key may have run through another node
+        # An earlier attempt with the key may have run through another node.
         (True, "/jobdesk/other", (KEY,), MayHaveRun(Reason.NO_ROUTE)),
         (False, "/jobdesk/bookings", (KEY,), MayHaveRun(Reason.NO_CONFIGURATION)),
         (
@@ -77,10 +77,10 @@
         ),
     ],
 )
-async def test_refusals_speak_for_the_key(
+async def test_refusals_cover_earlier_attempts_with_the_key(
     configured: bool, path: str, headers: tuple[Header, ...], expected: Verdict
 ) -> None:
     request = Request("jobdesk", "POST", path, headers, b"{}")
-    reply = await make_entry(configured).handle(request)
+    reply = await make_ingress(configured).handle(request)
     assert reply.verdict == expected
     assert reply.next_key == "em1~next"
--- a/tests/calls/test_local.py
+++ b/tests/calls/test_local.py
@@ -1,4 +1,4 @@
-"""Running calls on the own backend server, with their downstream calls."""
+"""Execution of calls on the local backend server, with their downstream calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason, Verdict
 from tests.calls.fakes import (
     ANSWER,
-    OpenGate,
+    FakeDispatcher,
     make_board,
     make_call,
     make_ids,
@@ -39,15 +39,15 @@
 
 @define
 class FakeServer:
-    """A backend server whose work is a function of the test."""
+    """A backend server that runs a function of the test."""
 
     work: Callable[[Call], Awaitable[Verdict]]
     runs: list[str] = field(factory=list)
 
     async def send(
-        self, address: str, call: Call, attempts_left: int, note_begun: Callable
+        self, address: str, call: Call, attempts_left: int, on_start: Callable
     ) -> Verdict:
-        note_begun()
+        on_start()
         self.runs.append(call.context.call_id)
         return await self.work(call)
 
@@ -58,7 +58,7 @@
 
 def make_runner(
     work: Callable[[Call], Awaitable[Verdict]] = answer,
-    gate: OpenGate | None = None,
+    dispatcher: FakeDispatcher | None = None,
 ) -> LocalRunner:
     board = make_board()
     board.server = LocalServer("jobdesk", "127.0.0.1:9", ServerState.SERVING)
@@ -66,16 +66,16 @@
         board=board,
         timers=make_timers(),
         table=CallTable(),
-        gate=gate or OpenGate(),
+        dispatcher=dispatcher or FakeDispatcher(),
         client=FakeServer(work),
         quarantine=make_quarantine(),
         exchange=LoadExchange(board.loads),
         metrics=make_metrics(),
-        lose_server=lambda: None,
+        on_server_lost=lambda: None,
     )
 
 
-async def test_doubled_message_runs_once_and_both_get_the_answer() -> None:
+async def test_duplicate_call_runs_once_and_both_get_the_answer() -> None:
     release = anyio.Event()
 
     async def work(call: Call) -> Verdict:
@@ -97,12 +97,14 @@
     assert runner.client.runs == ["call"]
 
 
-@pytest.mark.parametrize("begun", [False, True])
-async def test_cancelled_call_says_whether_it_began(begun: bool) -> None:
+@pytest.mark.parametrize("started", [False, True])
+async def test_verdict_on_a_cancelled_call_says_whether_it_started(
+    started: bool,
+) -> None:
     async def work(call: Call) -> Verdict:
         await anyio.sleep_forever()
 
-    runner = make_runner(work, OpenGate(shut=not begun))
+    runner = make_runner(work, FakeDispatcher(blocked=not started))
     outcomes: list[Outcome] = []
 
     async def run() -> None:
@@ -112,7 +114,7 @@
         group.start_soon(run)
         await anyio.wait_all_tasks_blocked()
         assert runner.table.cancel("call", 0.0)
-    kind = MayHaveRun if begun else NotRun
+    kind = MayHaveRun if started else NotRun
     assert outcomes[0].verdict == kind(Reason.CANCELLED)
 
 
@@ -125,7 +127,7 @@
         (ServerState.SERVING, "ratebook", Reason.NO_SERVER),
     ],
 )
-async def test_call_that_can_not_begin_is_not_run(
+async def test_call_that_can_not_start_is_not_run(
     state: ServerState, service: str, reason: Reason
 ) -> None:
     runner = make_runner()
@@ -136,7 +138,7 @@
     assert runner.client.runs == []
 
 
-async def test_sealed_call_never_begins() -> None:
+async def test_call_with_a_blocked_id_never_runs() -> None:
     runner = make_runner()
     runner.table.query_status("call", 0.0)
     outcome = await runner.run(make_call())
@@ -145,7 +147,7 @@
 
 
 def make_downstream(
-    runner: LocalRunner, verdicts: list[Verdict], group: object
+    runner: LocalRunner, verdicts: list[Verdict], tasks: object
 ) -> tuple[Downstream, list[Call]]:
     calls: list[Call] = []
 
@@ -158,7 +160,7 @@
         timers=runner.timers,
         table=runner.table,
         run=run,
-        group=group,
+        tasks=tasks,
         make_id=make_ids(),
         exchange=runner.exchange,
     )
@@ -170,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("own", "children", "expected"),
+    ("verdict", "children", "expected"),
     [
         (ANSWER, [ANSWER, ANSWER], ANSWER),
         (ANSWER, [ANSWER, MayHaveRun(Reason.PEER_LOST)], MayHaveRun(Reason.PARTIAL)),
@@ -180,15 +182,15 @@
         (SHED, [ANSWER, NotRun(Reason.OVERLOAD)], MayHaveRun(Reason.SERVER_SHED)),
     ],
 )
-async def test_verdict_on_a_call_covers_its_subtree(
-    own: Verdict, children: list[Verdict], expected: Verdict
+async def test_verdict_on_a_call_covers_its_downstream_calls(
+    verdict: Verdict, children: list[Verdict], expected: Verdict
 ) -> None:
     async with anyio.create_task_group() as group:
 
         async def work(call: Call) -> Verdict:
             for number in range(len(children)):
                 await downstream.handle("call", "", make_request(f"/ratebook/{number}"))
-            return own
+            return verdict
 
         runner = make_runner(work)
         downstream, _ = make_downstream(runner, children, group)
@@ -197,7 +199,7 @@
     assert outcome.attempts_left == 3
 
 
-async def test_repeat_under_the_same_parent_is_the_same_call() -> None:
+async def test_retry_under_the_same_parent_joins_the_first_call() -> None:
     async with anyio.create_task_group() as group:
 
         async def work(call: Call) -> Verdict:
@@ -213,11 +215,11 @@
     assert len(calls) == 2
     assert [call.context.depth for call in calls] == [1, 1]
     assert not any(call.context.idempotent for call in calls)
-    # two at a time share what is left; unused attempts came back in between
+    # Each call gets half of the attempts; the first returned its unused ones.
     assert [call.context.attempts_left for call in calls] == [2, 2]
 
 
-async def test_call_for_a_parent_that_is_over_is_refused() -> None:
+async def test_downstream_call_of_a_finished_parent_is_refused() -> None:
     runner = make_runner()
     async with anyio.create_task_group() as group:
         downstream, calls = make_downstream(runner, [], group)
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -1,4 +1,4 @@
-"""What became of a call whose link was lost."""
+"""Recovery of calls whose link was lost."""
 
 from __future__ import annotations
 
@@ -31,30 +31,30 @@
 ANSWER = Message(outcome=encode_outcome("one", Outcome(GOOD)))
 
 
-def say(state: CallState) -> Message:
+def make_status_answer(state: CallState) -> Message:
     outcome = ANSWER.outcome if state is CallState.DONE else None
     return Message(fate_answer=FateAnswer("one", state, outcome))
 
 
 @define
 class ScriptedPeers:
-    """Gives replies in turn, the last one again and again."""
+    """Returns replies in turn and repeats the last one."""
 
     replies: list[Message | PeerFailure]
     incarnation: str = OLD
-    told: list[Message] = field(factory=list)
-    answered: list[str] = field(factory=list)
+    notifications: list[Message] = field(factory=list)
+    answered_ids: list[str] = field(factory=list)
 
     async def ask(self, address, message, timeout_s, incarnation=""):
         await anyio.sleep(0)
         reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
         if reply is ANSWER:
-            self.answered.append(message.call.context.call_id)
-            return Message(outcome=encode_outcome(self.answered[-1], Outcome(GOOD)))
+            self.answered_ids.append(message.call.context.call_id)
+            return Message(outcome=encode_outcome(self.answered_ids[-1], Outcome(GOOD)))
         return reply
 
     async def tell(self, address, message):
-        self.told.append(message)
+        self.notifications.append(message)
         return True
 
     def find_hello(self, address):
@@ -73,16 +73,27 @@
     return outcome.verdict
 
 
-# the replies, what is told of one that is not idempotent, and of one that is
+# Replies, the verdict on a call that is not idempotent, the verdict on one that is.
 REPLIES = {
     "answered": ([ANSWER], GOOD, GOOD),
     "never sent": ([UNREACHABLE], NOT_RUN, NOT_RUN),
-    "done": ([LOST, say(CallState.DONE)], GOOD, GOOD),
-    "unknown": ([LOST, say(CallState.UNKNOWN), ANSWER], GOOD, GOOD),
-    "unknown again": ([LOST, say(CallState.UNKNOWN)] * 3, NOT_RUN, NOT_RUN),
-    "pending": ([LOST, say(CallState.PENDING), ANSWER], GOOD, GOOD),
-    "cut for a while": (
-        [LOST, UNREACHABLE, LOST, say(CallState.PENDING), LOST, say(CallState.DONE)],
+    "done": ([LOST, make_status_answer(CallState.DONE)], GOOD, GOOD),
+    "unknown": ([LOST, make_status_answer(CallState.UNKNOWN), ANSWER], GOOD, GOOD),
+    "unknown every time": (
+        [LOST, make_status_answer(CallState.UNKNOWN)] * 3,
+        NOT_RUN,
+        NOT_RUN,
+    ),
+    "pending": ([LOST, make_status_answer(CallState.PENDING), ANSWER], GOOD, GOOD),
+    "disconnected for a while": (
+        [
+            LOST,
+            UNREACHABLE,
+            LOST,
+            make_status_answer(CallState.PENDING),
+            LOST,
+            make_status_answer(CallState.DONE),
+        ],
         GOOD,
         MAY_HAVE_RUN,
     ),
@@ -91,30 +102,30 @@
 
 @pytest.mark.parametrize("name", REPLIES)
 @pytest.mark.parametrize("idempotent", [False, True])
-async def test_fate_is_found_out(name: str, idempotent: bool) -> None:
-    replies, other, repeatable = REPLIES[name]
+async def test_verdict_on_a_lost_call(name: str, idempotent: bool) -> None:
+    replies, other_verdict, idempotent_verdict = REPLIES[name]
     verdict = await run_call(ScriptedPeers(list(replies)), idempotent)
-    assert verdict == (repeatable if idempotent else other)
+    assert verdict == (idempotent_verdict if idempotent else other_verdict)
 
 
-async def test_call_that_never_arrived_is_sent_again_under_a_new_id() -> None:
-    peers = ScriptedPeers([LOST, say(CallState.UNKNOWN), ANSWER])
+async def test_call_that_never_arrived_is_resent_with_a_new_id() -> None:
+    peers = ScriptedPeers([LOST, make_status_answer(CallState.UNKNOWN), ANSWER])
     await run_call(peers)
-    assert len(peers.answered) == 1
-    assert peers.answered != ["one"]
+    assert len(peers.answered_ids) == 1
+    assert peers.answered_ids != ["one"]
 
 
 @pytest.mark.parametrize(
     ("incarnation", "state"),
     [("new", MemberState.ALIVE), (OLD, MemberState.DEAD), (OLD, MemberState.LEFT)],
 )
-async def test_node_that_is_gone_is_not_waited_for(incarnation, state) -> None:
+async def test_status_of_a_node_that_is_gone_is_not_awaited(incarnation, state) -> None:
     peers = ScriptedPeers([LOST, UNREACHABLE], incarnation)
     with anyio.fail_after(20.0):
         assert await run_call(peers, state=state) == MAY_HAVE_RUN
 
 
-async def test_node_that_stays_away_is_waited_for_until_the_deadline() -> None:
+async def test_status_of_an_unreachable_node_is_awaited_until_the_deadline() -> None:
     peers = ScriptedPeers([LOST, UNREACHABLE])
     assert await run_call(peers, limit_s=0.3) == MAY_HAVE_RUN
-    assert [message.cancel.call_id for message in peers.told] == ["one"]
+    assert [message.cancel.call_id for message in peers.notifications] == ["one"]
