--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -41,8 +41,8 @@
     async def run(self, call: Call) -> Outcome:
         """Run a call and return its outcome.
 
-        Every attempt has its own call id. Once an attempt may have run, the final verdict
-        is never *not run*.
+        Every attempt has its own call id. Once an attempt may have run, the final
+        verdict is never *not run*.
         """
         self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
--- a/eelgrassmount/compose/main.py
+++ b/eelgrassmount/compose/main.py
@@ -59,7 +59,7 @@
 
 async def _run_until_drained(node: Node) -> None:
     drain = await node.shutdown.wait()
-    logger.info("node stopped", cause=drain.cause, cut=drain.cut)
+    logger.info("node stopped", cause=drain.cause, cut=drain.interrupted)
 
 
 async def _wait_for_signal(node: Node) -> None:
--- a/eelgrassmount/drain/shutdown.py
+++ b/eelgrassmount/drain/shutdown.py
@@ -1,4 +1,4 @@
-"""The controller that takes a node through a graceful shutdown."""
+"""Controller of a node's graceful shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     Cause,
     Drain,
     DrainLimits,
-    Observed,
+    Observation,
     Step,
     advance_drain,
     request_drain,
@@ -26,7 +26,7 @@
     from eelgrassmount.timers import Timer, TimerService
     from eelgrassmount.util.background import Background
 
-_CHECK_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 
 
 def _ignore(cause: Cause) -> None:
@@ -35,13 +35,12 @@
 
 @define(eq=False)
 class Shutdown:
-    """Drains the node when it is asked to and tells when that is done.
+    """Drains the node on request or when its backend server drains.
 
-    ``announce`` makes the drain known to the other nodes, ``count_in_flight``
-    counts the requests and calls that this node still has to answer,
-    ``hand_over_keys`` gives its keys and their answers to other nodes, ``leave``
-    says farewell. ``note_drain`` is told of each drain that begins. Writes
-    `Blackboard.drain`::
+    ``announce`` announces the drain to the other nodes. ``count_in_flight`` returns the
+    number of requests and calls that this node has yet to answer. ``hand_over_keys``
+    transfers its keys and their answers to other nodes. ``leave`` sends a leave message
+    to them. ``on_drain`` is called when a drain starts. Writes `Blackboard.drain`::
 
         shutdown.start(group)
         shutdown.request(Cause.SIGNAL)
@@ -55,56 +54,56 @@
     hand_over_keys: Callable[[], Awaitable[object]]
     leave: Callable[[], Awaitable[object]]
     limits: DrainLimits = field(factory=DrainLimits)
-    note_drain: Callable[[Cause], None] = _ignore
+    on_drain: Callable[[Cause], None] = _ignore
     drain: Drain = field(factory=Drain)
     _group: Background | None = None
     _timer: Timer | None = None
     _handed_over: bool = False
-    _left: bool = False
+    _has_left: bool = False
     _drained: anyio.Event = field(factory=anyio.Event)
 
     def start(self, group: Background) -> None:
-        """Watch the backend server's announcements from now on."""
+        """Start to check the backend server's state and the progress of a drain."""
         self._group = group
-        self._timer = self.timers.subscribe(_CHECK_S, self.check)
+        self._timer = self.timers.subscribe(_CHECK_INTERVAL_S, self.check)
 
     def request(self, cause: Cause) -> None:
-        """Begin to drain; a second request only strengthens the cause."""
-        self._put(request_drain(self.drain, cause, self.timers.read()))
+        """Start to drain; a further request can only raise the cause."""
+        self._apply(request_drain(self.drain, cause, self.timers.read()))
 
     async def wait(self) -> Drain:
-        """Wait until the node has drained and return how that went."""
+        """Wait until the node has drained and return the final state."""
         await self._drained.wait()
         return self.drain
 
     def check(self) -> None:
-        """Take the next step if it is time for one."""
-        observed = Observed(
+        """Advance the drain if the conditions for its next step hold."""
+        observation = Observation(
             self.timers.read(),
             self.board.server.state,
             self.count_in_flight(),
             self._handed_over,
-            self._left,
+            self._has_left,
         )
-        self._put(advance_drain(self.drain, self.limits, observed))
+        self._apply(advance_drain(self.drain, self.limits, observation))
 
-    def _put(self, drain: Drain) -> None:
-        before, self.drain = self.drain, drain
-        if drain.step is before.step:
+    def _apply(self, drain: Drain) -> None:
+        previous, self.drain = self.drain, drain
+        if drain.step is previous.step:
             return
         logger.info("drain", step=drain.step.name.lower(), cause=drain.cause)
         match drain.step:
             case Step.RUNNING:
                 self._set_stage(DrainStage.RUNNING)
             case Step.WAITING:
-                self.note_drain(drain.cause)
+                self.on_drain(drain.cause)
                 self._set_stage(DrainStage.DRAINING)
             case Step.HANDING_OVER:
                 self._group.start_soon(self._hand_over)
             case Step.LEAVING:
                 self._group.start_soon(self._leave)
             case Step.DRAINED:
-                self._end()
+                self._finish()
 
     def _set_stage(self, stage: DrainStage) -> None:
         self.board.drain = stage
@@ -120,11 +119,11 @@
         try:
             await self.leave()
         finally:
-            self._left = True
+            self._has_left = True
 
-    def _end(self) -> None:
-        if self.drain.limit_hit:
-            logger.warning("drain limit reached", cut=self.drain.cut)
+    def _finish(self) -> None:
+        if self.drain.timed_out:
+            logger.warning("drain limit reached", cut=self.drain.interrupted)
         self._timer.cancel()
         self.board.drain = DrainStage.DRAINED
         self._drained.set()
--- a/eelgrassmount/drain/stages.py
+++ b/eelgrassmount/drain/stages.py
@@ -1,4 +1,4 @@
-"""The steps of a graceful shutdown, as a pure state machine."""
+"""State machine of a graceful shutdown, without side effects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Cause(StrEnum):
-    """Why a node drains, from the weakest cause to the strongest."""
+    """The cause of a drain, in ascending order of priority."""
 
     SERVER = "server"
     ADMIN = "admin"
@@ -18,7 +18,7 @@
 
 
 class Step(Enum):
-    """What a draining node is busy with."""
+    """The steps of a drain, in order."""
 
     RUNNING = 0
     WAITING = 1
@@ -28,16 +28,16 @@
     DRAINED = 5
 
 
-_STRENGTH = {Cause.SERVER: 1, Cause.ADMIN: 2, Cause.SIGNAL: 3}
+_PRIORITY = {Cause.SERVER: 1, Cause.ADMIN: 2, Cause.SIGNAL: 3}
 
 
 @frozen
 class DrainLimits:
-    """Bounds of a drain, in seconds.
+    """Time limits of a drain, in seconds.
 
-    Calls that other nodes sent before they heard of the drain still arrive for
-    ``settle_s``. After ``limit_s`` the node ends with what is then in flight, but
-    gives the handing over of keys ``hand_over_s`` even then.
+    For ``settle_s`` the node still receives calls from nodes that do not know of the
+    drain. After ``limit_s`` it stops waiting for calls in flight. The hand-over of keys
+    always gets ``hand_over_s``.
     """
 
     settle_s: float = 1.0
@@ -46,84 +46,92 @@
 
 
 @frozen
-class Observed:
-    """What the node sees at one moment."""
+class Observation:
+    """The state of a node that decides on the next step of a drain."""
 
     now_s: float
     server_state: ServerState
     in_flight: int
     handed_over: bool = False
-    left: bool = False
+    has_left: bool = False
 
 
 @frozen
 class Drain:
-    """How far the shutdown has come; ``cut`` counts what the limit cut off."""
+    """The progress of a drain.
+
+    ``interrupted`` is the number of requests and calls without an answer at the end of
+    a drain that timed out.
+    """
 
     step: Step = Step.RUNNING
     cause: Cause | None = None
     since_s: float = 0.0
     step_since_s: float = 0.0
-    limit_hit: bool = False
-    cut: int = 0
+    timed_out: bool = False
+    interrupted: int = 0
 
 
 def request_drain(drain: Drain, cause: Cause, now_s: float) -> Drain:
-    """Begin to drain, or strengthen the cause of a drain that has begun."""
+    """Start a drain, or raise the cause of the current one."""
     if drain.step is Step.RUNNING:
         return Drain(Step.WAITING, cause, now_s, now_s)
-    if _STRENGTH[cause] > _STRENGTH[drain.cause]:
+    if _PRIORITY[cause] > _PRIORITY[drain.cause]:
         return evolve(drain, cause=cause)
     return drain
 
 
-def advance_drain(drain: Drain, limits: DrainLimits, observed: Observed) -> Drain:
-    """Take the next step, if it is time for one.
+def advance_drain(drain: Drain, limits: DrainLimits, observation: Observation) -> Drain:
+    """Return the drain after its next step, or unchanged if that is not due.
 
-    A drain that only the backend server asked for is undone when the server says that
-    it is serving again, up to the moment when keys are handed over.
+    A drain that only the backend server requested is cancelled if the server announces
+    that it serves again before keys are handed over.
     """
     match drain.step:
         case Step.RUNNING:
-            if observed.server_state is ServerState.DRAINING:
-                return request_drain(drain, Cause.SERVER, observed.now_s)
+            if observation.server_state is ServerState.DRAINING:
+                return request_drain(drain, Cause.SERVER, observation.now_s)
         case Step.WAITING:
-            return _advance_waiting(drain, limits, observed)
+            return _advance_waiting(drain, limits, observation)
         case Step.HANDING_OVER:
-            took_s = observed.now_s - drain.step_since_s
-            overdue = _is_overdue(drain, limits, observed)
-            given_up = overdue and took_s >= limits.hand_over_s
-            if observed.handed_over or given_up:
-                hit = drain.limit_hit or not observed.handed_over
-                return _enter(evolve(drain, limit_hit=hit), Step.ENDING, observed)
+            elapsed_s = observation.now_s - drain.step_since_s
+            overdue = _is_overdue(drain, limits, observation)
+            abandoned = overdue and elapsed_s >= limits.hand_over_s
+            if observation.handed_over or abandoned:
+                timed_out = drain.timed_out or not observation.handed_over
+                return _enter(
+                    evolve(drain, timed_out=timed_out), Step.ENDING, observation
+                )
         case Step.ENDING:
-            # as their owner, the node may still be answering for calls
-            if not observed.in_flight:
-                return _enter(drain, Step.LEAVING, observed)
-            if _is_overdue(drain, limits, observed):
-                drain = evolve(drain, limit_hit=True, cut=observed.in_flight)
-                return _enter(drain, Step.LEAVING, observed)
+            # The node may still answer calls as the owner of their keys.
+            if not observation.in_flight:
+                return _enter(drain, Step.LEAVING, observation)
+            if _is_overdue(drain, limits, observation):
+                drain = evolve(drain, timed_out=True, interrupted=observation.in_flight)
+                return _enter(drain, Step.LEAVING, observation)
         case Step.LEAVING:
-            if observed.left:
-                return _enter(drain, Step.DRAINED, observed)
+            if observation.has_left:
+                return _enter(drain, Step.DRAINED, observation)
     return drain
 
 
-def _advance_waiting(drain: Drain, limits: DrainLimits, observed: Observed) -> Drain:
-    serving = observed.server_state is ServerState.SERVING
+def _advance_waiting(
+    drain: Drain, limits: DrainLimits, observation: Observation
+) -> Drain:
+    serving = observation.server_state is ServerState.SERVING
     if drain.cause is Cause.SERVER and serving:
         return Drain()
-    settled = observed.now_s - drain.since_s >= limits.settle_s
-    if settled and not observed.in_flight:
-        return _enter(drain, Step.HANDING_OVER, observed)
-    if _is_overdue(drain, limits, observed):
-        return _enter(evolve(drain, limit_hit=True), Step.HANDING_OVER, observed)
+    settled = observation.now_s - drain.since_s >= limits.settle_s
+    if settled and not observation.in_flight:
+        return _enter(drain, Step.HANDING_OVER, observation)
+    if _is_overdue(drain, limits, observation):
+        return _enter(evolve(drain, timed_out=True), Step.HANDING_OVER, observation)
     return drain
 
 
-def _is_overdue(drain: Drain, limits: DrainLimits, observed: Observed) -> bool:
-    return observed.now_s - drain.since_s >= limits.limit_s
+def _is_overdue(drain: Drain, limits: DrainLimits, observation: Observation) -> bool:
+    return observation.now_s - drain.since_s >= limits.limit_s
 
 
-def _enter(drain: Drain, step: Step, observed: Observed) -> Drain:
-    return evolve(drain, step=step, step_since_s=observed.now_s)
+def _enter(drain: Drain, step: Step, observation: Observation) -> Drain:
+    return evolve(drain, step=step, step_since_s=observation.now_s)
--- a/tests/drain/test_drain.py
+++ b/tests/drain/test_drain.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown, on a clock that is moved by hand."""
+"""Steps and limits of a graceful shutdown, on a manual clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Cause,
     Drain,
     DrainLimits,
-    Observed,
+    Observation,
     Step,
     advance_drain,
     request_drain,
@@ -34,40 +34,40 @@
 LEAVING = evolve(WAITING, step=Step.LEAVING)
 
 
-def by(cause, drain):
+def with_cause(cause, drain):
     return evolve(drain, cause=cause)
 
 
 @pytest.mark.parametrize(
-    ("drain", "observed", "step"),
+    ("drain", "observation", "step"),
     [
-        (Drain(), Observed(1.0, SERVING, 0), Step.RUNNING),
-        (Drain(), Observed(1.0, ABSENT, 0), Step.RUNNING),
-        (Drain(), Observed(1.0, DRAINING, 0), Step.WAITING),
-        # others may not have heard yet
-        (WAITING, Observed(0.9, DRAINING, 0), Step.WAITING),
-        (WAITING, Observed(1.0, DRAINING, 1), Step.WAITING),
-        (WAITING, Observed(1.0, DRAINING, 0), Step.HANDING_OVER),
-        (WAITING, Observed(10.0, DRAINING, 1), Step.HANDING_OVER),
-        # undone by the server, if nobody else asked for it
-        (WAITING, Observed(0.5, SERVING, 1), Step.RUNNING),
-        (by(Cause.ADMIN, WAITING), Observed(0.5, SERVING, 1), Step.WAITING),
-        (by(Cause.SIGNAL, WAITING), Observed(0.5, SERVING, 1), Step.WAITING),
-        (HANDING_OVER, Observed(1.5, SERVING, 0), Step.HANDING_OVER),
-        (HANDING_OVER, Observed(1.5, DRAINING, 0, handed_over=True), Step.ENDING),
-        (HANDING_OVER, Observed(10.0, DRAINING, 0), Step.ENDING),
-        (ENDING, Observed(2.0, DRAINING, 1), Step.ENDING),
-        (ENDING, Observed(2.0, DRAINING, 0), Step.LEAVING),
-        (ENDING, Observed(10.0, DRAINING, 1), Step.LEAVING),
-        (LEAVING, Observed(2.0, DRAINING, 0), Step.LEAVING),
-        (LEAVING, Observed(2.0, DRAINING, 0, left=True), Step.DRAINED),
+        (Drain(), Observation(1.0, SERVING, 0), Step.RUNNING),
+        (Drain(), Observation(1.0, ABSENT, 0), Step.RUNNING),
+        (Drain(), Observation(1.0, DRAINING, 0), Step.WAITING),
+        # Other nodes may not know of the drain yet.
+        (WAITING, Observation(0.9, DRAINING, 0), Step.WAITING),
+        (WAITING, Observation(1.0, DRAINING, 1), Step.WAITING),
+        (WAITING, Observation(1.0, DRAINING, 0), Step.HANDING_OVER),
+        (WAITING, Observation(10.0, DRAINING, 1), Step.HANDING_OVER),
+        # The server can cancel only a drain that it requested.
+        (WAITING, Observation(0.5, SERVING, 1), Step.RUNNING),
+        (with_cause(Cause.ADMIN, WAITING), Observation(0.5, SERVING, 1), Step.WAITING),
+        (with_cause(Cause.SIGNAL, WAITING), Observation(0.5, SERVING, 1), Step.WAITING),
+        (HANDING_OVER, Observation(1.5, SERVING, 0), Step.HANDING_OVER),
+        (HANDING_OVER, Observation(1.5, DRAINING, 0, handed_over=True), Step.ENDING),
+        (HANDING_OVER, Observation(10.0, DRAINING, 0), Step.ENDING),
+        (ENDING, Observation(2.0, DRAINING, 1), Step.ENDING),
+        (ENDING, Observation(2.0, DRAINING, 0), Step.LEAVING),
+        (ENDING, Observation(10.0, DRAINING, 1), Step.LEAVING),
+        (LEAVING, Observation(2.0, DRAINING, 0), Step.LEAVING),
+        (LEAVING, Observation(2.0, DRAINING, 0, has_left=True), Step.DRAINED),
     ],
 )
-def test_steps(drain, observed, step):
-    assert advance_drain(drain, LIMITS, observed).step is step
+def test_steps(drain, observation, step):
+    assert advance_drain(drain, LIMITS, observation).step is step
 
 
-def test_a_stronger_cause_stays():
+def test_cause_is_never_lowered():
     drain = request_drain(WAITING, Cause.SIGNAL, 0.5)
     drain = request_drain(drain, Cause.ADMIN, 0.6)
     assert drain.cause is Cause.SIGNAL
@@ -84,34 +84,36 @@
         max_size=30,
     )
 )
-def test_a_signal_is_never_undone_and_always_ends(moments):
-    """Whatever happens, nothing in flight is cut before the limit."""
+def test_drain_by_a_signal_is_never_cancelled_and_always_finishes(observations):
+    """A drain that ends before its limit would interrupt calls in flight."""
     drain = request_drain(Drain(), Cause.SIGNAL, 0.0)
     now_s = 0.0
-    for pause_s, state, in_flight in [*moments, *[(5.0, DRAINING, 1)] * 8]:
+    for pause_s, state, in_flight in [*observations, *[(5.0, DRAINING, 1)] * 8]:
         now_s += pause_s
-        observed = Observed(now_s, state, in_flight, left=drain.step is Step.LEAVING)
-        after = advance_drain(drain, LIMITS, observed)
-        assert after.step.value >= drain.step.value
-        if after.step is not drain.step and in_flight:
-            assert after.step is Step.DRAINED or now_s >= LIMITS.limit_s
-        drain = after
+        observation = Observation(
+            now_s, state, in_flight, has_left=drain.step is Step.LEAVING
+        )
+        next_drain = advance_drain(drain, LIMITS, observation)
+        assert next_drain.step.value >= drain.step.value
+        if next_drain.step is not drain.step and in_flight:
+            assert next_drain.step is Step.DRAINED or now_s >= LIMITS.limit_s
+        drain = next_drain
     assert drain.step is Step.DRAINED
 
 
-class Rig:
-    """A shutdown whose surroundings are plain values."""
+class ShutdownFixture:
+    """A shutdown with a manual clock, which records its events."""
 
     def __init__(self, group):
         self.board = Blackboard(Identity("127.1.0.1:1", "bowbazar", "kolkata", "a"))
         self.board.server.state = SERVING
         self.timers = TimerService(ManualClock(), random.Random(1))
         self.in_flight = 0
-        self.said = []
+        self.events = []
         self.shutdown = Shutdown(
             self.board,
             self.timers,
-            lambda: self.said.append(self.board.drain),
+            lambda: self.events.append(self.board.drain),
             lambda: self.in_flight,
             self.hand_over,
             self.leave,
@@ -120,66 +122,66 @@
         self.shutdown.start(group)
 
     async def hand_over(self):
-        self.said.append("keys")
+        self.events.append("keys")
 
     async def leave(self):
-        self.said.append("left")
+        self.events.append("left")
 
-    async def pass_time(self, seconds):
+    async def advance_time(self, seconds):
         for _ in range(round(seconds / 0.1)):
             self.timers.advance(0.1)
             await anyio.sleep(0)
 
 
-def run_rig(scenario):
+def run_scenario(scenario):
     async def run():
         async with anyio.create_task_group() as group:
-            await scenario(Rig(group))
+            await scenario(ShutdownFixture(group))
             group.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_requests_in_flight_end_before_keys_go():
-    async def scenario(rig):
-        rig.in_flight = 2
-        rig.shutdown.request(Cause.ADMIN)
-        assert rig.said == [DrainStage.DRAINING]
-        assert not rig.board.accepts_work
-        await rig.pass_time(5.0)
-        assert rig.said == [DrainStage.DRAINING]
-        rig.in_flight = 0
-        await rig.pass_time(1.0)
-        drain = await rig.shutdown.wait()
-        assert rig.said == [DrainStage.DRAINING, "keys", "left"]
-        assert rig.board.drain is DrainStage.DRAINED
-        assert not drain.limit_hit
-
-    run_rig(scenario)
-
-
-def test_the_server_may_think_better_of_it():
-    async def scenario(rig):
-        rig.in_flight = 1
-        rig.board.server.state = DRAINING
-        await rig.pass_time(0.5)
-        assert rig.board.drain is DrainStage.DRAINING
-        rig.board.server.state = SERVING
-        await rig.pass_time(0.5)
-        assert rig.said == [DrainStage.DRAINING, DrainStage.RUNNING]
-        assert rig.board.accepts_work
-
-    run_rig(scenario)
-
-
-def test_the_limit_ends_the_wait_and_says_so():
-    async def scenario(rig):
-        rig.in_flight = 3
-        rig.shutdown.request(Cause.SIGNAL)
-        await rig.pass_time(11.0)
-        drain = await rig.shutdown.wait()
-        assert drain.limit_hit
-        assert drain.cut == 3
-        assert rig.said[1:] == ["keys", "left"]
-
-    run_rig(scenario)
+def test_requests_in_flight_finish_before_keys_are_handed_over():
+    async def scenario(fixture):
+        fixture.in_flight = 2
+        fixture.shutdown.request(Cause.ADMIN)
+        assert fixture.events == [DrainStage.DRAINING]
+        assert not fixture.board.accepts_work
+        await fixture.advance_time(5.0)
+        assert fixture.events == [DrainStage.DRAINING]
+        fixture.in_flight = 0
+        await fixture.advance_time(1.0)
+        drain = await fixture.shutdown.wait()
+        assert fixture.events == [DrainStage.DRAINING, "keys", "left"]
+        assert fixture.board.drain is DrainStage.DRAINED
+        assert not drain.timed_out
+
+    run_scenario(scenario)
+
+
+def test_server_may_cancel_its_drain():
+    async def scenario(fixture):
+        fixture.in_flight = 1
+        fixture.board.server.state = DRAINING
+        await fixture.advance_time(0.5)
+        assert fixture.board.drain is DrainStage.DRAINING
+        fixture.board.server.state = SERVING
+        await fixture.advance_time(0.5)
+        assert fixture.events == [DrainStage.DRAINING, DrainStage.RUNNING]
+        assert fixture.board.accepts_work
+
+    run_scenario(scenario)
+
+
+def test_drain_limit_interrupts_requests_and_is_reported():
+    async def scenario(fixture):
+        fixture.in_flight = 3
+        fixture.shutdown.request(Cause.SIGNAL)
+        await fixture.advance_time(11.0)
+        drain = await fixture.shutdown.wait()
+        assert drain.timed_out
+        assert drain.interrupted == 3
+        assert fixture.events[1:] == ["keys", "left"]
+
+    run_scenario(scenario)
