--- a/eelgrassmount/calls/ingress.py
+++ b/eelgrassmount/calls/ingress.py
@@ -12,7 +12,7 @@
 from eelgrassmount.config.classes import WorkClass, find_class
 from eelgrassmount.context import Context, compute_digest
 from eelgrassmount.edge import headers as names
-from eelgrassmount.edge.headers import find_header, read_whole_number
+from eelgrassmount.edge.headers import find_header, parse_positive_integer
 from eelgrassmount.metrics import record_call
 from eelgrassmount.retry.budget import MAX_EXTRA_ATTEMPTS
 from eelgrassmount.verdict import (
@@ -121,7 +121,7 @@
     def _make_context(
         self, request: Request, work_class: WorkClass, root_id: str, key: str
     ) -> Context:
-        timeout_ms = read_whole_number(request.headers, names.TIMEOUT_MS)
+        timeout_ms = parse_positive_integer(request.headers, names.TIMEOUT_MS)
         if timeout_ms is None:
             timeout_ms = work_class.within_ms
         timeout_ms = min(timeout_ms, MAX_TIMEOUT_MS)
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -120,7 +120,7 @@
 
     async def hand_over() -> None:
         for server in callers:
-            server.end()
+            server.stop()
         await keys.hand_over()
 
     return Shutdown(
--- a/eelgrassmount/edge/__init__.py
+++ b/eelgrassmount/edge/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and backend servers."""
+"""HTTP interfaces to callers and backend servers."""
--- a/eelgrassmount/edge/announcements.py
+++ b/eelgrassmount/edge/announcements.py
@@ -1,4 +1,4 @@
-"""What the backend server on this VM says of itself."""
+"""Announcements of the backend server on this VM."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.timers import TimerService
 
-# a server that has not announced itself for this long is gone
-ANNOUNCEMENT_LIMIT_S = 3.5
-CHECK_PERIOD_S = 0.5
+# A server without an announcement for this long is taken for stopped.
+ANNOUNCEMENT_TIMEOUT_S = 3.5
+CHECK_INTERVAL_S = 0.5
 _SERVICE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,128}")
 
 _STATES = {
@@ -34,63 +34,65 @@
 
 @define(eq=False)
 class Announcements:
-    """Keeps the blackboard's ``server`` as the server announces it.
+    """Updates the node state's ``server`` from the server's announcements.
 
-    ``note_change`` is called when the service, address or state changes.
+    ``on_change`` is called when the service, address or state changes.
     """
 
     board: Blackboard
     timers: TimerService
-    note_change: Callable[[], None]
+    on_change: Callable[[], None]
     count_running: Callable[[], int]
 
     def start(self) -> None:
-        """Watch for a server that stops announcing itself."""
-        self.timers.subscribe(CHECK_PERIOD_S, self._check)
+        """Start to check for a server that no longer announces itself."""
+        self.timers.subscribe(CHECK_INTERVAL_S, self._check)
 
-    def take(self, body: bytes) -> dict[str, Any]:
-        """Take an announcement and return the answer to it.
+    def apply(self, body: bytes) -> dict[str, Any]:
+        """Apply an announcement and return the answer to it.
 
-        Raises `AnnouncementError` for one that can't be read; what was
-        announced before stays.
+        Raises `AnnouncementError` for an invalid announcement, which changes nothing.
         """
         server = parse_announcement(body, self.timers.read())
-        self._put(server)
+        self._update(server)
         return {
             "incarnation": self.board.identity.incarnation,
             "in_flight": self.count_running(),
         }
 
     def remove(self) -> None:
-        """Note that the server is gone."""
-        self._put(LocalServer())
+        """Record that the server has stopped."""
+        self._update(LocalServer())
 
-    def _put(self, server: LocalServer) -> None:
-        before = self.board.server
+    def _update(self, server: LocalServer) -> None:
+        previous = self.board.server
         self.board.server = server
         if (server.service, server.address, server.state) == (
-            before.service,
-            before.address,
-            before.state,
+            previous.service,
+            previous.address,
+            previous.state,
         ):
             return
         logger.info(
             "backend server changed",
-            service=server.service or before.service,
+            service=server.service or previous.service,
             state=server.state.name.lower(),
         )
-        self.note_change()
+        self.on_change()
 
     def _check(self) -> None:
         server = self.board.server
         if server.state is ServerState.ABSENT:
             return
-        if self.timers.read() - server.announced_s > ANNOUNCEMENT_LIMIT_S:
+        if self.timers.read() - server.announced_s > ANNOUNCEMENT_TIMEOUT_S:
             self.remove()
 
 
 def parse_announcement(body: bytes, now_s: float) -> LocalServer:
-    """Return what an announcement says, raising `AnnouncementError`."""
+    """Return the server that an announcement describes.
+
+    Raises `AnnouncementError` if the announcement is invalid.
+    """
     try:
         fields = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -109,8 +111,8 @@
 def _parse_service(value: Any) -> str:
     if not isinstance(value, str) or not _SERVICE_PATTERN.fullmatch(value):
         raise AnnouncementError(
-            f"service is {value!r}; give the first path segment of its routes, "
-            "letters and digits and . _ ~ - only"
+            f"service is {value!r}; it must be the first path segment of its routes, "
+            "with only letters, digits and . _ ~ -"
         )
     return value
 
@@ -125,12 +127,12 @@
 def _parse_state(value: Any) -> ServerState:
     if not isinstance(value, str) or value not in _STATES:
         allowed = ", ".join(_STATES)
-        raise AnnouncementError(f"state is {value!r}; allowed are {allowed}")
+        raise AnnouncementError(f"state is {value!r}; it must be one of {allowed}")
     return _STATES[value]
 
 
 def _parse_load(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise AnnouncementError(f"load is {value!r}; give a number from 0 to 1")
-    # compared first: an integer may be too large for a float
+        raise AnnouncementError(f"load is {value!r}; it must be a number from 0 to 1")
+    # Compare before the conversion: an integer may be too large for a float.
     return float(min(1, max(0, value)))
--- a/eelgrassmount/edge/backend.py
+++ b/eelgrassmount/edge/backend.py
@@ -1,4 +1,4 @@
-"""The listener for the backend server on this VM."""
+"""Listener for the backend server on this VM."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from loguru import logger
 
 from eelgrassmount.edge import headers as names
-from eelgrassmount.edge.caller import convert_request, judge_body, make_reply
+from eelgrassmount.edge.caller import convert_request, judge_body_error, make_reply
 from eelgrassmount.edge.headers import find_header
 from eelgrassmount.edge.http import (
     HttpReply,
     HttpRequest,
     read_request,
-    refuse_body,
-    run_until_gone,
+    reject_body,
+    run_until_disconnect,
     send_reply,
 )
 from eelgrassmount.errors import AnnouncementError, BodyTooLongError
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class BackendListener:
-    """The ASGI application for announcements and downstream calls."""
+    """ASGI application for announcements and downstream calls."""
 
     announcements: Announcements
     downstream: Downstream
@@ -44,7 +44,7 @@
         try:
             request = await read_request(scope, receive, self.max_body_bytes)
         except BodyTooLongError as error:
-            await refuse_body(receive, send, make_reply(judge_body(error), []))
+            await reject_body(receive, send, make_reply(judge_body_error(error), []))
             return
         if request is None:
             return
@@ -52,14 +52,14 @@
             await send_reply(send, self._announce(request))
             return
 
-        async def work() -> Verdict:
+        async def run() -> Verdict:
             try:
                 return await self._call(request)
             except Exception:
-                logger.exception("a downstream call failed on a programming error")
+                logger.exception("downstream call failed with an internal error")
                 return MayHaveRun(Reason.INTERNAL)
 
-        verdict = await run_until_gone(scope, work)
+        verdict = await run_until_disconnect(scope, run)
         if verdict is not None:
             await send_reply(send, make_reply(verdict, []))
 
@@ -70,7 +70,7 @@
         if request.method != "PUT":
             return HttpReply(405, body=b"announce with PUT or DELETE\n")
         try:
-            answer = self.announcements.take(request.body)
+            answer = self.announcements.apply(request.body)
         except AnnouncementError as error:
             return HttpReply(400, body=f"{error}\n".encode())
         return HttpReply(200, body=json.dumps(answer).encode())
--- a/eelgrassmount/edge/caller.py
+++ b/eelgrassmount/edge/caller.py
@@ -1,4 +1,4 @@
-"""The listener for callers."""
+"""Listener for callers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     HttpReply,
     HttpRequest,
     read_request,
-    refuse_body,
-    run_until_gone,
+    reject_body,
+    run_until_disconnect,
     send_reply,
 )
 from eelgrassmount.errors import BodyTooLongError, BodyTooSlowError
@@ -34,9 +34,9 @@
 
 @define(eq=False)
 class CallerListener:
-    """The ASGI application for callers."""
+    """ASGI application for callers."""
 
-    entry: Ingress
+    ingress: Ingress
     max_body_bytes: int
     metrics: Metrics
     in_flight: InFlight
@@ -51,57 +51,57 @@
         try:
             request = await read_request(scope, receive, self.max_body_bytes)
         except BodyTooLongError as error:
-            verdict = judge_body(error)
+            verdict = judge_body_error(error)
             self.metrics.refusals.labels(verdict.reason).inc()
-            await refuse_body(receive, send, make_reply(verdict, []))
+            await reject_body(receive, send, make_reply(verdict, []))
             return
         if request is None:
             return
 
-        async def work() -> Reply:
+        async def run() -> Reply:
             try:
-                return await self.entry.handle(convert_request(request))
+                return await self.ingress.handle(convert_request(request))
             except Exception:
-                logger.exception("a request failed on a programming error")
+                logger.exception("request failed with an internal error")
                 self.metrics.internal_errors.inc()
                 return Reply(MayHaveRun(Reason.INTERNAL), "", "")
 
-        reply = await run_until_gone(scope, work)
+        reply = await run_until_disconnect(scope, run)
         if reply is not None:
             await self._answer(send, reply)
 
     def record_malformed(self) -> None:
-        """Count what can't be read as a request."""
+        """Count a request that can't be parsed."""
         self.metrics.refusals.labels(Reason.MALFORMED).inc()
 
     async def _answer(self, send: Send, reply: Reply) -> None:
         if not isinstance(reply.verdict, Answered):
             self.metrics.refusals.labels(reply.verdict.reason).inc()
-        extra = _make_extra(reply)
+        headers = _make_reply_headers(reply)
         if self.is_leaving():
-            # so that the caller's next request goes to another node
-            extra.append(Header(names.CONNECTION, "close"))
-        await send_reply(send, make_reply(reply.verdict, extra))
+            # The caller's next request then goes to another node.
+            headers.append(Header(names.CONNECTION, "close"))
+        await send_reply(send, make_reply(reply.verdict, headers))
 
 
-def judge_body(error: BodyTooLongError) -> NotRun:
-    """Return the verdict on a request whose body can't be taken."""
+def judge_body_error(error: BodyTooLongError) -> NotRun:
+    """Return the verdict on a request whose body is too long or too slow."""
     if isinstance(error, BodyTooSlowError):
         return NotRun(Reason.DEADLINE)
     return NotRun(Reason.TOO_LARGE)
 
 
-def _make_extra(reply: Reply) -> list[Header]:
-    extra = []
+def _make_reply_headers(reply: Reply) -> list[Header]:
+    headers = []
     if reply.root_id:
-        extra.append(Header(names.ROOT, reply.root_id))
+        headers.append(Header(names.ROOT, reply.root_id))
     if reply.next_key:
-        extra.append(Header(names.NEXT_KEY, reply.next_key))
-    return extra
+        headers.append(Header(names.NEXT_KEY, reply.next_key))
+    return headers
 
 
 def convert_request(request: HttpRequest) -> Request:
-    """Return the content of a call that came over HTTP.
+    """Return the content of a call from its HTTP request.
 
     The service is the first segment of the path.
     """
@@ -116,9 +116,9 @@
 
 
 def make_reply(verdict: Verdict, extra: list[Header]) -> HttpReply:
-    """Return the HTTP answer that tells a verdict."""
-    own = (*make_verdict_headers(verdict), *extra)
+    """Return the HTTP answer for a verdict, with ``extra`` headers."""
+    added = (*make_verdict_headers(verdict), *extra)
     match verdict:
         case Answered(status, headers, body):
-            return HttpReply(status, (*headers, *own), body)
-    return HttpReply(choose_status(verdict), own)
+            return HttpReply(status, (*headers, *added), body)
+    return HttpReply(choose_status(verdict), added)
--- a/eelgrassmount/edge/exchange.py
+++ b/eelgrassmount/edge/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with a backend server on a connection of its own."""
+"""HTTP exchanges with a backend server, one at a time on a connection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from eelgrassmount.metrics import DropReason
 from eelgrassmount.verdict import Header
 
-# with the names and values that the limits of headers allow, and more
+# Leaves room for the status line and separators beside the largest allowed headers.
 _MAX_HEAD_BYTES = 4 * MAX_HEADER_BYTES
 _EVENTS = select.POLLIN | select.POLLRDHUP
 _NO_BODY_STATUSES = frozenset({204, 304})
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RawAnswer:
-    """A whole answer as it came; header names are in lower case.
+    """A complete answer as received; header names are in lower case.
 
-    ``extra`` tells that more came behind it, which belongs to no call.
+    ``extra`` is set if more bytes followed it, which belong to no call.
     """
 
     status: int
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """The connection ended before the first byte of an answer."""
+    """The connection closed before the first byte of an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadAnswer:
-    """What came is not one whole answer."""
+    """The received bytes are not one complete answer."""
 
     reason: DropReason
 
@@ -56,8 +56,8 @@
 
 
 @define(eq=False)
-class _Collector:
-    """Collects one answer from the parser's callbacks."""
+class _AnswerParser:
+    """Assembles one answer from the callbacks of the HTTP parser."""
 
     method: str
     max_body_bytes: int
@@ -76,15 +76,15 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def fail(self, reason: DropReason) -> None:
-        """Note the first thing that is wrong with the answer."""
+        """Record the first fault of the answer."""
         self.fault = self.fault or reason
 
     def on_message_begin(self) -> None:
-        """Note bytes that follow a whole answer."""
+        """Record that another message follows the answer."""
         self.extra = self.done
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         if self.done:
             return
         self._header_bytes += len(name) + len(value)
@@ -96,7 +96,7 @@
         self.headers.append(Header(name_text, value_text))
 
     def on_headers_complete(self) -> None:
-        """Check that the end of the answer can be told."""
+        """Check the status and that the end of the answer can be detected."""
         status = self.parser.get_status_code()
         if self.done or status < FINAL_STATUSES.start:
             return
@@ -105,10 +105,10 @@
         if status not in FINAL_STATUSES:
             self.fail(DropReason.MALFORMED)
         elif self.method == "HEAD":
-            # its length is that of the body which it does not have
+            # The answer has no body, although it may have a Content-Length.
             self.done = True
         elif status not in _NO_BODY_STATUSES and not self._has_length():
-            # an answer that ends with its connection may be a truncated one
+            # An answer that ends with its connection may be truncated.
             self.fail(DropReason.TRUNCATED)
 
     def _has_length(self) -> bool:
@@ -118,7 +118,7 @@
         )
 
     def on_body(self, part: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         if self.done:
             return
         self._body_bytes += len(part)
@@ -128,14 +128,14 @@
         self._parts.append(part)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer, or of an informational one before it."""
+        """Record the end of the answer, or skip an informational answer before it."""
         if self.status:
             self.done = True
             return
         self.headers.clear()
 
     def feed(self, data: bytes) -> None:
-        """Parse what came; ``done`` or ``fault`` tell the rest."""
+        """Parse received bytes and set ``done`` or ``fault``."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -145,7 +145,7 @@
             self.fail(DropReason.MALFORMED)
 
     def make_answer(self) -> RawAnswer:
-        """Return the whole answer."""
+        """Return the complete answer."""
         body = b"".join(self._parts)
         headers = tuple(self.headers)
         return RawAnswer(self.status, headers, body, self.keep_alive, self.extra)
@@ -154,97 +154,96 @@
 class Connection(asyncio.Protocol):
     """A connection to a backend server, used by one call at a time.
 
-    It is a protocol and no stream, because a stream may have taken bytes that
-    nobody has read, and these would then belong to the next call's answer.
-    ``used_s`` is when it was last given back, in monotonic seconds. ``process``
-    is how the process at the other end names itself, as far as known, ``unasked``
-    tells that something came while no call was waiting.
+    A stream could buffer unread bytes, which would become part of the next answer, so
+    this is a protocol. ``released_s`` is when the last call ended, in monotonic
+    seconds. ``process`` is the name of the server's process, empty if unknown.
+    ``unsolicited`` is set if bytes arrived while no call was waiting.
     """
 
     def __init__(self) -> None:
-        self.used_s = 0.0
+        self.released_s = 0.0
         self.process = ""
-        self.unasked = False
+        self.unsolicited = False
         self._lost = False
         self._poll = select.poll()
         self._received_bytes = 0
-        self._collector: _Collector | None = None
+        self._answer_parser: _AnswerParser | None = None
         self._result: asyncio.Future[ExchangeResult] | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Take the transport of a new connection."""
+        """Store the transport of a new connection."""
         self._transport = transport
         self._poll.register(transport.get_extra_info("socket").fileno(), _EVENTS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call that waits: nothing more will come."""
+        """Complete the waiting call without a complete answer."""
         self._lost = True
         if self._received_bytes:
-            self._end(BadAnswer(DropReason.TRUNCATED))
+            self._complete(BadAnswer(DropReason.TRUNCATED))
         else:
-            self._end(NoAnswer())
+            self._complete(NoAnswer())
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the answer that a call waits for."""
-        collector = self._collector
-        if collector is None or self._result.done():
-            self.unasked = True
+        """Parse a part of the answer to the waiting call."""
+        answer_parser = self._answer_parser
+        if answer_parser is None or self._result.done():
+            self.unsolicited = True
             self._transport.abort()
             return
         self._received_bytes += len(data)
-        collector.feed(data)
-        if not collector.status and self._received_bytes > _MAX_HEAD_BYTES:
-            collector.fail(DropReason.OVER_LONG)
-        if collector.fault is not None:
-            self._end(BadAnswer(collector.fault))
-        elif collector.done:
-            self._end(collector.make_answer())
-
-    def _end(self, result: ExchangeResult) -> None:
+        answer_parser.feed(data)
+        if not answer_parser.status and self._received_bytes > _MAX_HEAD_BYTES:
+            answer_parser.fail(DropReason.OVER_LONG)
+        if answer_parser.fault is not None:
+            self._complete(BadAnswer(answer_parser.fault))
+        elif answer_parser.done:
+            self._complete(answer_parser.make_answer())
+
+    def _complete(self, result: ExchangeResult) -> None:
         if self._result is not None and not self._result.done():
             self._result.set_result(result)
 
-    def is_quiet(self) -> bool:
-        """Tell whether nothing came since the last answer, not even its end."""
-        if self._lost or self.unasked:
+    def is_reusable(self) -> bool:
+        """Return whether nothing arrived since the last answer, including a close."""
+        if self._lost or self.unsolicited:
             return False
-        # what the loop has not come to read yet
+        # The event loop may not have read the latest bytes yet.
         events = [event for _, event in self._poll.poll(0)]
-        self.unasked = select.POLLIN in events
+        self.unsolicited = select.POLLIN in events
         return not events
 
     async def exchange(
         self, method: str, data: bytes, max_body_bytes: int
     ) -> ExchangeResult:
-        """Send a whole request and return what came of it."""
+        """Send a complete request and return the result."""
         if self._lost:
             return NoAnswer()
         self._received_bytes = 0
-        self._collector = _Collector(method, max_body_bytes)
+        self._answer_parser = _AnswerParser(method, max_body_bytes)
         self._result = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         try:
             result = await self._result
         finally:
-            self._collector = None
+            self._answer_parser = None
             self._result = None
         if isinstance(result, RawAnswer):
             self.process = find_header(result.headers, names.SERVER) or self.process
         return result
 
-    def is_sent(self) -> bool:
-        """Tell whether the server has been handed the whole request."""
+    def is_request_sent(self) -> bool:
+        """Return whether the whole request has been passed to the operating system."""
         return self._transport.get_write_buffer_size() == 0
 
     def close(self) -> None:
-        """Close the connection at once; a call that waits on it ends."""
+        """Close the connection immediately, which ends a waiting call."""
         self._transport.abort()
 
 
-async def connect(host: str, port: int, limit_s: float) -> Connection | None:
-    """Return a new connection, ``None`` when there is none within ``limit_s``."""
+async def connect(host: str, port: int, timeout_s: float) -> Connection | None:
+    """Return a new connection, or ``None`` if it fails or takes too long."""
     loop = asyncio.get_running_loop()
-    with anyio.move_on_after(limit_s):
+    with anyio.move_on_after(timeout_s):
         try:
             _, connection = await loop.create_connection(Connection, host, port)
         except OSError:
--- a/eelgrassmount/edge/headers.py
+++ b/eelgrassmount/edge/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the HTTP edges."""
+"""HTTP headers of requests and answers."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 CONNECTION = "connection"
 
 FINAL_STATUSES = range(200, 600)
-OWN_PREFIX = "eelgrassmount-"
-# of one request or answer, its path included: it must fit into a frame
+HEADER_PREFIX = "eelgrassmount-"
+# Limit for one request or answer, path included, so that it fits into a frame.
 MAX_HEADER_BYTES = 16 * 1024
 MAX_HEADERS = 256
-# headers of one connection, never passed on (RFC 9110, section 7.6.1)
+# Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1).
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -88,19 +88,19 @@
     return None
 
 
-def keep_passing(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return the headers that are passed on through the layer."""
+def select_forwarded_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
+    """Return the headers that are forwarded."""
     headers = tuple(headers)
     dropped = HOP_HEADERS
     connection = find_header(headers, "connection")
     if connection is not None:
-        # it names further headers that are meant for one connection
+        # The header lists further headers that apply to one connection.
         named = {name.strip().lower() for name in connection.split(",")}
         dropped = HOP_HEADERS | named
     return tuple(
         header
         for header in headers
-        if header.name not in dropped and not header.name.startswith(OWN_PREFIX)
+        if header.name not in dropped and not header.name.startswith(HEADER_PREFIX)
     )
 
 
@@ -116,7 +116,7 @@
 
 
 def make_verdict_headers(verdict: Verdict) -> list[Header]:
-    """Return the headers that tell a verdict and when to come back."""
+    """Return the headers for a verdict, its reason and when to retry."""
     headers = [Header(VERDICT, name_verdict(verdict))]
     if isinstance(verdict, Answered):
         return headers
@@ -128,24 +128,23 @@
     return headers
 
 
-def read_whole_number(headers: Iterable[Header], name: str) -> int | None:
-    """Return a header as a whole number.
+def parse_positive_integer(headers: Iterable[Header], name: str) -> int | None:
+    """Return the value of a header as a positive integer, or ``None`` without it.
 
-    ``None`` when the header is missing; raises `ValueError` when it is not a
-    positive whole number.
+    Raises `ValueError` if the value is not a positive integer.
     """
     text = find_header(headers, name)
     if text is None:
         return None
     if not (text.isascii() and text.isdecimal()) or int(text) == 0:
-        raise ValueError(f"{name} must be a positive whole number, not {text!r}")
+        raise ValueError(f"{name} must be a positive integer, not {text!r}")
     return int(text)
 
 
 def is_digest_valid(headers: Iterable[Header], body: bytes) -> bool:
-    """Tell whether a body agrees with its ``Content-Digest``, if it has one.
+    """Return whether a body matches its ``Content-Digest``, if there is one.
 
-    Only the ``sha-256`` member of RFC 9530 is looked at.
+    Only the ``sha-256`` algorithm of RFC 9530 is checked.
     """
     text = find_header(headers, CONTENT_DIGEST)
     if text is None:
--- a/eelgrassmount/edge/http.py
+++ b/eelgrassmount/edge/http.py
@@ -1,4 +1,4 @@
-"""HTTP listeners by uvicorn."""
+"""HTTP listeners based on uvicorn."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from eelgrassmount.edge import headers as names
 from eelgrassmount.edge.headers import find_header
-from eelgrassmount.edge.protocol import GONE, make_protocol
+from eelgrassmount.edge.protocol import ON_DISCONNECT, make_protocol
 from eelgrassmount.errors import BodyTooLongError, BodyTooSlowError, ListenError
 from eelgrassmount.verdict import Header
 
@@ -24,16 +24,17 @@
 
 Receive = "Callable[[], Awaitable[Any]]"
 Send = "Callable[[Any], Awaitable[None]]"
-KEEP_ALIVE_S = 60
+KEEP_ALIVE_TIMEOUT_S = 60
 BACKLOG = 2048
-BODY_LIMIT_S = 30.0
-LINGER_S = 1.0
-_START_POLL_S = 0.005
+BODY_TIMEOUT_S = 30.0
+# Time to discard the rest of a rejected body before the connection is closed.
+LINGER_TIMEOUT_S = 1.0
+_START_POLL_INTERVAL_S = 0.005
 
 
 @frozen
 class HttpRequest:
-    """One request as it came over HTTP; header names are in lower case."""
+    """An HTTP request as received; header names are in lower case."""
 
     method: str
     path: str
@@ -49,7 +50,7 @@
 
 @frozen
 class HttpReply:
-    """One answer over HTTP."""
+    """An HTTP answer."""
 
     status: int
     headers: tuple[Header, ...] = ()
@@ -57,25 +58,25 @@
 
 
 class HttpServer(uvicorn.Server):
-    """A server that leaves signals to the composition root."""
+    """A uvicorn server that does not handle signals and is stopped by `stop`."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self.ending = anyio.Event()
+        self.stop_requested = anyio.Event()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Take no signal: one process has several of these servers."""
+        """Handle no signals, since one process runs several servers."""
         yield
 
     async def main_loop(self) -> None:
-        """Wait to be told to end, instead of looking ten times a second."""
-        await self.ending.wait()
+        """Wait for `stop`, without the periodic polling of uvicorn."""
+        await self.stop_requested.wait()
 
-    def end(self) -> None:
-        """Take no more connections, and end each one after its answer."""
+    def stop(self) -> None:
+        """Stop accepting connections and close each open one after its answer."""
         self.should_exit = True
-        self.ending.set()
+        self.stop_requested.set()
 
 
 async def serve_http(
@@ -86,8 +87,8 @@
 ) -> HttpServer:
     """Start a listener in the task group and return when it listens.
 
-    ``record_malformed`` is called for what can't be read as a request. Raises
-    `ListenError` when the address can't be bound.
+    ``record_malformed`` is called for each request that can't be parsed. Raises
+    `ListenError` if the address can't be bound.
     """
     listening = _bind_socket(address)
     config = uvicorn.Config(
@@ -98,7 +99,7 @@
         lifespan="off",
         interface="asgi3",
         ws="none",
-        timeout_keep_alive=KEEP_ALIVE_S,
+        timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
         backlog=BACKLOG,
         server_header=False,
         date_header=False,
@@ -107,12 +108,12 @@
     server = HttpServer(config)
     group.start_soon(server.serve, [listening])
     while not server.started:
-        await anyio.sleep(_START_POLL_S)
+        await anyio.sleep(_START_POLL_INTERVAL_S)
     return server
 
 
 def _bind_socket(address: Address) -> socket.socket:
-    # asyncio sends small writes at once only on sockets that name their protocol
+    # asyncio sets TCP_NODELAY only on sockets that were created for TCP explicitly.
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -126,16 +127,16 @@
 async def read_request(
     scope: Any, receive: Receive, max_body_bytes: int
 ) -> HttpRequest | None:
-    """Return a whole request, ``None`` when its sender has gone.
+    """Return a complete request, or ``None`` if its sender disconnected.
 
-    Raises `BodyTooLongError` as soon as the body is known to pass
-    ``max_body_bytes``, and `BodyTooSlowError` after ``BODY_LIMIT_S``.
+    Raises `BodyTooLongError` as soon as the body is known to exceed
+    ``max_body_bytes``, and `BodyTooSlowError` after ``BODY_TIMEOUT_S``.
     """
     headers = tuple(
         Header(name.decode("latin-1"), value.decode("latin-1"))
         for name, value in scope["headers"]
     )
-    # the parser has checked that it is a number
+    # The parser has checked that the value is a number.
     if int(find_header(headers, names.CONTENT_LENGTH) or 0) > max_body_bytes:
         raise BodyTooLongError
     event = await receive()
@@ -143,9 +144,9 @@
         return None
     body = event.get("body", b"")
     if event.get("more_body", False):
-        with anyio.move_on_after(BODY_LIMIT_S) as limit:
+        with anyio.move_on_after(BODY_TIMEOUT_S) as timeout:
             body = await _read_rest(body, receive, max_body_bytes)
-        if limit.cancelled_caught:
+        if timeout.cancelled_caught:
             raise BodyTooSlowError
     if body is None:
         return None
@@ -180,7 +181,7 @@
 
 
 async def send_reply(send: Send, reply: HttpReply) -> None:
-    """Send a whole answer."""
+    """Send a complete answer."""
     headers = [*_encode_headers(reply.headers), _encode_length(reply.body)]
     await send(
         {"type": "http.response.start", "status": reply.status, "headers": headers}
@@ -199,11 +200,11 @@
     return names.CONTENT_LENGTH.encode(), str(len(body)).encode()
 
 
-async def refuse_body(receive: Receive, send: Send, reply: HttpReply) -> None:
-    """Send a whole answer to a request whose body is not read, then close.
+async def reject_body(receive: Receive, send: Send, reply: HttpReply) -> None:
+    """Answer a request without reading its body, then close the connection.
 
-    Closing at once could take the answer from a caller that is still
-    sending, so what still comes for a short time is thrown away.
+    A caller that is still sending could lose the answer if the connection closed
+    immediately, so further bytes are discarded for ``LINGER_TIMEOUT_S``.
     """
     headers = [
         *_encode_headers(reply.headers),
@@ -214,18 +215,20 @@
         {"type": "http.response.start", "status": reply.status, "headers": headers}
     )
     await send({"type": "http.response.body", "body": reply.body, "more_body": True})
-    with anyio.move_on_after(LINGER_S):
+    with anyio.move_on_after(LINGER_TIMEOUT_S):
         while (await receive()).get("more_body", False):
             continue
     await send({"type": "http.response.body", "body": b""})
 
 
-async def run_until_gone(scope: Any, work: Callable[[], Awaitable[Any]]) -> Any | None:
-    """Run ``work`` and return its result; cancel it when the sender goes.
+async def run_until_disconnect(
+    scope: Any, work: Callable[[], Awaitable[Any]]
+) -> Any | None:
+    """Run ``work`` and return its result, or ``None`` if the sender disconnects first.
 
-    Returns ``None`` when the sender has gone first.
+    A disconnect cancels ``work``.
     """
-    with anyio.CancelScope() as limit:
-        scope[GONE](limit.cancel)
+    with anyio.CancelScope() as cancel_scope:
+        scope[ON_DISCONNECT](cancel_scope.cancel)
         return await work()
     return None
--- a/eelgrassmount/edge/protocol.py
+++ b/eelgrassmount/edge/protocol.py
@@ -1,4 +1,4 @@
-"""The HTTP protocol of the listeners, with bounds on what a caller may send."""
+"""HTTP protocol of the listeners, with limits on the head of a request."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# the time that a connection has for the head of its first request, and for the
-# rest of a head that came in part
-HEAD_LIMIT_S = 10.0
-# the entry of the scope by which an application learns that the caller has gone
-GONE = "eelgrassmount.gone"
+# Limits the time until the first request is complete up to its body, and the time for
+# the rest of a head that is incomplete.
+HEAD_TIMEOUT_S = 10.0
+# Key of the ASGI scope for the function that registers a disconnect callback.
+ON_DISCONNECT = "eelgrassmount.gone"
 _TOO_LONG = "the head of the request is too long"
 
 
 class BoundedProtocol(HttpToolsProtocol):
-    """Refuses heads that are too long or too slow, and tells of lost callers.
+    """Refuses heads that are too long or too slow, and reports disconnects.
 
-    The scope of each request has a function under ``GONE`` that takes another
-    one, which is called when the connection is lost.
+    The scope of each request has a function under ``ON_DISCONNECT``. It registers a
+    callback for the loss of the connection.
     """
 
     record_malformed: Callable[[], None] = staticmethod(lambda: None)
@@ -39,23 +39,23 @@
     _timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Give the first request its time."""
+        """Start the timer for the first request."""
         super().connection_made(transport)
-        self._watchers: list[Callable[[], Any]] = []
+        self._disconnect_callbacks: list[Callable[[], Any]] = []
         self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the requests that their caller has gone."""
+        """Notify the requests that their caller disconnected."""
         super().connection_lost(exc)
         self._stop_timer()
-        for watcher in self._watchers:
-            watcher()
-        self._watchers.clear()
+        for callback in self._disconnect_callbacks:
+            callback()
+        self._disconnect_callbacks.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a request, as long as its head has an end."""
+        """Parse bytes of a request, unless its head is too long."""
         if self._in_head:
-            # the parser keeps an unfinished header to itself
+            # The parser does not report an incomplete header.
             self._head_bytes += len(data)
             if self._head_bytes > 2 * MAX_HEADER_BYTES + len(data):
                 self.send_400_response(_TOO_LONG)
@@ -65,19 +65,19 @@
             self._start_timer()
 
     def on_message_begin(self) -> None:
-        """Begin the head of a request."""
+        """Start the head of a request."""
         super().on_message_begin()
         self._in_head = True
         self._header_bytes = 0
-        self.scope[GONE] = self._watchers.append
+        self.scope[ON_DISCONNECT] = self._disconnect_callbacks.append
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Add a part of the request target."""
         super().on_url(url)
         self._check_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         super().on_header(name, value)
         self._check_head(len(name) + len(value))
 
@@ -87,19 +87,19 @@
             raise ValueError(_TOO_LONG)
 
     def on_headers_complete(self) -> None:
-        """Begin to answer the request."""
+        """Pass the request to the application."""
         self._in_head = False
         self._head_bytes = 0
         self._stop_timer()
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
-        """Forget who watched the request that has been answered."""
-        self._watchers.clear()
+        """Remove the disconnect callbacks of the answered request."""
+        self._disconnect_callbacks.clear()
         super().on_response_complete()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse what is not a request, count it and close the connection."""
+        """Refuse and count a malformed request and close the connection."""
         self.record_malformed()
         if self.transport.is_closing():
             return
@@ -115,7 +115,7 @@
         self.transport.close()
 
     def _start_timer(self) -> None:
-        self._timer = self.loop.call_later(HEAD_LIMIT_S, self._refuse_slow)
+        self._timer = self.loop.call_later(HEAD_TIMEOUT_S, self._refuse_slow)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -133,7 +133,7 @@
 
 
 def make_protocol(record_malformed: Callable[[], None]) -> type[BoundedProtocol]:
-    """Return the protocol of one listener, which counts by ``record_malformed``."""
+    """Return a protocol class that calls ``record_malformed`` on malformed requests."""
 
     class Protocol(BoundedProtocol):
         pass
--- a/eelgrassmount/edge/server.py
+++ b/eelgrassmount/edge/server.py
@@ -1,4 +1,4 @@
-"""Calls to the backend server on this VM."""
+"""Client for the backend server on this VM."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from eelgrassmount.edge.headers import (
     find_header,
     is_digest_valid,
-    keep_passing,
-    read_whole_number,
+    parse_positive_integer,
+    select_forwarded_headers,
 )
 from eelgrassmount.metrics import DropReason
 from eelgrassmount.retry.decisions import LOST_REASONS
@@ -42,31 +42,31 @@
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.timers import Clock
 
-CONNECT_LIMIT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 MAX_IDLE_CONNECTIONS = 256
-IDLE_LIMIT_S = 30.0
-# the share that the newest latency has in the typical one
-TYPICAL_SHARE = 0.1
+IDLE_TIMEOUT_S = 30.0
+# Weight of the newest latency in the moving average.
+LATENCY_SMOOTHING = 0.1
 _SHED_STATUS = 503
-# what a backend server answers when a downstream call of its own has failed
+# Statuses with which a backend server reports that a downstream call failed.
 _GATEWAY_STATUSES = frozenset({502, 503, 504})
 _MAX_RETRY_AFTER_MS = 3_600_000
 
 
 @define(eq=False)
 class Exchange:
-    """A call that is at the backend server now.
+    """A call that is running on the backend server.
 
-    Whoever learns by another way what became of it calls `settle`.
+    A probe that finds the outcome over another connection calls `resolve`.
     """
 
     call: Call
     connection: Connection
-    begun_s: float
+    started_s: float
     verdict: Verdict | None = None
 
-    def settle(self, verdict: Verdict) -> None:
-        """Give the call its verdict and close the connection that lost it."""
+    def resolve(self, verdict: Verdict) -> None:
+        """Set the verdict on the call and close its silent connection."""
         if self.verdict is None:
             self.verdict = verdict
             self.connection.close()
@@ -74,17 +74,17 @@
 
 @define(eq=False)
 class ServerClient:
-    """A bounded set of connections to the backend server on this VM.
+    """A bounded pool of connections to the backend server on this VM.
 
-    A connection is used again only after its answer has been read completely
-    and found good; any other one is closed, since a late answer may still
-    come on it. ``typical_s`` is a moving average of how long calls take.
+    A connection is reused only after a complete and valid answer. Others are closed,
+    since a late answer may still arrive on them. ``mean_latency_s`` is an exponential
+    moving average of the latency of calls.
     """
 
     clock: Clock
     metrics: Metrics
     max_body_bytes: int
-    typical_s: float = 0.0
+    mean_latency_s: float = 0.0
     exchanges: dict[str, Exchange] = field(factory=dict)
     _idle: deque[Connection] = field(factory=deque)
     _address: str = ""
@@ -95,19 +95,19 @@
         address: str,
         call: Call,
         attempts_left: int,
-        note_begun: Callable[[], None],
+        on_start: Callable[[], None],
     ) -> Verdict:
         """Run a call on the server at ``address`` and return its verdict.
 
-        ``note_begun`` is called just before the first byte is sent.
+        ``on_start`` is called just before the first byte is sent.
         """
         data = self._encode(address, call, attempts_left)
         if data is None:
             return NotRun(Reason.MALFORMED)
-        connection = await self._take(address)
+        connection = await self._acquire(address)
         if connection is None:
             return NotRun(Reason.NO_SERVER)
-        note_begun()
+        on_start()
         reusable = False
         exchange = Exchange(call, connection, self.clock.read())
         self.exchanges[call.context.call_id] = exchange
@@ -118,65 +118,70 @@
             self._process = connection.process or self._process
             verdict = exchange.verdict or self.judge(call, result)
             if exchange.verdict is not None:
-                # whatever lost this connection may have lost the others too
+                # The failure that silenced this connection may affect the others.
                 self.close()
             reusable = _is_reusable(result, verdict)
         finally:
             del self.exchanges[call.context.call_id]
-            self._give_back(connection, address, reusable)
+            self._release(connection, address, reusable)
         if isinstance(verdict, Answered):
-            self._note_latency(self.clock.read() - exchange.begun_s)
+            self._record_latency(self.clock.read() - exchange.started_s)
         return verdict
 
-    def _note_latency(self, seconds: float) -> None:
-        if not self.typical_s:
-            self.typical_s = seconds
-        self.typical_s += TYPICAL_SHARE * (seconds - self.typical_s)
+    def _record_latency(self, seconds: float) -> None:
+        if not self.mean_latency_s:
+            self.mean_latency_s = seconds
+        self.mean_latency_s += LATENCY_SMOOTHING * (seconds - self.mean_latency_s)
 
-    async def _take(self, address: str) -> Connection | None:
+    async def _acquire(self, address: str) -> Connection | None:
         if address != self._address:
             self._address = address
             self._process = ""
             self.close()
-        oldest_s = self.clock.read() - IDLE_LIMIT_S
-        while self._idle and self._idle[0].used_s < oldest_s:
+        oldest_s = self.clock.read() - IDLE_TIMEOUT_S
+        while self._idle and self._idle[0].released_s < oldest_s:
             self._idle.popleft().close()
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet():
+            if connection.is_reusable():
                 return connection
-            if connection.unasked:
+            if connection.unsolicited:
                 self.metrics.dropped_answers.labels(DropReason.LATE).inc()
             connection.close()
         return await self._connect(address)
 
     async def _connect(self, address: str) -> Connection | None:
-        # a process that answered before, and answers a question afterwards, was
-        # there all the time, so that this connection is one to it
+        # If the process that answered last also answers a later probe, it has not
+        # restarted in between, so this connection leads to it.
         process = self._process
         target = parse_address(address)
-        connection = await connect(target.host, target.port, CONNECT_LIMIT_S)
+        connection = await connect(target.host, target.port, CONNECT_TIMEOUT_S)
         if connection is not None:
             connection.process = process
         return connection
 
-    def _give_back(self, connection: Connection, address: str, reusable: bool) -> None:
-        room = len(self._idle) < MAX_IDLE_CONNECTIONS
-        if reusable and room and address == self._address and connection.is_sent():
-            connection.used_s = self.clock.read()
+    def _release(self, connection: Connection, address: str, reusable: bool) -> None:
+        has_room = len(self._idle) < MAX_IDLE_CONNECTIONS
+        if (
+            reusable
+            and has_room
+            and address == self._address
+            and connection.is_request_sent()
+        ):
+            connection.released_s = self.clock.read()
             self._idle.append(connection)
             return
         connection.close()
 
     def _encode(self, address: str, call: Call, attempts_left: int) -> bytes | None:
-        """Return a call as an HTTP request, ``None`` if HTTP can't carry it."""
+        """Return a call as an HTTP request, or ``None`` if it contains invalid text."""
         context = call.context
         request = call.request
         remaining_ms = context.measure_remaining(self.clock.read()) * 1000
-        passed = keep_passing(request.headers)
+        forwarded = select_forwarded_headers(request.headers)
         lines = [
             f"{request.method} {request.path} HTTP/1.1",
-            *(f"{header.name}: {header.value}" for header in passed),
+            *(f"{header.name}: {header.value}" for header in forwarded),
             f"host: {address}",
             f"{names.CALL}: {context.call_id}",
             f"{names.ROOT}: {context.root_id}",
@@ -186,7 +191,7 @@
             f"{names.CONTENT_LENGTH}: {len(request.body)}",
         ]
         text = "\r\n".join(lines)
-        # what another node passed on may hold anything
+        # A request from another node may contain line breaks or NUL characters.
         if text.count("\n") != len(lines) - 1 or "\0" in text:
             return None
         if lines[0].count(" ") != 2:
@@ -197,7 +202,7 @@
             return None
 
     def judge(self, call: Call, result: ExchangeResult) -> Verdict:
-        """Return the verdict on a call from what came of its exchange."""
+        """Return the verdict on a call from the result of its exchange."""
         match result:
             case NoAnswer():
                 return MayHaveRun(Reason.SERVER_CRASHED)
@@ -212,7 +217,9 @@
         failure = _find_failure(result.status, result.headers)
         if failure is not None:
             return failure
-        return Answered(result.status, keep_passing(result.headers), result.body)
+        return Answered(
+            result.status, select_forwarded_headers(result.headers), result.body
+        )
 
     def _drop(self, reason: DropReason) -> Verdict:
         self.metrics.dropped_answers.labels(reason).inc()
@@ -225,10 +232,10 @@
 
 
 def _is_reusable(result: ExchangeResult, verdict: Verdict) -> bool:
-    """Tell whether nothing more can come on the connection of an exchange."""
+    """Return whether no more bytes can arrive on the connection of an exchange."""
     if not isinstance(result, RawAnswer) or result.extra or not result.keep_alive:
         return False
-    # an answer to another call means that one for this call may still come
+    # After an answer to another call, the answer to this call may still arrive.
     return verdict != MayHaveRun(Reason.BAD_ANSWER)
 
 
@@ -244,7 +251,7 @@
 
 def _read_retry_after(headers: tuple[Header, ...]) -> float:
     try:
-        milliseconds = read_whole_number(headers, names.RETRY_AFTER_MS) or 0
+        milliseconds = parse_positive_integer(headers, names.RETRY_AFTER_MS) or 0
     except ValueError:
         return 0.0
     return min(milliseconds, _MAX_RETRY_AFTER_MS) / 1000
@@ -255,5 +262,5 @@
         reason = Reason(find_header(headers, names.REASON))
     except ValueError:
         return Reason.PARTIAL
-    # its own hop has spent retries on these; this hop must not do so again
+    # The server's hop has already retried after these reasons, so this hop must not.
     return Reason.PARTIAL if reason in LOST_REASONS else reason
--- a/tests/edge/servers.py
+++ b/tests/edge/servers.py
@@ -1,4 +1,4 @@
-"""A backend server whose every byte is chosen by a test."""
+"""A backend server that sends exactly the bytes chosen by a test."""
 
 from __future__ import annotations
 
@@ -66,28 +66,29 @@
 
 @define(eq=False)
 class ScriptedServer:
-    """Answers requests by a function; counts connections and keeps requests."""
+    """Answers requests with a function; records connections and requests."""
 
     address: str = ""
     connections: int = 0
     requests: list[bytes] = field(factory=list)
     streams: list[SocketStream] = field(factory=list)
-    early: bytes = b""
+    early_answer: bytes = b""
     answer: Callable[[bytes, int], bytes | None] = lambda request, number: b""
 
     async def serve(self, stream: SocketStream) -> None:
-        """Read requests; ``None`` is silence, an empty answer ends the connection.
+        """Read and answer requests.
 
-        An answer that ends with ``b"!"`` ends the connection behind itself.
+        On ``None`` the server stays silent. An empty answer closes the connection, and
+        a final ``b"!"``, which is not sent, closes it after the answer.
         """
         self.connections += 1
         number = self.connections
         self.streams.append(stream)
         async with stream:
-            if self.early:
-                # answers by the first bytes and reads no further
+            if self.early_answer:
+                # The server answers after the first bytes and does not read the rest.
                 await stream.receive(10)
-                await stream.send(self.early)
+                await stream.send(self.early_answer)
                 await anyio.sleep_forever()
             try:
                 while request := await _read_request(stream):
@@ -105,8 +106,8 @@
             ):
                 return
 
-    async def speak(self, data: bytes) -> None:
-        """Send on the first connection without being asked, or else end it."""
+    async def send_unsolicited(self, data: bytes) -> None:
+        """Send bytes on the first connection without a request, or close it."""
         if data:
             await self.streams[0].send(data)
         else:
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -1,4 +1,4 @@
-"""What callers may send to a listener, and what it makes of it."""
+"""Handling of valid and invalid requests by the HTTP listeners."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from eelgrassmount.edge.caller import CallerListener
 from eelgrassmount.edge.headers import (
     choose_status,
-    keep_passing,
     make_verdict_headers,
-    read_whole_number,
+    parse_positive_integer,
+    select_forwarded_headers,
 )
 from eelgrassmount.edge.http import serve_http
 from eelgrassmount.errors import AnnouncementError, ListenError
@@ -42,12 +42,12 @@
 pytestmark = pytest.mark.anyio
 
 MAX_BODY_BYTES = 100_000
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
 @define(eq=False)
-class FakeEntry:
-    """Answers with what it was asked; waits or fails on marked paths."""
+class FakeIngress:
+    """Echoes the request body; waits, fails or refuses on some paths."""
 
     requests: list[Request] = field(factory=list)
     cancelled: anyio.Event = field(factory=anyio.Event)
@@ -68,18 +68,18 @@
 
 
 @define(eq=False)
-class Bench:
-    """A listener for callers."""
+class CallerFixture:
+    """A listener for callers with a fake ingress."""
 
-    entry: FakeEntry
+    ingress: FakeIngress
     address: Address
     listener: CallerListener
 
     async def connect(self) -> anyio.abc.SocketStream:
         return await anyio.connect_tcp(self.address.host, self.address.port)
 
-    async def talk(self, *parts: bytes, end: bool = False) -> str:
-        """Send bytes and return all that comes until one answer is there."""
+    async def send(self, *parts: bytes, end: bool = False) -> str:
+        """Send bytes on a new connection and return the answer."""
         async with await self.connect() as stream:
             for part in parts:
                 await stream.send(part)
@@ -91,8 +91,8 @@
 
 async def read_answer(stream: anyio.abc.SocketStream) -> str:
     data = b""
-    with anyio.fail_after(LIMIT_S):
-        while not _is_whole(data):
+    with anyio.fail_after(TIMEOUT_S):
+        while not _is_complete(data):
             try:
                 data += await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -100,7 +100,7 @@
     return data.decode("latin-1")
 
 
-def _is_whole(data: bytes) -> bool:
+def _is_complete(data: bytes) -> bool:
     head, end, body = data.partition(b"\r\n\r\n")
     if not end:
         return False
@@ -109,37 +109,39 @@
     return len(body) >= lengths[0]
 
 
-def find_address() -> Address:
+def find_free_address() -> Address:
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return Address(HOST, probe.getsockname()[1])
 
 
 @asynccontextmanager
-async def run_listener(leaving: bool = False) -> AsyncIterator[Bench]:
-    entry = FakeEntry()
+async def run_listener(leaving: bool = False) -> AsyncIterator[CallerFixture]:
+    ingress = FakeIngress()
     listener = CallerListener(
-        entry, MAX_BODY_BYTES, make_metrics(), InFlight(), lambda: leaving
+        ingress, MAX_BODY_BYTES, make_metrics(), InFlight(), lambda: leaving
     )
-    address = find_address()
+    address = find_free_address()
     async with anyio.create_task_group() as group:
         background = Background(group, lambda: None)
         server = await serve_http(
             listener, address, background, listener.record_malformed
         )
-        yield Bench(entry, address, listener)
-        server.end()
+        yield CallerFixture(ingress, address, listener)
+        server.stop()
 
 
-def post(path: str = "/desk/x", body: bytes = b"hello", extra: str = "") -> bytes:
+def make_post(path: str = "/desk/x", body: bytes = b"hello", extra: str = "") -> bytes:
     head = f"POST {path} HTTP/1.1\r\nHost: a\r\n{extra}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
 
 
-async def test_request_and_answer_pass_whole() -> None:
-    async with run_listener() as bench:
-        answer = await bench.talk(post("/desk/a%20b?q=%e9", extra="X-Cafe: \xe9\r\n"))
-        request = bench.entry.requests[0]
+async def test_request_and_answer_are_forwarded_unchanged() -> None:
+    async with run_listener() as fixture:
+        answer = await fixture.send(
+            make_post("/desk/a%20b?q=%e9", extra="X-Cafe: \xe9\r\n")
+        )
+        request = fixture.ingress.requests[0]
     assert (request.service, request.method) == ("desk", "POST")
     assert (request.path, request.body) == ("/desk/a%20b?q=%e9", b"hello")
     assert Header("x-cafe", "\xe9") in request.headers
@@ -156,140 +158,147 @@
     ]
 
 
-async def test_refusals_and_faults_carry_their_verdict() -> None:
-    async with run_listener() as bench:
-        refusal = await bench.talk(post("/desk/refuse"))
+async def test_refusals_and_internal_errors_carry_their_verdict() -> None:
+    async with run_listener() as fixture:
+        refusal = await fixture.send(make_post("/desk/refuse"))
         assert refusal.startswith("HTTP/1.1 429 ")
         for line in ("verdict: not-run", "reason: overload", "retry-after-ms: 1250"):
             assert f"eelgrassmount-{line}\r\n" in refusal
         assert "\r\nretry-after: 2\r\n" in refusal
-        fault = await bench.talk(post("/desk/fail"))
+        fault = await fixture.send(make_post("/desk/fail"))
         assert fault.startswith("HTTP/1.1 504 ")
         assert "verdict: may-have-run\r\neelgrassmount-reason: internal" in fault
-        assert bench.count_refused(Reason.OVERLOAD) == 1
-        assert bench.count_refused(Reason.INTERNAL) == 1
+        assert fixture.count_refused(Reason.OVERLOAD) == 1
+        assert fixture.count_refused(Reason.INTERNAL) == 1
 
 
-def chunked(*sizes: int) -> bytes:
+def make_chunked_post(*sizes: int) -> bytes:
     head = b"POST /desk/x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
     return head + b"".join(b"%x\r\n%b\r\n" % (size, b"x" * size) for size in sizes)
 
 
-# a claim of a body that is never sent must be refused by its claim alone
-CLAIM = b"POST /desk/x HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000000\r\n\r\n"
+# A declared length beyond the limit is refused although no body is sent.
+OVERLONG_LENGTH = (
+    b"POST /desk/x HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000000\r\n\r\n"
+)
 TOO_LARGE = ("413", Reason.TOO_LARGE)
 MALFORMED = ("400", Reason.MALFORMED)
 REFUSED = {
-    "claim": (CLAIM, *TOO_LARGE),
-    "expect": (CLAIM[:-2] + b"Expect: 100-continue\r\n\r\n", *TOO_LARGE),
-    "sent": (post(body=b"x" * (MAX_BODY_BYTES + 1)), *TOO_LARGE),
-    "much": (post(body=b"x" * 3_000_000), *TOO_LARGE),
-    "chunks": (chunked(*[50_000] * 3), *TOO_LARGE),
-    "one chunk": (chunked(100_001), *TOO_LARGE),
+    "declared": (OVERLONG_LENGTH, *TOO_LARGE),
+    "expect": (OVERLONG_LENGTH[:-2] + b"Expect: 100-continue\r\n\r\n", *TOO_LARGE),
+    "sent": (make_post(body=b"x" * (MAX_BODY_BYTES + 1)), *TOO_LARGE),
+    "much": (make_post(body=b"x" * 3_000_000), *TOO_LARGE),
+    "chunks": (make_chunked_post(*[50_000] * 3), *TOO_LARGE),
+    "one chunk": (make_chunked_post(100_001), *TOO_LARGE),
     "garbage": (b"\x16\x03\x01\x02 hello\r\n\r\n", *MALFORMED),
     "no target": (b"GET\r\n\r\n", *MALFORMED),
     "odd target": (b"GET http:// HTTP/1.1\r\nHost: a\r\n\r\n", *MALFORMED),
     "bytes in the target": (b"GET /\xff\xfe HTTP/1.1\r\nHost: a\r\n\r\n", *MALFORMED),
-    "header without colon": (post(extra="what\r\n"), *MALFORMED),
-    "control character": (post(extra="X: a\0b\r\n"), *MALFORMED),
-    "two lengths": (post(extra="Content-Length: 1\r\n"), *MALFORMED),
-    "length and chunks": (post(extra="Transfer-Encoding: chunked\r\n"), *MALFORMED),
-    "negative length": (CLAIM.replace(b"9000000000", b"-1"), *MALFORMED),
-    "long header": (post(extra=f"X: {'x' * 20_000}\r\n"), *MALFORMED),
-    "long target": (post("/" + "x" * 20_000), *MALFORMED),
-    "many headers": (post(extra="X: y\r\n" * 300), *MALFORMED),
+    "header without colon": (make_post(extra="what\r\n"), *MALFORMED),
+    "control character": (make_post(extra="X: a\0b\r\n"), *MALFORMED),
+    "two lengths": (make_post(extra="Content-Length: 1\r\n"), *MALFORMED),
+    "length and chunks": (
+        make_post(extra="Transfer-Encoding: chunked\r\n"),
+        *MALFORMED,
+    ),
+    "negative length": (OVERLONG_LENGTH.replace(b"9000000000", b"-1"), *MALFORMED),
+    "long header": (make_post(extra=f"X: {'x' * 20_000}\r\n"), *MALFORMED),
+    "long target": (make_post("/" + "x" * 20_000), *MALFORMED),
+    "many headers": (make_post(extra="X: y\r\n" * 300), *MALFORMED),
 }
 
 
 @pytest.mark.parametrize("name", REFUSED)
-async def test_bad_requests_cost_their_connection_at_most(name: str) -> None:
+async def test_invalid_request_closes_only_its_own_connection(name: str) -> None:
     data, status, reason = REFUSED[name]
-    async with run_listener() as bench:
-        answer = await bench.talk(data)
+    async with run_listener() as fixture:
+        answer = await fixture.send(data)
         assert answer.startswith(f"HTTP/1.1 {status} ")
         assert "eelgrassmount-verdict: not-run\r\n" in answer
         assert f"eelgrassmount-reason: {reason.value}\r\n" in answer
         assert "connection: close\r\n" in answer
-        assert bench.count_refused(reason) == 1
-        assert (await bench.talk(post())).startswith("HTTP/1.1 200 ")
-        assert len(bench.entry.requests) == 1
+        assert fixture.count_refused(reason) == 1
+        assert (await fixture.send(make_post())).startswith("HTTP/1.1 200 ")
+        assert len(fixture.ingress.requests) == 1
 
 
-@pytest.mark.parametrize("start", [b"GET /x", post()[:20], post()[:20] + b"X: "])
+@pytest.mark.parametrize(
+    "start", [b"GET /x", make_post()[:20], make_post()[:20] + b"X: "]
+)
 async def test_endless_head_is_refused(start: bytes) -> None:
-    async with run_listener() as bench, await bench.connect() as stream:
+    async with run_listener() as fixture, await fixture.connect() as stream:
         await stream.send(start)
         with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
             for _ in range(100):
                 await stream.send(b"x" * 1000)
                 await anyio.sleep(0)
-        assert bench.count_refused(Reason.MALFORMED) == 1
+        assert fixture.count_refused(Reason.MALFORMED) == 1
 
 
-async def test_slow_head_and_slow_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(protocol, "HEAD_LIMIT_S", 0.05)
-    monkeypatch.setattr(http, "BODY_LIMIT_S", 0.05)
-    async with run_listener() as bench:
-        assert await bench.talk() == ""
-        assert (await bench.talk(post()[:30])).startswith("HTTP/1.1 400 ")
-        answer = await bench.talk(post(body=b"x" * 1000)[:-10])
+async def test_slow_heads_and_bodies_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(protocol, "HEAD_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(http, "BODY_TIMEOUT_S", 0.05)
+    async with run_listener() as fixture:
+        assert await fixture.send() == ""
+        assert (await fixture.send(make_post()[:30])).startswith("HTTP/1.1 400 ")
+        answer = await fixture.send(make_post(body=b"x" * 1000)[:-10])
         assert answer.startswith("HTTP/1.1 503 ")
         assert "eelgrassmount-reason: deadline\r\n" in answer
-        assert bench.entry.requests == []
+        assert fixture.ingress.requests == []
 
 
-async def test_body_in_pieces_is_taken_whole() -> None:
-    data = post(body=bytes(range(256)) * 300)
-    async with run_listener() as bench:
+async def test_body_in_pieces_is_joined() -> None:
+    data = make_post(body=bytes(range(256)) * 300)
+    async with run_listener() as fixture:
         pieces = [data[start : start + 9_999] for start in range(0, len(data), 9_999)]
-        assert (await bench.talk(*pieces)).startswith("HTTP/1.1 200 ")
-        assert bench.entry.requests[0].body == bytes(range(256)) * 300
+        assert (await fixture.send(*pieces)).startswith("HTTP/1.1 200 ")
+        assert fixture.ingress.requests[0].body == bytes(range(256)) * 300
 
 
-async def test_caller_that_goes_cancels_its_request() -> None:
-    async with run_listener() as bench:
-        async with await bench.connect() as stream:
-            await stream.send(post("/desk/wait"))
-            with anyio.fail_after(LIMIT_S):
-                while not bench.entry.requests:
+async def test_disconnect_of_the_caller_cancels_its_request() -> None:
+    async with run_listener() as fixture:
+        async with await fixture.connect() as stream:
+            await stream.send(make_post("/desk/wait"))
+            with anyio.fail_after(TIMEOUT_S):
+                while not fixture.ingress.requests:
                     await anyio.sleep(0.001)
-        with anyio.fail_after(LIMIT_S):
-            await bench.entry.cancelled.wait()
+        with anyio.fail_after(TIMEOUT_S):
+            await fixture.ingress.cancelled.wait()
 
 
 async def test_requests_on_one_connection_are_answered_in_order() -> None:
-    async with run_listener() as bench, await bench.connect() as stream:
-        await stream.send(post(body=b"1st") + post(body=b"2nd"))
+    async with run_listener() as fixture, await fixture.connect() as stream:
+        await stream.send(make_post(body=b"1st") + make_post(body=b"2nd"))
         data = ""
         while data.count("HTTP/1.1 200") < 2 or not data.endswith("2nd"):
             data += (await stream.receive()).decode()
         assert data.index("1st") < data.index("2nd")
 
 
-async def test_leaving_node_sends_its_callers_elsewhere() -> None:
-    async with run_listener(leaving=True) as bench, await bench.connect() as stream:
-        await stream.send(post())
+async def test_leaving_node_closes_the_connections_of_callers() -> None:
+    async with run_listener(leaving=True) as fixture, await fixture.connect() as stream:
+        await stream.send(make_post())
         answer = await read_answer(stream)
         assert answer.startswith("HTTP/1.1 200 ")
         assert "connection: close\r\n" in answer
-        with pytest.raises(anyio.EndOfStream), anyio.fail_after(LIMIT_S):
+        with pytest.raises(anyio.EndOfStream), anyio.fail_after(TIMEOUT_S):
             await stream.receive()
 
 
-async def test_address_in_use_is_told() -> None:
-    async with run_listener() as bench, anyio.create_task_group() as group:
+async def test_address_in_use_is_an_error() -> None:
+    async with run_listener() as fixture, anyio.create_task_group() as group:
         with pytest.raises(ListenError, match="can't listen on"):
-            await serve_http(None, bench.address, Background(group, lambda: None))
+            await serve_http(None, fixture.address, Background(group, lambda: None))
 
 
 class FakeAnnouncements:
     board = Blackboard(Identity("a", "b", "c", "d"))
 
-    def take(self, body: bytes) -> dict[str, Any]:
+    def apply(self, body: bytes) -> dict[str, Any]:
         return {"taken": parse_announcement(body, 0.0).service}
 
     def remove(self) -> None:
-        """Accept the goodbye."""
+        """Accept the removal of the server."""
 
 
 class FakeDownstream:
@@ -300,35 +309,37 @@
 
 
 ANNOUNCEMENT = b'{"service": "desk", "address": "127.1.0.1:9", "state": "serving"}'
-OWN_PATH = "/_eelgrassmount/server"
+ANNOUNCEMENT_PATH = "/_eelgrassmount/server"
 
 
 @pytest.mark.parametrize(
     ("method", "path", "extra", "body", "status", "text"),
     [
-        ("PUT", OWN_PATH, "", ANNOUNCEMENT, 200, '{"taken": "desk"}'),
-        ("PUT", OWN_PATH, "", b"[]", 400, "must be a JSON object"),
-        ("PUT", OWN_PATH, "", b"x", 400, "not JSON"),
-        ("PUT", OWN_PATH, "", b"[" * 90_000, 400, "not JSON"),
-        ("DELETE", OWN_PATH, "", b"", 200, ""),
-        ("POST", OWN_PATH, "", ANNOUNCEMENT, 405, "announce with PUT"),
+        ("PUT", ANNOUNCEMENT_PATH, "", ANNOUNCEMENT, 200, '{"taken": "desk"}'),
+        ("PUT", ANNOUNCEMENT_PATH, "", b"[]", 400, "must be a JSON object"),
+        ("PUT", ANNOUNCEMENT_PATH, "", b"x", 400, "not JSON"),
+        ("PUT", ANNOUNCEMENT_PATH, "", b"[" * 90_000, 400, "not JSON"),
+        ("DELETE", ANNOUNCEMENT_PATH, "", b"", 200, ""),
+        ("POST", ANNOUNCEMENT_PATH, "", ANNOUNCEMENT, 405, "announce with PUT"),
         ("GET", "/ratebook/x", "", b"", 400, "reason: malformed"),
         ("GET", "/ratebook/x", "Eelgrassmount-Parent: p\r\n", b"", 200, "p//ratebook"),
         ("GET", "/ratebook/fail", "Eelgrassmount-Parent: p\r\n", b"", 504, "internal"),
-        ("PUT", OWN_PATH, "", b"x" * (MAX_BODY_BYTES + 1), 413, "too-large"),
+        ("PUT", ANNOUNCEMENT_PATH, "", b"x" * (MAX_BODY_BYTES + 1), 413, "too-large"),
     ],
 )
-async def test_backend_listener(
+async def test_backend_listener_answers(
     method: str, path: str, extra: str, body: bytes, status: int, text: str
 ) -> None:
     listener = BackendListener(FakeAnnouncements(), FakeDownstream(), MAX_BODY_BYTES)
-    address = find_address()
+    address = find_free_address()
     async with anyio.create_task_group() as group:
         server = await serve_http(listener, address, Background(group, lambda: None))
         async with await anyio.connect_tcp(address.host, address.port) as stream:
-            await stream.send(post(path, body, extra).replace(b"POST", method.encode()))
+            await stream.send(
+                make_post(path, body, extra).replace(b"POST", method.encode())
+            )
             answer = await read_answer(stream)
-        server.end()
+        server.stop()
     assert answer.startswith(f"HTTP/1.1 {status} ")
     assert text in answer
 
@@ -348,22 +359,27 @@
         b'"load": true',
     ],
 )
-def test_bad_announcements(change: bytes) -> None:
+def test_invalid_announcement_is_an_error(change: bytes) -> None:
     with pytest.raises(AnnouncementError):
         parse_announcement(ANNOUNCEMENT[:-1] + b", " + change + b"}", 0.0)
 
 
 @given(st.binary(max_size=100))
-def test_any_announcement_is_taken_or_refused(body: bytes) -> None:
+def test_any_bytes_are_an_announcement_or_an_announcement_error(body: bytes) -> None:
     with suppress(AnnouncementError):
         parse_announcement(body, 0.0)
 
 
-def test_announced_load_stays_in_its_range() -> None:
-    for load, kept in ((b"-3", 0.0), (b"0.5", 0.5), (b"9" * 400, 1.0), (b"NaN", 0.0)):
+def test_announced_load_is_limited_to_its_range() -> None:
+    for load, expected in (
+        (b"-3", 0.0),
+        (b"0.5", 0.5),
+        (b"9" * 400, 1.0),
+        (b"NaN", 0.0),
+    ):
         body = ANNOUNCEMENT[:-1] + b', "load": ' + load + b"}"
         server = parse_announcement(body, 1.0)
-        assert (server.load, server.state) == (kept, ServerState.SERVING)
+        assert (server.load, server.state) == (expected, ServerState.SERVING)
 
 
 @given(st.sampled_from(Reason), st.booleans(), st.floats(0, 1e6))
@@ -381,17 +397,17 @@
 
 
 @given(st.text(max_size=12))
-def test_whole_numbers(text: str) -> None:
+def test_header_is_a_positive_integer_or_an_error(text: str) -> None:
     headers = (Header("x", text),)
     try:
-        number = read_whole_number(headers, "x")
+        number = parse_positive_integer(headers, "x")
     except ValueError:
         assert not (text.isascii() and text.isdigit() and int(text) > 0)
     else:
         assert str(number) == text.lstrip("0")
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_headers_of_one_connection_are_not_forwarded() -> None:
     dropped = ("connection", "host", "te", "eelgrassmount-call", "x-hop")
     headers = [Header(name, "X-Hop, close") for name in dropped]
-    assert keep_passing([*headers, Header("x", "1")]) == (Header("x", "1"),)
+    assert select_forwarded_headers([*headers, Header("x", "1")]) == (Header("x", "1"),)
--- a/tests/edge/test_probes.py
+++ b/tests/edge/test_probes.py
@@ -1,4 +1,4 @@
-"""Calls whose connection to the backend server has gone silent."""
+"""Probes of calls whose connection to the backend server has gone silent."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from attrs import define, evolve, field
 
-from eelgrassmount.edge.probes import GIVE_UP_AFTER_S, ServerProbes
+from eelgrassmount.edge.probes import MIN_ABANDON_DELAY_S, ServerProbes
 from eelgrassmount.edge.server import ServerClient
 from eelgrassmount.metrics import make_metrics
 from eelgrassmount.timers import ManualClock, TimerService
@@ -26,7 +26,7 @@
 
 pytestmark = pytest.mark.anyio
 
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 SAME = "Eelgrassmount-Server: p1\r\n"
 OTHER = "Eelgrassmount-Server: p2\r\n"
 UNKNOWN = b'{"state": "unknown"}'
@@ -39,8 +39,8 @@
 
 
 @define(eq=False)
-class Bench:
-    """A client whose second call gets lost, and what became of that call."""
+class ProbeFixture:
+    """A client with a call that gets no answer, and the verdicts on that call."""
 
     client: ServerClient
     timers: TimerService
@@ -48,8 +48,10 @@
     group: Any
     verdicts: list[Verdict] = field(factory=list)
 
-    async def lose(self, idempotent: bool = True, limit_s: float = 1000.0) -> None:
-        """Send the call that gets no answer and wait until it is there."""
+    async def send_lost_call(
+        self, idempotent: bool = True, limit_s: float = 1000.0
+    ) -> None:
+        """Send the call that gets no answer and wait until the server has it."""
 
         async def run() -> None:
             call = make_call("lost", idempotent)
@@ -62,28 +64,30 @@
         self.group.start_soon(run)
         await self._wait(lambda: len(self.server.requests) > before)
 
-    async def pass_time(self, seconds: float) -> None:
-        """Let time pass and let a question that falls due be answered."""
+    async def advance_time(self, seconds: float) -> None:
+        """Advance the clock and wait for a probe that is due."""
         before = len(self.server.requests)
         self.timers.advance(seconds)
         await self._wait(lambda: len(self.server.requests) > before)
 
     async def _wait(self, is_done: Callable[[], bool]) -> None:
-        with anyio.fail_after(LIMIT_S):
+        with anyio.fail_after(TIMEOUT_S):
             while not is_done():
                 await anyio.sleep(0.001)
-        # what was answered is also taken
+        # Let the client process the answers.
         for _ in range(20):
             await anyio.sleep(0.001)
 
 
 @asynccontextmanager
-async def run_bench(fate: bytes | None, first: str = SAME) -> AsyncIterator[Bench]:
-    """Run a server that names its process in its first answer, then loses a call."""
+async def run_fixture(
+    state: bytes | None, first: str = SAME
+) -> AsyncIterator[ProbeFixture]:
+    """Run a server with ``first`` in its first answer and ``state`` for probes."""
 
     def reply(request: bytes, number: int) -> bytes | None:
         if request.startswith(b"GET /_eelgrassmount/calls/lost "):
-            return fate
+            return state
         return None if b"lost" in request else make_answer(extra=first)
 
     async with run_server(reply) as server, anyio.create_task_group() as group:
@@ -91,26 +95,32 @@
         client = ServerClient(timers.clock, make_metrics(), 1000)
         background = Background(group, lambda: None)
         ServerProbes(client, timers, background, lambda: server.address).start()
-        bench = Bench(client, timers, server, group)
+        fixture = ProbeFixture(client, timers, server, group)
         await client.send(server.address, make_call(), 0, lambda: None)
-        yield bench
+        yield fixture
         group.cancel_scope.cancel()
         client.close()
 
 
-def repeat(body: bytes = b"good", call_id: str = "lost", extra: str = "") -> bytes:
+def make_stored_answer(
+    body: bytes = b"good", call_id: str = "lost", extra: str = ""
+) -> bytes:
     return make_answer(body, call_id, extra=DONE + extra)
 
 
-# what the server says of the call, the verdict at once, the one after a second
-FATES = {
-    "never begun": (make_answer(UNKNOWN, extra=SAME), NOT_RUN, NOT_RUN),
+# Answer to a probe, verdict after the first probe, verdict once the call is abandoned.
+STATES = {
+    "never started": (make_answer(UNKNOWN, extra=SAME), NOT_RUN, NOT_RUN),
     "another process": (make_answer(UNKNOWN, extra=OTHER), None, SILENT),
     "nameless process": (make_answer(UNKNOWN), None, SILENT),
     "running": (make_answer(RUNNING, extra=SAME), None, None),
-    "done": (repeat(), Answered(200, (), b"good"), Answered(200, (), b"good")),
-    "done, another call": (repeat(call_id="c1"), BAD, BAD),
-    "done, spoiled": (repeat(extra=make_digest(b"GOOD")), BAD, BAD),
+    "done": (
+        make_stored_answer(),
+        Answered(200, (), b"good"),
+        Answered(200, (), b"good"),
+    ),
+    "done, another call": (make_stored_answer(call_id="c1"), BAD, BAD),
+    "done, wrong digest": (make_stored_answer(extra=make_digest(b"GOOD")), BAD, BAD),
     "not supported": (NOT_FOUND, None, SILENT),
     "unknown with an error": (make_answer(UNKNOWN, status="404 No"), None, SILENT),
     "not JSON": (make_answer(b"<p>"), None, SILENT),
@@ -121,84 +131,86 @@
 }
 
 
-@pytest.mark.parametrize("name", FATES)
-async def test_fates(name: str) -> None:
-    fate, at_once, later = FATES[name]
-    async with run_bench(fate) as bench:
-        await bench.lose()
-        await bench.pass_time(0.3)
-        assert bench.verdicts == ([at_once] if at_once else [])
-        if not at_once:
-            await bench.pass_time(GIVE_UP_AFTER_S)
-            assert bench.verdicts == ([later] if later else [])
-
-
-async def test_connections_beside_a_silent_one_are_not_used_again() -> None:
-    async with run_bench(make_answer(UNKNOWN, extra=SAME)) as bench:
-        await bench.lose()
-        await bench.client.send(bench.server.address, make_call(), 0, lambda: None)
-        before = bench.server.connections
-        await bench.pass_time(0.3)
-        await bench.client.send(bench.server.address, make_call(), 0, lambda: None)
-        # one for the question, and one in place of the idle one
-        assert bench.server.connections == before + 2
-
-
-async def test_what_cannot_be_told_is_never_guessed_for_others() -> None:
-    async with run_bench(NOT_FOUND) as bench:
-        await bench.lose(idempotent=False)
+@pytest.mark.parametrize("name", STATES)
+async def test_verdict_follows_the_reported_state(name: str) -> None:
+    state, first_verdict, later_verdict = STATES[name]
+    async with run_fixture(state) as fixture:
+        await fixture.send_lost_call()
+        await fixture.advance_time(0.3)
+        assert fixture.verdicts == ([first_verdict] if first_verdict else [])
+        if not first_verdict:
+            await fixture.advance_time(MIN_ABANDON_DELAY_S)
+            assert fixture.verdicts == ([later_verdict] if later_verdict else [])
+
+
+async def test_idle_connections_are_closed_after_a_silent_one() -> None:
+    async with run_fixture(make_answer(UNKNOWN, extra=SAME)) as fixture:
+        await fixture.send_lost_call()
+        await fixture.client.send(fixture.server.address, make_call(), 0, lambda: None)
+        before = fixture.server.connections
+        await fixture.advance_time(0.3)
+        await fixture.client.send(fixture.server.address, make_call(), 0, lambda: None)
+        # One connection for the probe, and one that replaces the idle one.
+        assert fixture.server.connections == before + 2
+
+
+async def test_call_that_is_not_idempotent_is_never_abandoned() -> None:
+    async with run_fixture(NOT_FOUND) as fixture:
+        await fixture.send_lost_call(idempotent=False)
         for _ in range(3):
-            await bench.pass_time(GIVE_UP_AFTER_S)
-        assert bench.verdicts == []
+            await fixture.advance_time(MIN_ABANDON_DELAY_S)
+        assert fixture.verdicts == []
 
 
 @pytest.mark.parametrize(
     ("process", "verdicts"), [(SAME, [NOT_RUN]), (OTHER, []), ("", [])]
 )
-async def test_fresh_connection_to_a_process_that_answered_before(
+async def test_new_connection_belongs_to_the_process_that_answered_before(
     process: str, verdicts: list[Verdict]
 ) -> None:
-    async with run_bench(make_answer(UNKNOWN, extra=process)) as bench:
-        bench.client.close()
-        await bench.lose(idempotent=False)
-        assert bench.server.connections == 2
-        await bench.pass_time(0.3)
-        assert bench.verdicts == verdicts
-
-
-async def test_process_that_never_answered_is_not_known() -> None:
-    async with run_bench(make_answer(UNKNOWN, extra=SAME), first="") as bench:
-        await bench.lose(idempotent=False)
-        await bench.pass_time(0.3)
-        assert bench.verdicts == []
-
-
-async def test_slow_server_is_not_asked_before_four_typical_times() -> None:
-    async with run_bench(make_answer(UNKNOWN, extra=SAME)) as bench:
-        bench.client.typical_s = 1.0
-        await bench.lose()
-        requests = len(bench.server.requests)
-        bench.timers.advance(3.9)
+    async with run_fixture(make_answer(UNKNOWN, extra=process)) as fixture:
+        fixture.client.close()
+        await fixture.send_lost_call(idempotent=False)
+        assert fixture.server.connections == 2
+        await fixture.advance_time(0.3)
+        assert fixture.verdicts == verdicts
+
+
+async def test_process_without_an_earlier_answer_is_unknown() -> None:
+    async with run_fixture(make_answer(UNKNOWN, extra=SAME), first="") as fixture:
+        await fixture.send_lost_call(idempotent=False)
+        await fixture.advance_time(0.3)
+        assert fixture.verdicts == []
+
+
+async def test_slow_server_is_not_probed_before_four_mean_latencies() -> None:
+    async with run_fixture(make_answer(UNKNOWN, extra=SAME)) as fixture:
+        fixture.client.mean_latency_s = 1.0
+        await fixture.send_lost_call()
+        requests = len(fixture.server.requests)
+        fixture.timers.advance(3.9)
         await anyio.wait_all_tasks_blocked()
-        assert len(bench.server.requests) == requests
-        await bench.pass_time(0.2)
-        assert bench.verdicts == [NOT_RUN]
+        assert len(fixture.server.requests) == requests
+        await fixture.advance_time(0.2)
+        assert fixture.verdicts == [NOT_RUN]
 
 
-async def test_slow_server_is_asked_while_its_answer_is_still_of_use() -> None:
-    async with run_bench(repeat()) as bench:
-        bench.client.typical_s = 1.0
-        await bench.lose(limit_s=3.0)
-        await bench.pass_time(1.1)
-        assert bench.verdicts == [Answered(200, (), b"good")]
+async def test_slow_server_is_probed_well_before_the_deadline() -> None:
+    async with run_fixture(make_stored_answer()) as fixture:
+        fixture.client.mean_latency_s = 1.0
+        await fixture.send_lost_call(limit_s=3.0)
+        await fixture.advance_time(1.1)
+        assert fixture.verdicts == [Answered(200, (), b"good")]
 
 
-async def test_silent_server_holds_up_nothing() -> None:
-    """No answer to the question itself: the next one waits for a later time."""
-    async with run_bench(None) as bench:
-        await bench.lose()
-        await bench.pass_time(0.3)
-        assert bench.verdicts == []
+async def test_unanswered_probe_does_not_block_other_calls() -> None:
+    """A server may leave the probe itself without an answer."""
+    async with run_fixture(None) as fixture:
+        await fixture.send_lost_call()
+        await fixture.advance_time(0.3)
+        assert fixture.verdicts == []
         assert (
-            await bench.client.send(bench.server.address, make_call(), 0, lambda: None)
+            await fixture.client.send(
+                fixture.server.address, make_call(), 0, lambda: None
+            )
         ) == Answered(200, (), b"good")
--- a/tests/edge/test_server.py
+++ b/tests/edge/test_server.py
@@ -1,4 +1,4 @@
-"""Verdicts on calls to the backend server."""
+"""Verdicts on calls to the backend server, and reuse of its connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from eelgrassmount.edge.server import IDLE_LIMIT_S, ServerClient
+from eelgrassmount.edge.server import IDLE_TIMEOUT_S, ServerClient
 from eelgrassmount.metrics import make_metrics
 from eelgrassmount.timers import ManualClock
 from eelgrassmount.verdict import Answered, Header, MayHaveRun, NotRun, Reason
@@ -54,10 +54,15 @@
 
 async def test_request_carries_the_call_and_its_context(client: ServerClient) -> None:
     async with run_server(lambda request, number: make_answer()) as server:
-        own = Header("eelgrassmount-call", "forged")
-        named = (Header("connection", "x-hop"), Header("x-hop", "1"))
+        forged = Header("eelgrassmount-call", "forged")
+        hop_headers = (Header("connection", "x-hop"), Header("x-hop", "1"))
         call = make_call()
-        headers = (*call.request.headers, own, *named, Header("host", "elsewhere"))
+        headers = (
+            *call.request.headers,
+            forged,
+            *hop_headers,
+            Header("host", "elsewhere"),
+        )
         call = make_call(headers=headers)
         assert await send(client, server, call) == GOOD
     head, _, body = server.requests[0].decode("latin-1").partition("\r\n\r\n")
@@ -78,7 +83,7 @@
 
 SHED = "Eelgrassmount-Verdict: not-run\r\nEelgrassmount-Retry-After-Ms: 250\r\n"
 PARTIAL = "Eelgrassmount-Verdict: may-have-run\r\n"
-FOREVER = "Eelgrassmount-Verdict: not-run\r\nEelgrassmount-Retry-After-Ms: "
+LONG_RETRY_AFTER = "Eelgrassmount-Verdict: not-run\r\nEelgrassmount-Retry-After-Ms: "
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CHUNKED = (
     b"HTTP/1.1 200 OK\r\nEelgrassmount-Call: c1\r\n"
@@ -86,7 +91,7 @@
 )
 NO_LENGTH = b"HTTP/1.1 200 OK\r\nEelgrassmount-Call: c1\r\n\r\ngood"
 
-# name: answer, verdict, reason counted, whether the connection is used again
+# Answer, verdict, counted drop reason, whether the connection is reused.
 ANSWERS = {
     "plain": (make_answer(), GOOD, None, True),
     "digest": (make_answer(extra=make_digest(b"good")), None, None, True),
@@ -111,8 +116,8 @@
         None,
         True,
     ),
-    "shed for ever": (
-        make_answer(status="503 Busy", extra=FOREVER + "9" * 400 + "\r\n"),
+    "shed with a long delay": (
+        make_answer(status="503 Busy", extra=LONG_RETRY_AFTER + "9" * 400 + "\r\n"),
         NotRun(Reason.SERVER_SHED, 3600.0),
         None,
         True,
@@ -135,7 +140,7 @@
     "truncated chunks": (CHUNKED[:-5] + b"!", BAD, "truncated", False),
     "no length": (NO_LENGTH + b"!", BAD, "truncated", False),
     "over-long body": (make_answer(b"x" * 1001), BAD, "over-long", False),
-    "over-long claim": (make_answer(b"x" * 9000), BAD, "over-long", False),
+    "over-long declared body": (make_answer(b"x" * 9000), BAD, "over-long", False),
     "over-long head": (
         make_answer(extra=f"X: {'x' * 20_000}\r\n"),
         BAD,
@@ -171,8 +176,10 @@
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-async def test_answers(client: ServerClient, name: str) -> None:
-    answer, verdict, counted, used_again = ANSWERS[name]
+async def test_verdict_on_an_answer_and_reuse_of_its_connection(
+    client: ServerClient, name: str
+) -> None:
+    answer, verdict, counted, reused = ANSWERS[name]
 
     def reply(request: bytes, number: int) -> bytes:
         return make_answer() if len(server.requests) > 1 else answer
@@ -184,7 +191,7 @@
         assert found == verdict
         assert count_dropped(client) == ({counted: 1} if counted else {})
         assert await send(client, server) == GOOD
-        assert server.connections == (1 if used_again else 2)
+        assert server.connections == (1 if reused else 2)
         assert client.exchanges == {}
 
 
@@ -200,9 +207,9 @@
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         address = f"{HOST}:{probe.getsockname()[1]}"
-    begun: list[Any] = []
-    verdict = await client.send(address, make_call(), 3, lambda: begun.append(None))
-    assert (verdict, begun) == (NotRun(Reason.NO_SERVER), [])
+    started: list[Any] = []
+    verdict = await client.send(address, make_call(), 3, lambda: started.append(None))
+    assert (verdict, started) == (NotRun(Reason.NO_SERVER), [])
 
 
 @pytest.mark.parametrize(
@@ -217,7 +224,7 @@
         {"headers": (Header("x", "\0"),)},
     ],
 )
-async def test_what_http_cannot_carry_is_not_run(
+async def test_request_with_invalid_text_is_not_run(
     client: ServerClient, change: dict[str, Any]
 ) -> None:
     async with run_server(lambda request, number: make_answer()) as server:
@@ -226,7 +233,7 @@
         assert server.connections == 0
 
 
-async def test_connection_of_a_cancelled_call_is_not_used_again(
+async def test_connection_of_a_cancelled_call_is_not_reused(
     client: ServerClient,
 ) -> None:
     def reply(request: bytes, number: int) -> bytes | None:
@@ -246,15 +253,15 @@
 
 @pytest.mark.parametrize("turns", [0, 10])
 @pytest.mark.parametrize(
-    ("last_words", "counted"), [(b"", {}), (make_answer(), {"late": 1})]
+    ("unsolicited", "counted"), [(b"", {}), (make_answer(), {"late": 1})]
 )
-async def test_idle_connection_that_got_more_is_not_used(
-    client: ServerClient, last_words: bytes, counted: dict[str, int], turns: int
+async def test_idle_connection_with_unsolicited_bytes_is_not_reused(
+    client: ServerClient, unsolicited: bytes, counted: dict[str, int], turns: int
 ) -> None:
     async with run_server(lambda request, number: make_answer()) as server:
         assert await send(client, server) == GOOD
-        await server.speak(last_words)
-        # whether the loop has come to read it or not
+        await server.send_unsolicited(unsolicited)
+        # With and without turns in which the event loop reads the bytes.
         for _ in range(turns):
             await anyio.sleep(0)
         assert await send(client, server) == GOOD
@@ -262,28 +269,30 @@
         assert count_dropped(client) == counted
 
 
-async def test_early_answer_leaves_a_connection_that_is_still_being_written(
+async def test_connection_with_an_unsent_request_is_not_reused(
     client: ServerClient,
 ) -> None:
-    """The rest of the request may reach the server behind its answer."""
+    """The rest of the request may reach the server after its early answer."""
     body = b"x" * 8_000_000
     async with run_server(lambda request, number: make_answer()) as server:
-        server.early = make_answer(status="503 Busy", extra=SHED)
+        server.early_answer = make_answer(status="503 Busy", extra=SHED)
         shed = await send(client, server, make_call(body=body))
         assert shed == NotRun(Reason.SERVER_SHED, 0.25)
-        server.early = b""
+        server.early_answer = b""
         assert await send(client, server) == GOOD
         assert server.connections == 2
 
 
-async def test_idle_connections_end_with_age_and_address(client: ServerClient) -> None:
+async def test_idle_connections_close_on_timeout_and_change_of_address(
+    client: ServerClient,
+) -> None:
     async with (
         run_server(lambda request, number: make_answer()) as server,
         run_server(lambda request, number: make_answer()) as other,
     ):
         for _ in range(2):
             assert await send(client, server) == GOOD
-            client.clock.now_s += IDLE_LIMIT_S + 1.0
+            client.clock.now_s += IDLE_TIMEOUT_S + 1.0
         assert server.connections == 2
         assert await send(client, other) == GOOD
         assert await send(client, server) == GOOD
