--- a/eelgrassmount/http1/exchange.py
+++ b/eelgrassmount/http1/exchange.py
@@ -1,4 +1,4 @@
-"""A request as it arrives, and the place for its answer."""
+"""A request on a server connection, and its answer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @frozen(eq=False)
 class Answer:
-    """An answer that waits for its turn; ``head`` holds whole header lines."""
+    """An answer that is not sent yet; ``head`` has complete header lines."""
 
     status: int
     head: bytes
@@ -39,10 +39,10 @@
 
 @define(eq=False)
 class Exchange:
-    """One request of a connection.
+    """One request on a connection, and its answer.
 
-    ``headers`` are pairs of lower-case name and value, which may be secret.
-    ``on_abandon`` is called when the client closes its connection before the answer.
+    ``headers`` are pairs of lower-case name and value; they may contain secrets.
+    ``on_abandon`` is called if the connection closes before the answer.
     """
 
     connection: ServerConnection
@@ -56,25 +56,25 @@
     answer: Answer | None = None
 
     def get_peer_ip(self) -> str:
-        """Return the IP address that the request came from, if it is still known."""
+        """Return the IP address of the client, empty if it has disconnected."""
         transport = self.connection.transport
         peer = None if transport is None else transport.get_extra_info("peername")
         return str(peer[0]) if peer else ""
 
     def respond(self, status: int, head: bytes = b"", body: bytes = b"") -> None:
-        """Give the answer; ``head`` holds whole header lines."""
+        """Set the answer unless there is one; ``head`` has complete header lines."""
         if self.answer is not None:
             return
         self.on_abandon = None
         self.answer = Answer(status, head, body)
         self.connection.flush()
 
-    def write_answer(self, closing: bool) -> bytes:
-        """Return the answer as it goes out; ``closing`` says that it is the last."""
+    def encode_answer(self, closing: bool) -> bytes:
+        """Return the answer as bytes; ``closing`` marks the last of a connection."""
         answer = self.answer
-        # the length of a body that only the server knows is left out
-        unknown = self.method == "HEAD" and not answer.body
-        length = b"" if unknown else b"content-length: %d\r\n" % len(answer.body)
+        # The length of the body is unknown for an answer to HEAD without one.
+        is_unknown = self.method == "HEAD" and not answer.body
+        length = b"" if is_unknown else b"content-length: %d\r\n" % len(answer.body)
         return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n%s" % (
             answer.status,
             REASONS.get(answer.status, b"-"),
--- a/eelgrassmount/http1/server.py
+++ b/eelgrassmount/http1/server.py
@@ -1,4 +1,4 @@
-"""The server's side of an HTTP/1.1 connection."""
+"""Server side of HTTP/1.1 connections."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# answers kept in order for one client; beyond it the connection is not read on
+# Open requests on one connection, beyond which reading from it is paused.
 MAX_PIPELINED = 64
-# how often the connections are looked through for those that take too long
+# Interval of the check for idle and slow connections.
 SWEEP_INTERVAL_S = 1.0
 
 
 @frozen
 class ServerLimits:
-    """What a client may send, and how many seconds it may take or stay idle."""
+    """Limits on the size of a request and on slow or idle connections."""
 
     max_header_bytes: int = 65536
     max_body_bytes: int = 64 * 1024 * 1024
@@ -33,10 +33,10 @@
 
 @define(eq=False)
 class HttpListener:
-    """Takes connections and hands each complete request to ``handle``.
+    """Accepts connections and passes each complete request to ``handle``.
 
-    ``stopping`` makes each connection close behind the answers to what it has read;
-    connections without an open request are closed by `close_idle`.
+    While ``stopping`` is set, each connection closes after it has answered its open
+    requests. `close_idle` closes the connections without open requests.
     """
 
     handle: Callable[[Exchange], None]
@@ -47,52 +47,52 @@
     _server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Bind the address, raising `OSError` when that is not possible."""
+        """Listen on an address; raise `OSError` if it can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self), host, port, backlog=1024, reuse_address=True
         )
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def end(self) -> None:
-        """Take nothing more and drop all connections."""
+        """Stop accepting connections and abort all open ones."""
         self.stop_listening()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
 
     def count_open(self) -> int:
-        """Return how many requests have no answer yet, or not all of it."""
+        """Return the number of requests whose answer is not sent completely."""
         return sum(
             len(connection.pending) + connection.is_sending()
             for connection in self.connections
         )
 
     def close_idle(self) -> None:
-        """Close the connections that have no open request."""
+        """Close the connections without an open request."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.close()
 
     def sweep(self) -> None:
-        """Close connections that are idle or slow beyond the limits."""
+        """Close connections that exceed the idle or header timeout."""
         now_s = self.clock()
         for connection in list(self.connections):
-            connection.check_age(now_s)
+            connection.check_timeouts(now_s)
 
 
 class ServerConnection(asyncio.Protocol):
-    """Parses the requests of one client and sends the answers in their order."""
+    """Parses the requests of one client and sends the answers in the same order."""
 
     def __init__(self, listener: HttpListener):
         self.listener = listener
         self.transport: asyncio.Transport | None = None
         self.pending: deque[Exchange] = deque()
-        self.last_s = listener.clock()
+        self.last_active_s = listener.clock()
         self.closed = False
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
@@ -101,108 +101,108 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._reading = False
-        self._last_taken = False
+        self._ignoring_input = False
         self._paused = False
 
     @property
     def stopping(self) -> bool:
-        """Tell whether the connection closes behind the answers that are open."""
+        """Whether the connection closes after the answers to its open requests."""
         return self.listener.stopping
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport (called by the event loop)."""
+        """Store the transport (called by the event loop)."""
         self.transport = transport
         self.listener.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the open requests that nobody waits for them any more."""
+        """Abandon the open requests of the connection."""
         self.closed = True
         self.listener.connections.discard(self)
         for exchange in self.pending:
             if exchange.on_abandon is not None:
                 exchange.on_abandon()
         self.pending.clear()
-        # it leads back here: without this, what a connection holds stays until the
-        # collector runs
+        # The parser refers to this object; without the reference cycle, a closed
+        # connection is freed without garbage collection.
         self._parser = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
-        if self._last_taken:
+        """Parse received bytes."""
+        if self._ignoring_input:
             return
-        self.last_s = self.listener.clock()
+        self.last_active_s = self.listener.clock()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self._refuse(400)
         except httptools.HttpParserError as error:
-            if not self._last_taken:
+            if not self._ignoring_input:
                 logger.info("malformed request", error=str(error))
                 self._refuse(400)
 
     def is_idle(self) -> bool:
-        """Tell whether no request is open or half read."""
+        """Return whether there is no open or incomplete request."""
         return not self.pending and not self._reading
 
     def is_sending(self) -> bool:
-        """Tell whether bytes of an answer wait for the client to read."""
+        """Return whether bytes of an answer are not sent yet."""
         transport = self.transport
         return transport is not None and transport.get_write_buffer_size() > 0
 
-    def check_age(self, now_s: float) -> None:
-        """Close the connection when its client takes too long."""
+    def check_timeouts(self, now_s: float) -> None:
+        """Close the connection if it exceeds a timeout."""
         limits = self.listener.limits
-        age_s = now_s - self.last_s
-        if self._reading and age_s > limits.header_timeout_s:
+        inactive_s = now_s - self.last_active_s
+        if self._reading and inactive_s > limits.header_timeout_s:
             self._refuse(408)
-        elif self.is_idle() and age_s > limits.idle_timeout_s:
+        elif self.is_idle() and inactive_s > limits.idle_timeout_s:
             self.close()
 
     def close(self) -> None:
-        """Close the connection behind what has been written."""
+        """Close the connection after the written bytes are sent."""
         if not self.closed and self.transport is not None:
             self.closed = True
             self.transport.close()
 
     def flush(self) -> None:
-        """Send the answers that are ready and next in order."""
+        """Send the answers that are ready, in the order of the requests."""
         pending = self.pending
         while pending and pending[0].answer is not None:
             exchange = pending.popleft()
             if self.closed:
                 continue
-            # what was read is answered, also behind the first answer of the end: of two
-            # requests on a connection, one was dropped with its server at work
+            # While stopping, only the answer to the last open request closes the
+            # connection. An earlier close would drop requests that are being served.
             closing = not exchange.keep_alive or (self.stopping and not pending)
-            self.transport.write(exchange.write_answer(closing))
-            self.last_s = self.listener.clock()
+            self.transport.write(exchange.encode_answer(closing))
+            self.last_active_s = self.listener.clock()
             if closing:
-                self._drop_behind()
+                self._abandon_pending()
                 self.close()
         if self._paused and len(pending) < MAX_PIPELINED:
             self._paused = False
             if not self.closed:
                 self.transport.resume_reading()
 
-    def _drop_behind(self) -> None:
-        """Abandon requests behind an answer that closes; they count as not read."""
+    def _abandon_pending(self) -> None:
+        """Abandon the requests after the one whose answer closes the connection."""
         for exchange in list(self.pending):
             if exchange.on_abandon is not None:
                 exchange.on_abandon()
         self.pending.clear()
 
     def _refuse(self, status: int) -> None:
-        self._last_taken = True
+        self._ignoring_input = True
         exchange = Exchange(
             self, "GET", "", [], b"", False, self.listener.clock(), None
         )
         self.pending.append(exchange)
         exchange.respond(status)
 
-    # callbacks of the parser
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._url = b""
         self._headers = []
         self._header_bytes = 0
@@ -211,11 +211,11 @@
         self._reading = True
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Add a part of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Add a header."""
         self._headers.append((name.lower(), value))
         self._header_bytes += len(name) + len(value) + 4
         if self._header_bytes > self.listener.limits.max_header_bytes:
@@ -223,7 +223,7 @@
             raise httptools.HttpParserCallbackError("the headers are too long")
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Add a part of the body."""
         self._body.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > self.listener.limits.max_body_bytes:
@@ -231,12 +231,12 @@
             raise httptools.HttpParserCallbackError("the body is too long")
 
     def on_message_complete(self) -> None:
-        """Hand the complete request on."""
+        """Pass the complete request to the handler."""
         self._reading = False
         if self.stopping and self.pending:
-            # the answers of those before close the connection: it counts as not read
-            self._last_taken = True
-        if self._last_taken or self.closed:
+            # The answer to an earlier request closes the connection.
+            self._ignoring_input = True
+        if self._ignoring_input or self.closed:
             return
         parser = self._parser
         keep_alive = parser.should_keep_alive()
@@ -247,10 +247,10 @@
             self._headers,
             b"".join(self._body),
             keep_alive,
-            self.last_s,
+            self.last_active_s,
         )
         self._body = []
-        self._last_taken = not keep_alive
+        self._ignoring_input = not keep_alive
         self.pending.append(exchange)
         if len(self.pending) >= MAX_PIPELINED and not self._paused:
             self._paused = True
@@ -258,6 +258,6 @@
         try:
             self.listener.handle(exchange)
         except Exception:
-            # whatever went wrong, the client gets an answer that promises nothing
+            # The client gets an answer even if the handler fails.
             logger.exception("request handler failed")
             exchange.respond(500)
--- a/tests/http1/transports.py
+++ b/tests/http1/transports.py
@@ -1,4 +1,4 @@
-"""A transport that keeps what is written to it."""
+"""A transport that stores the written bytes."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class MemoryTransport:
-    """Stands for a connection; ``protocol`` is told when it is dropped."""
+    """An in-memory replacement for the transport of a connection."""
 
     def __init__(self, protocol: Any = None):
         self.protocol = protocol
         self.written = b""
         self.closing = False
         self.reading = True
-        self.unsent = 0
+        self.unsent_bytes = 0
 
     def write(self, data: bytes) -> None:
         if not self.closing:
@@ -35,4 +35,4 @@
         return None
 
     def get_write_buffer_size(self) -> int:
-        return self.unsent
+        return self.unsent_bytes
