--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -24,14 +24,14 @@
 ADDRESS = "127.0.0.1:7"
 OLD = "old"
 GOOD = Answered(200, (), b"good")
-UNREACHABLE = PeerFailure(ADDRESS, sent=False)
+UNSENT = PeerFailure(ADDRESS, sent=False)
 LOST = PeerFailure(ADDRESS, sent=True, incarnation=OLD)
 MAY_HAVE_RUN = MayHaveRun(Reason.PEER_LOST)
 NOT_RUN = NotRun(Reason.PEER_LOST)
 ANSWER = Message(outcome=encode_outcome("one", Outcome(GOOD)))
 
 
-def make_status_answer(state: CallState) -> Message:
+def status(state: CallState) -> Message:
     outcome = ANSWER.outcome if state is CallState.DONE else None
     return Message(fate_answer=FateAnswer("one", state, outcome))
 
@@ -76,24 +76,17 @@
 # Replies, the verdict on a call that is not idempotent, the verdict on one that is.
 REPLIES = {
     "answered": ([ANSWER], GOOD, GOOD),
-    "never sent": ([UNREACHABLE], NOT_RUN, NOT_RUN),
-    "done": ([LOST, make_status_answer(CallState.DONE)], GOOD, GOOD),
-    "unknown": ([LOST, make_status_answer(CallState.UNKNOWN), ANSWER], GOOD, GOOD),
+    "never sent": ([UNSENT], NOT_RUN, NOT_RUN),
+    "done": ([LOST, status(CallState.DONE)], GOOD, GOOD),
+    "unknown": ([LOST, status(CallState.UNKNOWN), ANSWER], GOOD, GOOD),
     "unknown every time": (
-        [LOST, make_status_answer(CallState.UNKNOWN)] * 3,
+        [LOST, status(CallState.UNKNOWN)] * 3,
         NOT_RUN,
         NOT_RUN,
     ),
-    "pending": ([LOST, make_status_answer(CallState.PENDING), ANSWER], GOOD, GOOD),
+    "pending": ([LOST, status(CallState.PENDING), ANSWER], GOOD, GOOD),
     "disconnected for a while": (
-        [
-            LOST,
-            UNREACHABLE,
-            LOST,
-            make_status_answer(CallState.PENDING),
-            LOST,
-            make_status_answer(CallState.DONE),
-        ],
+        [LOST, UNSENT, LOST, status(CallState.PENDING), LOST, status(CallState.DONE)],
         GOOD,
         MAY_HAVE_RUN,
     ),
@@ -109,7 +102,7 @@
 
 
 async def test_call_that_never_arrived_is_resent_with_a_new_id() -> None:
-    peers = ScriptedPeers([LOST, make_status_answer(CallState.UNKNOWN), ANSWER])
+    peers = ScriptedPeers([LOST, status(CallState.UNKNOWN), ANSWER])
     await run_call(peers)
     assert len(peers.answered_ids) == 1
     assert peers.answered_ids != ["one"]
@@ -120,12 +113,12 @@
     [("new", MemberState.ALIVE), (OLD, MemberState.DEAD), (OLD, MemberState.LEFT)],
 )
 async def test_status_of_a_node_that_is_gone_is_not_awaited(incarnation, state) -> None:
-    peers = ScriptedPeers([LOST, UNREACHABLE], incarnation)
+    peers = ScriptedPeers([LOST, UNSENT], incarnation)
     with anyio.fail_after(20.0):
         assert await run_call(peers, state=state) == MAY_HAVE_RUN
 
 
 async def test_status_of_an_unreachable_node_is_awaited_until_the_deadline() -> None:
-    peers = ScriptedPeers([LOST, UNREACHABLE])
+    peers = ScriptedPeers([LOST, UNSENT])
     assert await run_call(peers, limit_s=0.3) == MAY_HAVE_RUN
     assert [message.cancel.call_id for message in peers.notifications] == ["one"]
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -10,7 +10,7 @@
 OK = b"HTTP/1.1 200 OK\r\nX-Id: 7\r\nContent-Length: 2\r\n\r\nhi"
 
 
-class ClientFixture:
+class Setup:
     def __init__(self) -> None:
         self.idle: list[ClientConnection] = []
         self.lost: list[ClientConnection] = []
@@ -33,94 +33,94 @@
 
 
 @pytest.fixture
-def fixture() -> ClientFixture:
-    fixture = ClientFixture()
-    fixture.send()
-    return fixture
+def setup() -> Setup:
+    setup = Setup()
+    setup.send()
+    return setup
 
 
-def test_complete_answer_is_reported_and_the_connection_idle(fixture):
-    fixture.receive(OK[:30], OK[30:])
-    (answer,) = fixture.outcomes
+def test_complete_answer_is_reported_and_the_connection_idle(setup):
+    setup.receive(OK[:30], OK[30:])
+    (answer,) = setup.outcomes
     assert (answer.status, answer.body) == (200, b"hi")
     assert (b"x-id", b"7") in answer.headers
-    assert fixture.idle == [fixture.connection]
+    assert setup.idle == [setup.connection]
 
 
-def test_connection_is_reused_for_a_second_request(fixture):
-    fixture.receive(OK)
-    fixture.send()
-    fixture.receive(OK)
-    assert [answer.body for answer in fixture.outcomes] == [b"hi", b"hi"]
+def test_connection_is_reused_for_a_second_request(setup):
+    setup.receive(OK)
+    setup.send()
+    setup.receive(OK)
+    assert [answer.body for answer in setup.outcomes] == [b"hi", b"hi"]
 
 
-def test_interim_answer_is_skipped(fixture):
-    fixture.receive(b"HTTP/1.1 100 Continue\r\n\r\n" + OK)
-    assert [answer.status for answer in fixture.outcomes] == [200]
+def test_interim_answer_is_skipped(setup):
+    setup.receive(b"HTTP/1.1 100 Continue\r\n\r\n" + OK)
+    assert [answer.status for answer in setup.outcomes] == [200]
 
 
-def test_connection_is_not_reused_after_the_server_closes_it(fixture):
-    fixture.receive(OK.replace(b"X-Id: 7", b"Connection: close"))
-    assert fixture.outcomes[0].status == 200
-    assert fixture.idle == []
-    assert fixture.lost == [fixture.connection]
+def test_connection_is_not_reused_after_the_server_closes_it(setup):
+    setup.receive(OK.replace(b"X-Id: 7", b"Connection: close"))
+    assert setup.outcomes[0].status == 200
+    assert setup.idle == []
+    assert setup.lost == [setup.connection]
 
 
 @pytest.mark.parametrize("extra", [OK, b"garbage\r\n\r\n", b"\x00"])
-def test_bytes_after_an_answer_close_the_connection(fixture, extra):
-    fixture.receive(OK + extra)
-    assert [answer.body for answer in fixture.outcomes] == [b"hi"]
-    assert fixture.idle == []
+def test_bytes_after_an_answer_close_the_connection(setup, extra):
+    setup.receive(OK + extra)
+    assert [answer.body for answer in setup.outcomes] == [b"hi"]
+    assert setup.idle == []
 
 
-def test_unsolicited_bytes_close_the_connection(fixture):
-    fixture.receive(OK)
-    fixture.receive(OK)
-    assert len(fixture.outcomes) == 1
-    assert fixture.connection.closed
+def test_unsolicited_bytes_close_the_connection(setup):
+    setup.receive(OK)
+    setup.receive(OK)
+    assert len(setup.outcomes) == 1
+    assert setup.connection.closed
 
 
-def test_late_answer_to_an_earlier_request_is_skipped(fixture):
-    fixture.receive(OK)
-    fixture.send(lambda answer: (b"x-id", b"8") in answer.headers)
-    fixture.receive(OK + OK.replace(b"7", b"8").replace(b"hi", b"yo"))
-    assert fixture.outcomes[1].body == b"yo"
-    assert len(fixture.idle) == 1
+def test_late_answer_to_an_earlier_request_is_skipped(setup):
+    setup.receive(OK)
+    setup.send(lambda answer: (b"x-id", b"8") in answer.headers)
+    setup.receive(OK + OK.replace(b"7", b"8").replace(b"hi", b"yo"))
+    assert setup.outcomes[1].body == b"yo"
+    assert len(setup.idle) == 1
 
 
-def test_answer_without_length_is_complete_when_the_connection_closes(fixture):
-    fixture.receive(b"HTTP/1.1 200 OK\r\n\r\nab", b"cd")
-    assert fixture.outcomes == []
-    fixture.lose_connection()
-    assert fixture.outcomes[0].body == b"abcd"
+def test_answer_without_length_is_complete_when_the_connection_closes(setup):
+    setup.receive(b"HTTP/1.1 200 OK\r\n\r\nab", b"cd")
+    assert setup.outcomes == []
+    setup.lose_connection()
+    assert setup.outcomes[0].body == b"abcd"
 
 
-def test_answer_without_length_is_truncated_when_the_connection_is_reset(fixture):
-    fixture.receive(b"HTTP/1.1 200 OK\r\n\r\nab")
-    fixture.lose_connection(ConnectionResetError())
-    assert fixture.outcomes == [ExchangeFailure.TRUNCATED]
+def test_answer_without_length_is_truncated_when_the_connection_is_reset(setup):
+    setup.receive(b"HTTP/1.1 200 OK\r\n\r\nab")
+    setup.lose_connection(ConnectionResetError())
+    assert setup.outcomes == [ExchangeFailure.TRUNCATED]
 
 
-def test_incomplete_answer_is_truncated(fixture):
-    fixture.receive(OK[:-1])
-    fixture.lose_connection()
-    assert fixture.outcomes == [ExchangeFailure.TRUNCATED]
+def test_incomplete_answer_is_truncated(setup):
+    setup.receive(OK[:-1])
+    setup.lose_connection()
+    assert setup.outcomes == [ExchangeFailure.TRUNCATED]
 
 
-def test_close_before_an_answer_is_reported(fixture):
-    fixture.lose_connection()
-    assert fixture.outcomes == [ExchangeFailure.CLOSED]
+def test_close_before_an_answer_is_reported(setup):
+    setup.lose_connection()
+    assert setup.outcomes == [ExchangeFailure.CLOSED]
 
 
-def test_malformed_answer_closes_the_connection(fixture):
-    fixture.receive(b"nonsense\r\n\r\n")
-    assert fixture.outcomes == [ExchangeFailure.MALFORMED]
-    assert fixture.connection.closed
+def test_malformed_answer_closes_the_connection(setup):
+    setup.receive(b"nonsense\r\n\r\n")
+    assert setup.outcomes == [ExchangeFailure.MALFORMED]
+    assert setup.connection.closed
 
 
-def test_cancelled_request_closes_the_connection(fixture):
-    fixture.connection.cancel()
-    assert fixture.outcomes == [ExchangeFailure.CANCELLED]
-    assert fixture.transport.closing
-    fixture.lose_connection(ConnectionResetError())
-    assert fixture.outcomes == [ExchangeFailure.CANCELLED]
+def test_cancelled_request_closes_the_connection(setup):
+    setup.connection.cancel()
+    assert setup.outcomes == [ExchangeFailure.CANCELLED]
+    assert setup.transport.closing
+    setup.lose_connection(ConnectionResetError())
+    assert setup.outcomes == [ExchangeFailure.CANCELLED]
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -16,7 +16,7 @@
 GET = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class ServerFixture:
+class Setup:
     def __init__(self) -> None:
         self.now_s = 100.0
         self.exchanges: list[Exchange] = []
@@ -30,129 +30,129 @@
 
 
 @pytest.fixture
-def fixture() -> ServerFixture:
-    return ServerFixture()
+def setup() -> Setup:
+    return Setup()
 
 
-def test_request_in_parts_is_joined(fixture):
-    fixture.receive(b"POST /p?q=1 HTTP/1.1\r\nHost: x\r\nContent-Le")
-    fixture.receive(b"ngth: 5\r\n\r\nhel")
-    assert fixture.exchanges == []
-    fixture.receive(b"lo")
-    (exchange,) = fixture.exchanges
+def test_request_in_parts_is_joined(setup):
+    setup.receive(b"POST /p?q=1 HTTP/1.1\r\nHost: x\r\nContent-Le")
+    setup.receive(b"ngth: 5\r\n\r\nhel")
+    assert setup.exchanges == []
+    setup.receive(b"lo")
+    (exchange,) = setup.exchanges
     assert (exchange.method, exchange.target) == ("POST", "/p?q=1")
     assert exchange.body == b"hello"
     assert (b"host", b"x") in exchange.headers
 
 
-def test_chunked_body_is_joined(fixture):
-    fixture.receive(b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")
-    fixture.receive(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-    assert fixture.exchanges[0].body == b"abcde"
+def test_chunked_body_is_joined(setup):
+    setup.receive(b"PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")
+    setup.receive(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+    assert setup.exchanges[0].body == b"abcde"
 
 
-def test_answers_keep_the_order_of_the_requests(fixture):
-    fixture.receive(GET + GET.replace(b"/a", b"/b"))
-    first, second = fixture.exchanges
+def test_answers_keep_the_order_of_the_requests(setup):
+    setup.receive(GET + GET.replace(b"/a", b"/b"))
+    first, second = setup.exchanges
     second.respond(200, b"", b"second")
-    assert fixture.transport.written == b""
+    assert setup.transport.written == b""
     first.respond(200, b"", b"first")
-    written = fixture.transport.written
+    written = setup.transport.written
     assert written.index(b"first") < written.index(b"second")
 
 
-def test_only_the_first_answer_is_sent(fixture):
-    fixture.receive(GET)
-    fixture.exchanges[0].respond(504)
-    fixture.exchanges[0].respond(200, b"", b"late")
-    assert fixture.transport.written.startswith(b"HTTP/1.1 504 ")
-    assert b"late" not in fixture.transport.written
+def test_only_the_first_answer_is_sent(setup):
+    setup.receive(GET)
+    setup.exchanges[0].respond(504)
+    setup.exchanges[0].respond(200, b"", b"late")
+    assert setup.transport.written.startswith(b"HTTP/1.1 504 ")
+    assert b"late" not in setup.transport.written
 
 
-def test_connection_closes_after_the_answer_to_its_last_request(fixture):
-    fixture.receive(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n" + GET)
-    assert len(fixture.exchanges) == 1
-    fixture.exchanges[0].respond(200)
-    assert b"connection: close\r\n" in fixture.transport.written
-    assert fixture.transport.closing
+def test_connection_closes_after_the_answer_to_its_last_request(setup):
+    setup.receive(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n" + GET)
+    assert len(setup.exchanges) == 1
+    setup.exchanges[0].respond(200)
+    assert b"connection: close\r\n" in setup.transport.written
+    assert setup.transport.closing
 
 
-def test_stopping_listener_closes_each_connection_after_its_answer(fixture):
-    fixture.receive(GET)
-    fixture.listener.stopping = True
-    fixture.exchanges[0].respond(200)
-    assert fixture.transport.written.count(b"connection: close") == 1
-    assert fixture.transport.closing
+def test_stopping_listener_closes_each_connection_after_its_answer(setup):
+    setup.receive(GET)
+    setup.listener.stopping = True
+    setup.exchanges[0].respond(200)
+    assert setup.transport.written.count(b"connection: close") == 1
+    assert setup.transport.closing
 
 
-def test_stopping_listener_answers_all_open_requests(fixture):
+def test_stopping_listener_answers_all_open_requests(setup):
     """Closing after the first answer would drop a request that is being served."""
     abandoned = []
-    fixture.receive(GET + GET)
-    for exchange in fixture.exchanges:
+    setup.receive(GET + GET)
+    for exchange in setup.exchanges:
         exchange.on_abandon = lambda: abandoned.append("left")
-    fixture.listener.stopping = True
-    fixture.exchanges[0].respond(200, b"", b"first")
+    setup.listener.stopping = True
+    setup.exchanges[0].respond(200, b"", b"first")
     assert abandoned == []
-    assert not fixture.transport.closing
-    fixture.exchanges[1].respond(200, b"", b"second")
-    assert fixture.transport.written.count(b"connection: close") == 1
-    assert fixture.transport.written.endswith(b"second")
-    assert fixture.transport.closing
+    assert not setup.transport.closing
+    setup.exchanges[1].respond(200, b"", b"second")
+    assert setup.transport.written.count(b"connection: close") == 1
+    assert setup.transport.written.endswith(b"second")
+    assert setup.transport.closing
 
 
-def test_stopping_listener_ignores_requests_after_the_open_ones(fixture):
-    fixture.receive(GET + GET)
-    fixture.listener.stopping = True
-    fixture.exchanges[1].respond(200, b"", b"second")
-    fixture.receive(GET)
-    assert len(fixture.exchanges) == 2
-    fixture.exchanges[0].respond(200, b"", b"first")
-    assert fixture.transport.written.endswith(b"second")
-    assert fixture.transport.closing
+def test_stopping_listener_ignores_requests_after_the_open_ones(setup):
+    setup.receive(GET + GET)
+    setup.listener.stopping = True
+    setup.exchanges[1].respond(200, b"", b"second")
+    setup.receive(GET)
+    assert len(setup.exchanges) == 2
+    setup.exchanges[0].respond(200, b"", b"first")
+    assert setup.transport.written.endswith(b"second")
+    assert setup.transport.closing
 
 
-def test_answer_that_is_ready_before_the_stop_is_sent(fixture):
-    fixture.receive(GET + GET)
-    fixture.exchanges[1].respond(200, b"", b"second")
-    fixture.listener.stopping = True
-    fixture.exchanges[0].respond(200, b"", b"first")
-    assert fixture.transport.written.endswith(b"second")
+def test_answer_that_is_ready_before_the_stop_is_sent(setup):
+    setup.receive(GET + GET)
+    setup.exchanges[1].respond(200, b"", b"second")
+    setup.listener.stopping = True
+    setup.exchanges[0].respond(200, b"", b"first")
+    assert setup.transport.written.endswith(b"second")
 
 
-def test_request_is_open_until_the_last_byte_of_its_answer_is_sent(fixture):
+def test_request_is_open_until_the_last_byte_of_its_answer_is_sent(setup):
     """A node that stops earlier would truncate answers to slow clients."""
-    fixture.receive(GET)
-    fixture.listener.stopping = True
-    fixture.transport.unsent_bytes = 100_000
-    fixture.exchanges[0].respond(200, b"", b"long")
-    assert fixture.listener.count_open() == 1
-    fixture.transport.unsent_bytes = 0
-    assert fixture.listener.count_open() == 0
-
-
-def test_idle_connections_are_closed_and_busy_ones_are_not(fixture):
-    fixture.receive(GET)
-    fixture.listener.close_idle()
-    assert not fixture.transport.closing
-    fixture.exchanges[0].respond(200)
-    fixture.listener.close_idle()
-    assert fixture.transport.closing
-
-
-def test_disconnect_of_the_client_abandons_the_request(fixture):
-    fixture.receive(GET)
+    setup.receive(GET)
+    setup.listener.stopping = True
+    setup.transport.unsent_bytes = 100_000
+    setup.exchanges[0].respond(200, b"", b"long")
+    assert setup.listener.count_open() == 1
+    setup.transport.unsent_bytes = 0
+    assert setup.listener.count_open() == 0
+
+
+def test_idle_connections_are_closed_and_busy_ones_are_not(setup):
+    setup.receive(GET)
+    setup.listener.close_idle()
+    assert not setup.transport.closing
+    setup.exchanges[0].respond(200)
+    setup.listener.close_idle()
+    assert setup.transport.closing
+
+
+def test_disconnect_of_the_client_abandons_the_request(setup):
+    setup.receive(GET)
     abandoned = []
-    fixture.exchanges[0].on_abandon = lambda: abandoned.append(True)
-    fixture.connection.connection_lost(None)
+    setup.exchanges[0].on_abandon = lambda: abandoned.append(True)
+    setup.connection.connection_lost(None)
     assert abandoned == [True]
 
 
-def test_malformed_request_is_refused(fixture):
-    fixture.receive(b"no request\r\n\r\n")
-    assert fixture.transport.written.startswith(b"HTTP/1.1 400 ")
-    assert fixture.transport.closing
-    assert fixture.exchanges == []
+def test_malformed_request_is_refused(setup):
+    setup.receive(b"no request\r\n\r\n")
+    assert setup.transport.written.startswith(b"HTTP/1.1 400 ")
+    assert setup.transport.closing
+    assert setup.exchanges == []
 
 
 @pytest.mark.parametrize(
@@ -162,45 +162,45 @@
         (b"PUT / HTTP/1.1\r\nContent-Length: 50\r\n\r\n" + b"a" * 50, b"413"),
     ],
 )
-def test_overlong_request_is_refused(fixture, data, status):
-    fixture.listener.limits = ServerLimits(max_header_bytes=100, max_body_bytes=20)
-    fixture.receive(data)
-    assert fixture.transport.written.startswith(b"HTTP/1.1 " + status)
-    assert fixture.transport.written.count(b"HTTP/1.1") == 1
-
-
-def test_slow_request_is_timed_out(fixture):
-    fixture.listener.limits = ServerLimits(header_timeout_s=3.0)
-    fixture.receive(b"GET / HT")
-    fixture.now_s += 3.5
-    fixture.listener.sweep()
-    assert fixture.transport.written.startswith(b"HTTP/1.1 408 ")
-
-
-def test_idle_timeout_counts_from_the_last_answer(fixture):
-    fixture.listener.limits = ServerLimits(idle_timeout_s=10.0)
-    fixture.receive(GET)
-    fixture.now_s += 8.0
-    fixture.exchanges[0].respond(200)
-    fixture.now_s += 8.0
-    fixture.listener.sweep()
-    assert not fixture.transport.closing
-    fixture.now_s += 3.0
-    fixture.listener.sweep()
-    assert fixture.transport.closing
-
-
-def test_reading_is_paused_while_many_requests_are_open(fixture):
-    fixture.receive(GET * MAX_PIPELINED)
-    assert not fixture.transport.reading
-    fixture.exchanges[0].respond(200)
-    assert fixture.transport.reading
-
-
-def test_failure_of_the_handler_is_answered(fixture):
+def test_overlong_request_is_refused(setup, data, status):
+    setup.listener.limits = ServerLimits(max_header_bytes=100, max_body_bytes=20)
+    setup.receive(data)
+    assert setup.transport.written.startswith(b"HTTP/1.1 " + status)
+    assert setup.transport.written.count(b"HTTP/1.1") == 1
+
+
+def test_slow_request_is_timed_out(setup):
+    setup.listener.limits = ServerLimits(header_timeout_s=3.0)
+    setup.receive(b"GET / HT")
+    setup.now_s += 3.5
+    setup.listener.sweep()
+    assert setup.transport.written.startswith(b"HTTP/1.1 408 ")
+
+
+def test_idle_timeout_counts_from_the_last_answer(setup):
+    setup.listener.limits = ServerLimits(idle_timeout_s=10.0)
+    setup.receive(GET)
+    setup.now_s += 8.0
+    setup.exchanges[0].respond(200)
+    setup.now_s += 8.0
+    setup.listener.sweep()
+    assert not setup.transport.closing
+    setup.now_s += 3.0
+    setup.listener.sweep()
+    assert setup.transport.closing
+
+
+def test_reading_is_paused_while_many_requests_are_open(setup):
+    setup.receive(GET * MAX_PIPELINED)
+    assert not setup.transport.reading
+    setup.exchanges[0].respond(200)
+    assert setup.transport.reading
+
+
+def test_failure_of_the_handler_is_answered(setup):
     def fail(exchange: Exchange) -> None:
         raise ValueError("wrong")
 
-    fixture.listener.handle = fail
-    fixture.receive(GET + GET)
-    assert fixture.transport.written.count(b"HTTP/1.1 500 ") == 2
+    setup.listener.handle = fail
+    setup.receive(GET + GET)
+    assert setup.transport.written.count(b"HTTP/1.1 500 ") == 2
