--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -59,6 +59,6 @@
         """Run a call and return its outcome without loads."""
         outcome = await self.run(call)
         if isinstance(outcome.verdict, Answered):
-            touched = {load.service for load in outcome.loads}
-            self.control.exchange.learn(call.context.class_name, touched)
+            used_services = {load.service for load in outcome.loads}
+            self.control.exchange.learn(call.context.class_name, used_services)
         return evolve(outcome, loads=())
--- a/eelgrassmount/calls/table.py
+++ b/eelgrassmount/calls/table.py
@@ -52,7 +52,7 @@
     """One call at this node.
 
     ``started`` is set just before the first byte is sent to the backend server.
-    ``attempts_left`` is the number of retries left for the downstream calls.
+    ``attempts_left`` is the number of retries that remain for the call tree.
     """
 
     call: Call
--- a/eelgrassmount/edge/announcements.py
+++ b/eelgrassmount/edge/announcements.py
@@ -20,7 +20,7 @@
     from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.timers import TimerService
 
-# A server without an announcement for this long is taken for stopped.
+# Time without an announcement after which the server counts as stopped.
 ANNOUNCEMENT_TIMEOUT_S = 3.5
 CHECK_INTERVAL_S = 0.5
 _SERVICE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,128}")
--- a/eelgrassmount/edge/protocol.py
+++ b/eelgrassmount/edge/protocol.py
@@ -18,8 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Limits the time until the first request is complete up to its body, and the time for
-# the rest of a head that is incomplete.
+# Maximum time for the first request's head, and for the rest of any incomplete head.
 HEAD_TIMEOUT_S = 10.0
 # Key of the ASGI scope for the function that registers a disconnect callback.
 ON_DISCONNECT = "eelgrassmount.gone"
--- a/eelgrassmount/http1/client.py
+++ b/eelgrassmount/http1/client.py
@@ -175,8 +175,8 @@
             if self._answer_started
             else ExchangeFailure.CLOSED
         )
-        # The parser refers to this object; without the reference cycle, a closed
-        # connection is freed without garbage collection.
+        # The parser refers to this object. Breaking the cycle frees a closed connection
+        # before the next garbage collection.
         self._parser = None
 
     def _close_with(self, outcome: ExchangeFailure) -> None:
--- a/eelgrassmount/http1/server.py
+++ b/eelgrassmount/http1/server.py
@@ -122,8 +122,8 @@
             if exchange.on_abandon is not None:
                 exchange.on_abandon()
         self.pending.clear()
-        # The parser refers to this object; without the reference cycle, a closed
-        # connection is freed without garbage collection.
+        # The parser refers to this object. Breaking the cycle frees a closed connection
+        # before the next garbage collection.
         self._parser = None
 
     def data_received(self, data: bytes) -> None:
--- a/tests/calls/test_dispatch.py
+++ b/tests/calls/test_dispatch.py
@@ -103,8 +103,8 @@
     first = await dispatcher.run(make_call())
     assert isinstance(first.verdict, MayHaveRun)
     assert len(dispatcher.remote.calls) == MAX_CRASHES
-    again = await dispatcher.run(make_call(root_id="other"))
-    assert again.verdict.reason is Reason.QUARANTINED
+    second = await dispatcher.run(make_call(root_id="other"))
+    assert second.verdict.reason is Reason.QUARANTINED
     assert len(dispatcher.remote.calls) == MAX_CRASHES
 
 
--- a/tests/edge/test_server.py
+++ b/tests/edge/test_server.py
@@ -171,7 +171,7 @@
         False,
     ),
     "doubled": (make_answer() * 2, GOOD, "doubled", False),
-    "garbage behind": (make_answer() + b"\0\0", GOOD, "doubled", False),
+    "garbage after the answer": (make_answer() + b"\0\0", GOOD, "doubled", False),
 }
 
 
