--- a/tests/calls/test_dispatch.py
+++ b/tests/calls/test_dispatch.py
@@ -61,7 +61,7 @@
         ({"attempts_left": 0}, [LOST], True, LOST, 0),
     ],
 )
-async def test_verdict_and_attempts(
+async def test_final_verdict_and_remaining_attempts(
     changes: dict[str, object],
     verdicts: list[Verdict],
     has_capacity: bool,
--- a/tests/drain/test_drain.py
+++ b/tests/drain/test_drain.py
@@ -63,7 +63,7 @@
         (LEAVING, Observation(2.0, DRAINING, 0, has_left=True), Step.DRAINED),
     ],
 )
-def test_steps(drain, observation, step):
+def test_drain_advances_to_the_next_step(drain, observation, step):
     assert advance_drain(drain, LIMITS, observation).step is step
 
 
--- a/tests/retry/test_decisions.py
+++ b/tests/retry/test_decisions.py
@@ -52,7 +52,7 @@
         (MayHaveRun(Reason.DEADLINE), _ENTRY, True, None),
     ],
 )
-def test_choose_retry(
+def test_verdict_decides_on_a_retry(
     verdict: object,
     context: Context,
     has_other_server: bool,
