--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity_cluster import read_traffic, read_usage
 from eelgrassmount.config.readers import READERS
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.pace import DELEGATES
+from eelgrassmount.members.timing import DELEGATES
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -23,7 +23,7 @@
 from eelgrassmount.config.readers import READERS
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.members.delegates import choose_addresses, summarize_services
-from eelgrassmount.members.pace import DELEGATES
+from eelgrassmount.members.timing import DELEGATES
 from eelgrassmount.members.table import (
     Identity,
     Member,
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 from eelgrassmount.load.state import ServiceLoad
 from eelgrassmount.members import flapping
 from eelgrassmount.members.counts import Count
-from eelgrassmount.members.pace import Pace
+from eelgrassmount.members.timing import Pace
 from eelgrassmount.members.table import MemberState, ServerState
 
 if TYPE_CHECKING:
--- a/eelgrassmount/members/contacts.py
+++ b/eelgrassmount/members/contacts.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.members.pace import MAX_CONTACTS
+from eelgrassmount.members.timing import MAX_CONTACTS
 
 if TYPE_CHECKING:
     import random
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -9,7 +9,7 @@
 import xxhash
 from attrs import evolve, frozen
 
-from eelgrassmount.members.pace import DELEGATES, MAX_ADDRESSES
+from eelgrassmount.members.timing import DELEGATES, MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState, ServerState, ServiceSummary
 
 if TYPE_CHECKING:
--- a/eelgrassmount/members/detector.py
+++ b/eelgrassmount/members/detector.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.members.pace import Pace, compute_dead_s
+from eelgrassmount.members.timing import Pace, compute_dead_s
 
 if TYPE_CHECKING:
     import random
--- a/eelgrassmount/members/domains.py
+++ b/eelgrassmount/members/domains.py
@@ -17,7 +17,7 @@
     find_changes,
     summarize_services,
 )
-from eelgrassmount.members.pace import DELEGATES, MAX_CROSS_SUMMARIES
+from eelgrassmount.members.timing import DELEGATES, MAX_CROSS_SUMMARIES
 from eelgrassmount.members.table import MemberState, ServiceSummary
 from eelgrassmount.members.updates import SummaryKey, UpdateQueue
 
--- a/eelgrassmount/members/exchange.py
+++ b/eelgrassmount/members/exchange.py
@@ -8,7 +8,7 @@
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.digest import find_bucket, name_summary
 from eelgrassmount.members.merge import rank_member
-from eelgrassmount.members.pace import (
+from eelgrassmount.members.timing import (
     MAX_ADDRESSES,
     MAX_CROSS_SUMMARIES,
     MAX_JOIN_MEMBERS,
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -15,7 +15,7 @@
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.pace import MAX_ADDRESSES
+from eelgrassmount.members.timing import MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState
 from eelgrassmount.members.wire import decode_members, encode_member
 
--- a/eelgrassmount/members/membership.py
+++ b/eelgrassmount/members/membership.py
@@ -15,7 +15,7 @@
 from eelgrassmount.members.delegates import differ_in_load
 from eelgrassmount.members.domains import Domains
 from eelgrassmount.members.joining import Joiner
-from eelgrassmount.members.pace import Pace, compute_load_interval_s
+from eelgrassmount.members.timing import Pace, compute_load_interval_s
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.rounds import Rounds
 from eelgrassmount.members.table import MemberState, ServerState
--- a/eelgrassmount/members/roster.py
+++ b/eelgrassmount/members/roster.py
@@ -25,7 +25,7 @@
     refutes,
     stops_work,
 )
-from eelgrassmount.members.pace import (
+from eelgrassmount.members.timing import (
     SENDS_OF_DOMAIN,
     SENDS_OF_LOAD,
     SENDS_OF_STATE,
--- a/eelgrassmount/members/rounds.py
+++ b/eelgrassmount/members/rounds.py
@@ -14,7 +14,7 @@
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.pace import PARTNERS
+from eelgrassmount.members.timing import PARTNERS
 from eelgrassmount.members.updates import MemberKey
 from eelgrassmount.peer.port import PeerFailure
 
--- a/tests/members/test_merge.py
+++ b/tests/members/test_merge.py
@@ -20,7 +20,7 @@
 )
 from eelgrassmount.members.flapping import Flapping, compute_hold_s
 from eelgrassmount.members.merge import merge_member, merge_summary
-from eelgrassmount.members.pace import MAX_ADDRESSES, Pace
+from eelgrassmount.members.timing import MAX_ADDRESSES, Pace
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.table import (
     Identity,
