--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -10,9 +10,9 @@
 from attrs import evolve, frozen
 
 from benchmarks.capacity_cluster import read_traffic, read_usage
-from eelgrassmount.config.readers import READERS
+from eelgrassmount.config.readers import READERS_PER_DOMAIN
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.timing import DELEGATES
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -69,13 +69,13 @@
 
 def find_delegates(cluster: Cluster) -> set[str]:
     """Return the peer addresses of the nodes that speak for their failure domain."""
-    return _choose(cluster, lambda domain: domain, DELEGATES)
+    return _choose(cluster, lambda domain: domain, DELEGATES_PER_DOMAIN)
 
 
 def find_readers(cluster: Cluster) -> set[str]:
     """Return the peer addresses of the nodes that always tail the configuration."""
     # the rule of eelgrassmount.config.readers with its lasting salt
-    return _choose(cluster, lambda domain: "", READERS)
+    return _choose(cluster, lambda domain: "", READERS_PER_DOMAIN)
 
 
 def _choose(cluster: Cluster, key: Callable[[str], str], count: int) -> set[str]:
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -20,10 +20,10 @@
 from benchmarks.capacity_works import Table, Work
 from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.compose.node import Node, build_node
-from eelgrassmount.config.readers import READERS
+from eelgrassmount.config.readers import READERS_PER_DOMAIN
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.members.delegates import choose_addresses, summarize_services
-from eelgrassmount.members.timing import DELEGATES
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN
 from eelgrassmount.members.table import (
     Identity,
     Member,
@@ -114,8 +114,8 @@
     others = [_name_member(number) for number in range(members - 1)]
     for port in range(FIRST_PORT, LAST_PORT):
         own = f"{IP}:{port}"
-        delegates = choose_addresses(OWN, [*others, own], DELEGATES)
-        readers = choose_addresses("", [*others, own], READERS)
+        delegates = choose_addresses(OWN, [*others, own], DELEGATES_PER_DOMAIN)
+        readers = choose_addresses("", [*others, own], READERS_PER_DOMAIN)
         if (own in delegates, own in readers) == (delegate, False):
             return own
     raise RuntimeError("no address with that rank")
@@ -125,14 +125,14 @@
     roster = node.membership.roster
     now_s = node.base.timers.read()
     for number in range(members - 1):
-        roster.learn_member(_make_member(number, services, now_s), now_s)
+        roster.apply_member(_make_member(number, services, now_s), now_s)
     for domain in range(1, OTHER_DOMAINS + 1):
         for service in range(services):
-            roster.learn_summary(_make_summary(domain, service, now_s), now_s)
+            roster.apply_summary(_make_summary(domain, service, now_s), now_s)
     # what the own failure domain has published, as it would be after a while
     known = roster.table.members.values()
     for summary in summarize_services(known, {}, OWN, now_s).values():
-        roster.learn_summary(evolve(summary, sequence=1), now_s)
+        roster.apply_summary(evolve(summary, sequence=1), now_s)
 
 
 def _name_member(number: int) -> str:
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -66,7 +66,7 @@
     nodes: list[LocalPeers]
     service: KeyService | None = None
 
-    async def ask(
+    async def request(
         self, address: str, message: Message, timeout_s: float
     ) -> Message | PeerFailure:
         message.sequence = 1
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -15,7 +15,7 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.log_port import Appended, LogFailure, Page, Record
 from eelgrassmount.members.membership import Membership
-from eelgrassmount.members.timing import Pace
+from eelgrassmount.members.timing import Timing
 from eelgrassmount.members.table import Identity, MemberState, ServerState
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.timers import ManualClock, TimerService
@@ -87,7 +87,7 @@
         if self.running:
             await action(*args)
 
-    async def ask(
+    async def request(
         self, address: str, message: ttypes.Message, timeout_s: float
     ) -> ttypes.Message | PeerFailure:
         reply = await self.network.carry(self, address, message, timeout_s)
@@ -95,7 +95,7 @@
             await self.thawed.wait()
         return reply
 
-    async def tell(self, address: str, message: ttypes.Message) -> bool:
+    async def send(self, address: str, message: ttypes.Message) -> bool:
         reply = await self.network.carry(self, address, message, 0.0)
         return not isinstance(reply, PeerFailure)
 
@@ -142,7 +142,7 @@
 
     rng: random.Random
     clock: ManualClock = field(factory=ManualClock)
-    pace: Pace = field(factory=Pace)
+    timing: Timing = field(factory=Timing)
     log: Log = field(factory=Log)
     loss: float = 0.0
     is_cut: Callable[[Node, Node], bool] = lambda source, target: False
@@ -179,7 +179,7 @@
             self.rng,
             seeds,
             describe_load=describe_load,
-            pace=self.pace,
+            timing=self.timing,
         )
         self.nodes[address] = node
         await node.membership.start(node)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 from eelgrassmount.load.state import ServiceLoad
 from eelgrassmount.members import flapping
 from eelgrassmount.members.counts import Count
-from eelgrassmount.members.timing import Pace
+from eelgrassmount.members.timing import Timing
 from eelgrassmount.members.table import MemberState, ServerState
 
 if TYPE_CHECKING:
@@ -221,7 +221,7 @@
 
 async def run_ideas(runs: int) -> None:
     """Compare staggered publishing and damped flapping with the lack of them."""
-    for stagger_s in (Pace().stagger_s, 0.0):
+    for stagger_s in (Timing().delegate_stagger_s, 0.0):
         published, took = await measure_stagger(stagger_s, runs)
         print(
             f"stagger {stagger_s:.1f} s: {published:.2f} summaries a change,"
@@ -238,8 +238,8 @@
 
 async def measure_stagger(stagger_s: float, runs: int) -> tuple[float, list[float]]:
     """Return summaries published for each change, and the times until known."""
-    pace = Pace(stagger_s=stagger_s)
-    async with Network(random.Random(SEED), pace=pace).open() as network:
+    timing = Timing(delegate_stagger_s=stagger_s)
+    async with Network(random.Random(SEED), timing=timing).open() as network:
         await grow(network, 3, 12, 4, changing=False)
         await network.run(SETTLE_S)
         before = count(network, Count.SUMMARIES_PUBLISHED)
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -73,7 +73,7 @@
         now_s = self.timers.read()
         frame = encode_call(call, Route.RUN, now_s)
         remaining_s = call.context.measure_remaining(now_s) + GRACE_S
-        return await self.peers.ask(
+        return await self.peers.request(
             address, Message(call=frame), remaining_s, incarnation
         )
 
@@ -100,7 +100,7 @@
     ) -> Message | PeerFailure | None:
         remaining_s = call.context.measure_remaining(self.timers.read())
         question = Message(fate_question=FateQuestion(call.context.call_id))
-        reply = await self.peers.ask(
+        reply = await self.peers.request(
             failure.address, question, remaining_s, failure.incarnation
         )
         if isinstance(reply, PeerFailure) or reply.fate_answer is None:
@@ -143,7 +143,7 @@
     async def _cancel(self, address: str, call: Call) -> None:
         with anyio.CancelScope(shield=True), anyio.move_on_after(CANCEL_LIMIT_S):
             message = Message(cancel=Cancel(call.context.call_id))
-            await self.peers.tell(address, message)
+            await self.peers.send(address, message)
 
 
 def _rename(call: Call, number: int) -> Call:
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -149,7 +149,7 @@
         gossip.slot_versions = {ALL_SLOTS: keys.find_version()}
 
     def observe_versions(address: str, gossip: Gossip) -> None:
-        follower.hear_version(address, gossip.config_version or 0)
+        follower.record_announced_version(address, gossip.config_version or 0)
         if address in base.board.members.members:
             keys.hear_version((gossip.slot_versions or {}).get(ALL_SLOTS, 0), address)
 
--- a/eelgrassmount/config/exchange.py
+++ b/eelgrassmount/config/exchange.py
@@ -69,7 +69,7 @@
             targets += self._choose_outside()
         for address in targets:
             if self.tasks is not None:
-                self.tasks.start_soon(self.ask, address)
+                self.tasks.start_soon(self.request, address)
 
     async def ask_some(self) -> None:
         """Ask a node of the own failure domain and some of the others."""
@@ -80,15 +80,15 @@
             chosen.append(self.rng.choice(self.seeds))
         async with anyio.create_task_group() as tasks:
             for address in chosen:
-                tasks.start_soon(self.ask, address)
+                tasks.start_soon(self.request, address)
 
-    async def ask(self, address: str) -> None:
+    async def request(self, address: str) -> None:
         """Ask one node for a newer version."""
         if address == self.board.identity.address:
             return
         question = ConfigQuestion(version=self._own.version)
         self.stream.counts.questions += 1
-        reply = await self.peers.ask(
+        reply = await self.peers.request(
             address, Message(config_question=question), _ASK_LIMIT_S
         )
         if isinstance(reply, PeerFailure) or reply.config_answer is None:
@@ -105,7 +105,7 @@
                 address = self._next_heard()
                 if address is None:
                     return
-                await self.ask(address)
+                await self.request(address)
         finally:
             self._fetches -= 1
 
--- a/eelgrassmount/config/follower.py
+++ b/eelgrassmount/config/follower.py
@@ -116,7 +116,7 @@
         task_group.start_soon(self._end_with_tasks, timers)
         task_group.start_soon(self._tail)
 
-    def hear_version(self, address: str, version: int) -> None:
+    def record_announced_version(self, address: str, version: int) -> None:
         """Note that the node at ``address`` says to have ``version``.
 
         Called for every message that carries a version; a newer one is fetched at
--- a/eelgrassmount/config/readers.py
+++ b/eelgrassmount/config/readers.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-READERS = 2
+READERS_PER_DOMAIN = 2
 ROTATION_S = 60.0
 
 
@@ -18,14 +18,14 @@
     """Tell whether the node at ``address`` is to tail the log.
 
     ``live`` are the addresses of the live nodes of its failure domain, as it
-    knows them. The first `READERS` nodes by rendezvous hash tail the log; when
+    knows them. The first `READERS_PER_DOMAIN` nodes by rendezvous hash tail the log; when
     one dies the next in rank takes its place. One more is found by a hash that
     varies with ``epoch``, a count of periods of `ROTATION_S` on the node's own
     clock, so that a domain whose chosen nodes cannot reach the log is not cut
     from it for long.
     """
     candidates = set(live) | {address}
-    if _is_among_first(address, candidates, "", READERS):
+    if _is_among_first(address, candidates, "", READERS_PER_DOMAIN):
         return True
     return _is_among_first(address, candidates, str(epoch), 1)
 
--- a/eelgrassmount/keys/follower.py
+++ b/eelgrassmount/keys/follower.py
@@ -103,7 +103,7 @@
         question = Message(
             slot_question=SlotQuestion(failure_domain=domain, digest=digest)
         )
-        reply = await self.core.peers.ask(address, question, ASK_TIMEOUT_S)
+        reply = await self.core.peers.request(address, question, ASK_TIMEOUT_S)
         if isinstance(reply, PeerFailure) or reply.slot_answer is None:
             return False
         views = reply.slot_answer.views
@@ -245,7 +245,7 @@
     async def _tell(self, node: NodeId, view: View) -> None:
         question = MarkQuestion(slot=view.slot, version=view.version, marks=[])
         message = Message(mark_question=question)
-        await self.core.peers.ask(node.address, message, ASK_TIMEOUT_S)
+        await self.core.peers.request(node.address, message, ASK_TIMEOUT_S)
 
     def _back_off(self) -> None:
         now_s = self.core.timers.read()
--- a/eelgrassmount/keys/minted.py
+++ b/eelgrassmount/keys/minted.py
@@ -198,7 +198,7 @@
                 marks=batch,
                 last=index == len(batches) - 1,
             )
-            reply = await self.core.peers.ask(
+            reply = await self.core.peers.request(
                 address, Message(slot_transfer=transfer), TRANSFER_TIMEOUT_S
             )
             if isinstance(reply, PeerFailure) or not reply.mark_answer.accepted:
--- a/eelgrassmount/keys/owner.py
+++ b/eelgrassmount/keys/owner.py
@@ -176,7 +176,7 @@
         view = holder.view
         marks = [encode_entry(entry, now_s) for entry in entries]
         question = MarkQuestion(slot=view.slot, version=view.version, marks=marks)
-        reply = await self.core.peers.ask(
+        reply = await self.core.peers.request(
             view.backup.address,
             Message(mark_question=question),
             self.core.settings.mark_timeout_s,
--- a/eelgrassmount/keys/replica.py
+++ b/eelgrassmount/keys/replica.py
@@ -185,7 +185,7 @@
         transfer = SlotTransfer(
             slot=view.slot, version=view.version, marks=batch, last=last
         )
-        reply = await self.core.peers.ask(
+        reply = await self.core.peers.request(
             view.backup.address, Message(slot_transfer=transfer), TRANSFER_TIMEOUT_S
         )
         return await self._check_reply(holder, reply)
@@ -218,7 +218,7 @@
         question = MarkQuestion(
             slot=holder.view.slot, version=holder.view.version, marks=batch
         )
-        reply = await self.core.peers.ask(
+        reply = await self.core.peers.request(
             target.address, Message(mark_question=question), TRANSFER_TIMEOUT_S
         )
         return await self._check_reply(holder, reply)
--- a/eelgrassmount/keys/routes.py
+++ b/eelgrassmount/keys/routes.py
@@ -232,7 +232,7 @@
         if left_s <= 0:
             return PeerFailure(address, sent=True)
         message = Message(call=encode_call(call, Route.OWN, now_s))
-        return await self.core.peers.ask(address, message, min(left_s, limit_s))
+        return await self.core.peers.request(address, message, min(left_s, limit_s))
 
     def _read_reply(self, reply: Message | PeerFailure) -> Outcome | None:
         if isinstance(reply, PeerFailure) or reply.outcome is None:
--- a/eelgrassmount/members/conflicts.py
+++ b/eelgrassmount/members/conflicts.py
@@ -53,8 +53,8 @@
     async def _reaches_itself(self) -> bool:
         identity = self.roster.identity
         question = ttypes.Message(gossip=exchange.build_pull(self.roster, [0]))
-        reply = await self.rounds.peers.ask(
-            identity.address, question, self.roster.pace.ask_s
+        reply = await self.rounds.peers.request(
+            identity.address, question, self.roster.timing.ask_s
         )
         if isinstance(reply, PeerFailure):
             return False
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -9,7 +9,7 @@
 import xxhash
 from attrs import evolve, frozen
 
-from eelgrassmount.members.timing import DELEGATES, MAX_ADDRESSES
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState, ServerState, ServiceSummary
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         if member.state is MemberState.ALIVE
         and member.server_state is not ServerState.DRAINING
     ]
-    return choose_addresses(failure_domain, candidates, DELEGATES)
+    return choose_addresses(failure_domain, candidates, DELEGATES_PER_DOMAIN)
 
 
 class Weight(IntEnum):
--- a/eelgrassmount/members/detector.py
+++ b/eelgrassmount/members/detector.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from eelgrassmount.members.timing import Pace, compute_dead_s
+from eelgrassmount.members.timing import Timing, compute_dead_s
 
 if TYPE_CHECKING:
     import random
@@ -34,15 +34,15 @@
         self.mean_s += _GAIN * (seconds - self.mean_s)
 
 
-def compute_probe_s(pace: Pace, trip: RoundTrip, handicap: int) -> float:
+def compute_probe_s(timing: Timing, trip: RoundTrip, handicap: int) -> float:
     """Return how long to wait for the answer to a probe.
 
     It follows the observed answers, and a node whose own probes failed lately
     (its ``handicap``) is more patient: the fault may be its own.
     """
     usual_s = trip.mean_s + _DEVIATIONS * trip.deviation_s
-    least_s = max(pace.probe_least_s, usual_s) * (1 + handicap)
-    return min(pace.probe_most_s, least_s)
+    least_s = max(timing.probe_least_s, usual_s) * (1 + handicap)
+    return min(timing.probe_most_s, least_s)
 
 
 @define
@@ -54,7 +54,7 @@
     member is probed by everyone within one pass.
     """
 
-    pace: Pace
+    timing: Timing
     rng: random.Random
     trip: RoundTrip = field(factory=RoundTrip)
     handicap: int = 0
@@ -73,7 +73,7 @@
 
     def compute_timeout_s(self) -> float:
         """Return how long to wait for the next answer."""
-        return compute_probe_s(self.pace, self.trip, self.handicap)
+        return compute_probe_s(self.timing, self.trip, self.handicap)
 
     def note_answer(self, seconds: float) -> None:
         """Take in that a probe was answered after ``seconds``."""
@@ -87,7 +87,7 @@
     def start_suspicion(self, address: str, members: int, now_s: float) -> None:
         """Start the time within which a suspicion must be refuted."""
         patience = 1.0 + self.handicap / _MAX_HANDICAP
-        wait_s = compute_dead_s(self.pace, members) * patience
+        wait_s = compute_dead_s(self.timing, members) * patience
         self._deadlines.setdefault(address, now_s + wait_s)
 
     def end_suspicion(self, address: str) -> None:
--- a/eelgrassmount/members/domains.py
+++ b/eelgrassmount/members/domains.py
@@ -17,7 +17,7 @@
     find_changes,
     summarize_services,
 )
-from eelgrassmount.members.timing import DELEGATES, MAX_CROSS_SUMMARIES
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_CROSS_SUMMARIES
 from eelgrassmount.members.table import MemberState, ServiceSummary
 from eelgrassmount.members.updates import SummaryKey, UpdateQueue
 
@@ -58,7 +58,7 @@
 
     def start(self) -> None:
         """Subscribe to the timers."""
-        self.timers.subscribe(self.roster.pace.cross_s, self.run_tick, 0.1)
+        self.timers.subscribe(self.roster.timing.cross_s, self.run_tick, 0.1)
 
     @property
     def rank(self) -> int | None:
@@ -93,7 +93,7 @@
         self._ticks += 1
         # each failure domain hears from one of the delegates in each tick
         for turn, domain in enumerate(self.roster.contacts.domains, self._ticks):
-            is_turn = turn % DELEGATES == rank
+            is_turn = turn % DELEGATES_PER_DOMAIN == rank
             if domain != self.roster.identity.failure_domain and is_turn:
                 self._send(domain, contacts=1)
 
@@ -147,7 +147,7 @@
             return False
         if self._differs_since_s is None:
             self._differs_since_s = now_s
-        if now_s - self._differs_since_s < rank * self.roster.pace.stagger_s:
+        if now_s - self._differs_since_s < rank * self.roster.timing.delegate_stagger_s:
             return False
         for change in self._choose_changes(changes):
             self._publish(change.summary, now_s)
@@ -168,15 +168,15 @@
 
     def _publish(self, summary: ServiceSummary, now_s: float) -> None:
         self.roster.counts.add(Count.SUMMARIES_PUBLISHED)
-        self.roster.learn_summary(summary, now_s)
+        self.roster.apply_summary(summary, now_s)
 
     def _publish_heartbeat(self, rank: int, now_s: float) -> None:
         """Publish that the failure domain is there, and a few addresses in it."""
-        pace = self.roster.pace
+        timing = self.roster.timing
         domain = self.roster.identity.failure_domain
         key = SummaryKey(domain, "")
         before = self.roster.summaries.get(key)
-        patience_s = pace.domain_heartbeat_s + rank * pace.stagger_s
+        patience_s = timing.domain_heartbeat_s + rank * timing.delegate_stagger_s
         if before is not None and now_s - before.heard_s < patience_s:
             return
         alive = [
@@ -194,7 +194,7 @@
             addresses=tuple(choose_addresses(domain, alive, DOMAIN_ADDRESSES)),
             heard_s=now_s,
         )
-        self.roster.learn_summary(summary, now_s)
+        self.roster.apply_summary(summary, now_s)
 
     def _queue_fresh(self) -> None:
         """Note for each other failure domain what was newly published."""
@@ -221,7 +221,7 @@
         self, domain: str, address: str, gossip: Gossip, keys: list[SummaryKey]
     ) -> None:
         self.rounds.fill(gossip)
-        reply = await self.rounds.ask(address, gossip, self.roster.pace.ask_s)
+        reply = await self.rounds.request(address, gossip, self.roster.timing.ask_s)
         queue = self._outgoing.setdefault(domain, UpdateQueue())
         if reply is None:
             self.roster.contacts.drop(domain, address)
--- a/eelgrassmount/members/exchange.py
+++ b/eelgrassmount/members/exchange.py
@@ -115,9 +115,9 @@
     if len(summaries) < len(gossip.summaries or ()):
         roster.counts.add(Count.MALFORMED)
     for member in members:
-        roster.learn_member(member, now_s)
+        roster.apply_member(member, now_s)
     for summary in summaries:
-        roster.learn_summary(summary, now_s)
+        roster.apply_summary(summary, now_s)
 
 
 def answer(roster: Roster, sender: Hello, gossip: Gossip) -> Gossip:
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -89,7 +89,7 @@
     if identity.address != roster.identity.address:
         roster.contacts.add(identity.failure_domain, identity.address)
     elif identity.incarnation != roster.identity.incarnation:
-        roster.learn_member(member, member.heard_s)
+        roster.apply_member(member, member.heard_s)
 
 
 @define
@@ -116,7 +116,7 @@
     _announced: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self._backoff_s = self.roster.pace.look_least_s
+        self._backoff_s = self.roster.timing.look_least_s
 
     @property
     def alone(self) -> bool:
@@ -125,11 +125,11 @@
 
     def start(self) -> None:
         """Look once at once and then subscribe to the timers."""
-        pace = self.roster.pace
-        delay_s = self.roster.rng.uniform(0.5, 1.5) * pace.announce_s
+        timing = self.roster.timing
+        delay_s = self.roster.rng.uniform(0.5, 1.5) * timing.announce_s
         self._next_announcement_s = self.timers.read() + delay_s
         self.rounds.spawn(self.look)
-        self.timers.subscribe(pace.look_least_s / 2, self.check, 0.2)
+        self.timers.subscribe(timing.look_least_s / 2, self.check, 0.2)
 
     def check(self) -> None:
         """Look again when that is due, and announce members from time to time."""
@@ -139,7 +139,7 @@
         if self.alone or self.is_delegate():
             self.rounds.spawn(self.look)
         else:
-            self._next_look_s = now_s + self.roster.pace.look_most_s
+            self._next_look_s = now_s + self.roster.timing.look_most_s
         self._announce_again(now_s)
 
     async def look(self) -> None:
@@ -180,7 +180,7 @@
         """Announce a few live members, before the log drops older announcements."""
         if now_s < self._next_announcement_s or not self.is_delegate():
             return
-        delay_s = self.roster.rng.uniform(0.75, 1.25) * self.roster.pace.announce_s
+        delay_s = self.roster.rng.uniform(0.75, 1.25) * self.roster.timing.announce_s
         self._next_announcement_s = now_s + delay_s
         alive = {
             member.identity.address: member
@@ -200,7 +200,7 @@
     async def _join_through(self, address: str) -> None:
         gossip = exchange.build_join(self.roster)
         self.rounds.fill(gossip)
-        await self.rounds.ask(address, gossip, self.roster.pace.ask_s)
+        await self.rounds.request(address, gossip, self.roster.timing.ask_s)
 
     async def _read_tail(self) -> tuple[Record, ...] | None:
         """Return the newest announcements, or ``None`` when the log gave no answer."""
@@ -220,14 +220,14 @@
 
     def _plan_next_look(self) -> None:
         """Back off, with jitter, while alone; else look as rarely as a delegate."""
-        pace = self.roster.pace
+        timing = self.roster.timing
         if not self.alone:
-            self._backoff_s = pace.look_least_s
+            self._backoff_s = timing.look_least_s
             wait_s = _ANNOUNCED_LOOK_S if self._announced else _DELEGATE_LOOK_S
             self._announced = False
         else:
             wait_s = self._backoff_s
             if self._looks >= _EAGER_LOOKS:
-                self._backoff_s = min(2 * self._backoff_s, pace.look_most_s)
+                self._backoff_s = min(2 * self._backoff_s, timing.look_most_s)
         wait_s *= self.roster.rng.uniform(0.7, 1.3)
         self._next_look_s = self.timers.read() + wait_s
--- a/eelgrassmount/members/membership.py
+++ b/eelgrassmount/members/membership.py
@@ -15,7 +15,7 @@
 from eelgrassmount.members.delegates import differ_in_load
 from eelgrassmount.members.domains import Domains
 from eelgrassmount.members.joining import Joiner
-from eelgrassmount.members.timing import Pace, compute_load_interval_s
+from eelgrassmount.members.timing import Timing, compute_load_interval_s
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.rounds import Rounds
 from eelgrassmount.members.table import MemberState, ServerState
@@ -59,7 +59,7 @@
         seeds: Sequence[str] = (),
         counts: Counts | None = None,
         describe_load: Callable[[], ServiceLoad] | None = None,
-        pace: Pace | None = None,
+        timing: Timing | None = None,
     ) -> None:
         self.fillers: list[Callable[[Gossip], None]] = []
         self.observers: list[Callable[[str, Gossip], None]] = []
@@ -70,7 +70,7 @@
         self._load_told_s = -math.inf
         self.roster = Roster(
             board.identity,
-            pace or Pace(),
+            timing or Timing(),
             rng,
             board.members,
             counts=counts or Counts(),
@@ -99,7 +99,7 @@
         self._rounds.start()
         self._domains.start()
         self._joiner.start()
-        self._timers.subscribe(self.roster.pace.round_s, self.announce_change)
+        self._timers.subscribe(self.roster.timing.round_s, self.announce_change)
 
     def announce_change(self) -> None:
         """Tell the other nodes what changed at this one.
@@ -135,7 +135,7 @@
         with anyio.move_on_after(_LEAVE_S):
             async with anyio.create_task_group() as group:
                 for address in self.roster.rng.sample(partners, count):
-                    group.start_soon(self._rounds.ask, address, gossip, _LEAVE_S)
+                    group.start_soon(self._rounds.request, address, gossip, _LEAVE_S)
         logger.info("left the membership")
 
     def _compute_server_state(self) -> ServerState:
@@ -148,7 +148,7 @@
         if self.describe_load is None:
             return
         interval_s = compute_load_interval_s(
-            self.roster.pace, len(self.roster.table.members)
+            self.roster.timing, len(self.roster.table.members)
         )
         if now_s - self._load_told_s < interval_s:
             return
--- a/eelgrassmount/members/roster.py
+++ b/eelgrassmount/members/roster.py
@@ -29,7 +29,7 @@
     SENDS_OF_DOMAIN,
     SENDS_OF_LOAD,
     SENDS_OF_STATE,
-    Pace,
+    Timing,
 )
 from eelgrassmount.members.table import Member, MemberState
 from eelgrassmount.members.updates import MemberKey, SummaryKey, UpdateQueue
@@ -53,7 +53,7 @@
     """
 
     identity: Identity
-    pace: Pace
+    timing: Timing
     rng: random.Random
     table: MemberTable
     own: Member = field(init=False)
@@ -73,7 +73,7 @@
     heard_s: dict[str, float] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.detector = Detector(self.pace, self.rng)
+        self.detector = Detector(self.timing, self.rng)
         self.contacts = Contacts(self.identity.address)
         self.own = Member(self.identity, heartbeat=1, started=1)
         self._store(None, self.own)
@@ -112,7 +112,7 @@
         self.change_own(now_s, started=started)
         self.urgent[MemberKey(self.identity.address)] = None
 
-    def learn_member(self, report: Member, now_s: float) -> None:
+    def apply_member(self, report: Member, now_s: float) -> None:
         """Take in what another node said of a member."""
         if report.identity.address == self.identity.address:
             self._learn_own(report, now_s)
@@ -142,7 +142,7 @@
         if known is None or known.state is not MemberState.ALIVE:
             return False
         self.counts.add(Count.SUSPECTED)
-        self.learn_member(evolve(known, state=MemberState.SUSPECT), now_s)
+        self.apply_member(evolve(known, state=MemberState.SUSPECT), now_s)
         return True
 
     def bury_overdue(self, now_s: float) -> list[str]:
@@ -151,7 +151,7 @@
         for address in overdue:
             known = self.table.members[address]
             self.counts.add(Count.DECLARED_DEAD)
-            self.learn_member(evolve(known, state=MemberState.DEAD), now_s)
+            self.apply_member(evolve(known, state=MemberState.DEAD), now_s)
         return overdue
 
     def note_heard(self, address: str, now_s: float) -> None:
@@ -174,7 +174,7 @@
         gone = [
             address
             for address, member in self.table.members.items()
-            if not member.present and now_s - member.heard_s > self.pace.tombstone_s
+            if not member.present and now_s - member.heard_s > self.timing.tombstone_s
         ]
         for address in gone:
             if address != self.identity.address:
@@ -226,7 +226,7 @@
 
     # summaries
 
-    def learn_summary(self, report: ServiceSummary, now_s: float) -> bool:
+    def apply_summary(self, report: ServiceSummary, now_s: float) -> bool:
         """Take in what a failure domain says of a service; tell whether it is new."""
         key = SummaryKey(report.failure_domain, report.service)
         known = self.summaries.get(key)
@@ -255,7 +255,7 @@
         stale = [
             domain
             for domain, heard_s in self.domain_heard_s.items()
-            if now_s - heard_s > self.pace.domain_stale_s
+            if now_s - heard_s > self.timing.domain_stale_s
         ]
         for domain in stale:
             del self.domain_heard_s[domain]
--- a/eelgrassmount/members/rounds.py
+++ b/eelgrassmount/members/rounds.py
@@ -81,18 +81,18 @@
 
     def start(self) -> None:
         """Subscribe to the timers."""
-        pace = self.roster.pace
+        timing = self.roster.timing
         self._last_sweep_s = self.timers.read()
-        self.timers.subscribe(pace.round_s, self.start_round, pace.round_jitter)
-        self.timers.subscribe(pace.sweep_s, self.sweep)
-        self.timers.subscribe(pace.dead_probe_s, self.start_dead_probe, 0.3)
+        self.timers.subscribe(timing.round_s, self.start_round, timing.round_jitter)
+        self.timers.subscribe(timing.sweep_s, self.sweep)
+        self.timers.subscribe(timing.dead_probe_s, self.start_dead_probe, 0.3)
 
     def sweep(self) -> None:
         """Give verdicts that are due, and notice gaps in this node's own time."""
         now_s = self.timers.read()
         gap_s = now_s - self._last_sweep_s
         self._last_sweep_s = now_s
-        if gap_s > self.roster.pace.frozen_s:
+        if gap_s > self.roster.timing.frozen_s:
             self._wake_up(gap_s, now_s)
         for address in self.roster.bury_overdue(now_s):
             logger.info("member {} is declared dead", address)
@@ -158,7 +158,9 @@
         """Exchange news with a node; tell whether it answered."""
         gossip = exchange.build_round(self.roster)
         self.fill(gossip)
-        reply = await self.ask(address, gossip, timeout_s or self.roster.pace.ask_s)
+        reply = await self.request(
+            address, gossip, timeout_s or self.roster.timing.ask_s
+        )
         if reply is None:
             return False
         self.roster.note_heard(address, self.timers.read())
@@ -166,11 +168,13 @@
             self.spawn(self._pull, address, reply.buckets)
         return True
 
-    async def ask(
+    async def request(
         self, address: str, gossip: Gossip, timeout_s: float
     ) -> Gossip | None:
         """Send a question and take its answer in; ``None`` when there was none."""
-        reply = await self.peers.ask(address, ttypes.Message(gossip=gossip), timeout_s)
+        reply = await self.peers.request(
+            address, ttypes.Message(gossip=gossip), timeout_s
+        )
         if isinstance(reply, PeerFailure) or reply.gossip is None:
             return None
         self.take_in(address, reply.gossip)
@@ -187,17 +191,17 @@
     async def _pull(self, address: str, buckets: list[int]) -> None:
         now_s = self.timers.read()
         differing = self.roster.digest.compare(buckets)
-        if not differing or now_s - self._pulled_s < self.roster.pace.pull_s:
+        if not differing or now_s - self._pulled_s < self.roster.timing.pull_s:
             return
         self._pulled_s = now_s
         self.roster.counts.add(Count.PULLS)
         question = exchange.build_pull(self.roster, differing)
-        await self.ask(address, question, self.roster.pace.ask_s)
+        await self.request(address, question, self.roster.timing.ask_s)
 
     async def _probe_again(self, address: str) -> bool:
         """Probe once more, directly and through others, all at once."""
         others = [other for other in self.partners if other != address]
-        helpers = self._sample(others, self.roster.pace.indirect_probes)
+        helpers = self._sample(others, self.roster.timing.indirect_probes)
         timeout_s = 2 * self.roster.detector.compute_timeout_s()
         reached: list[str] = []
         async with anyio.create_task_group() as group:
@@ -215,7 +219,7 @@
 
     async def _ping(self, helper: str, address: str, timeout_s: float) -> bool:
         question = ttypes.Message(ping=ttypes.Ping(sequence=_ASKED, address=address))
-        reply = await self.peers.ask(helper, question, timeout_s)
+        reply = await self.peers.request(helper, question, timeout_s)
         if isinstance(reply, PeerFailure) or reply.ping is None:
             return False
         return reply.ping.sequence == _REACHED
@@ -223,7 +227,7 @@
     def _was_disturbed(self, started_s: float) -> bool:
         """Tell whether this node itself stood still while it waited."""
         gap_s = self.timers.read() - self._last_sweep_s
-        return self._awake_s >= started_s or gap_s > self.roster.pace.frozen_s
+        return self._awake_s >= started_s or gap_s > self.roster.timing.frozen_s
 
     def _heard_since(self, address: str, started_s: float) -> bool:
         return self.roster.heard_s.get(address, -math.inf) > started_s
@@ -232,7 +236,7 @@
         """Let a suspect know at once, so that it can refute."""
         gossip = exchange.build_updates(self.roster, [MemberKey(address)])
         gossip.digest = self.roster.digest.total
-        await self.ask(address, gossip, self.roster.pace.ask_s)
+        await self.request(address, gossip, self.roster.timing.ask_s)
 
     # urgent news
 
@@ -240,23 +244,23 @@
         """Send what is urgent, together with what comes up right after it."""
         if self.roster.urgent and not self._flush_pending:
             self._flush_pending = True
-            self.timers.schedule(self.roster.pace.flush_s, self._flush)
+            self.timers.schedule(self.roster.timing.flush_s, self._flush)
 
     def _flush(self) -> None:
         self._flush_pending = False
         self.react()
         gossip = exchange.build_urgent(self.roster)
-        for address in self._sample(self.partners, self.roster.pace.fan_out):
+        for address in self._sample(self.partners, self.roster.timing.fan_out):
             self.roster.counts.add(Count.URGENT_SENT)
-            self.spawn(self.tell, address, gossip)
+            self.spawn(self.send, address, gossip)
         self.flush_soon()
 
     def _sample(self, addresses: list[str], count: int) -> list[str]:
         return self.roster.rng.sample(addresses, min(len(addresses), count))
 
-    async def tell(self, address: str, gossip: Gossip) -> None:
+    async def send(self, address: str, gossip: Gossip) -> None:
         """Send a message that has no answer."""
-        await self.peers.tell(address, ttypes.Message(gossip=gossip))
+        await self.peers.send(address, ttypes.Message(gossip=gossip))
 
     # handlers
 
@@ -280,6 +284,6 @@
         target = message.ping.address
         question = ttypes.Message(ping=ttypes.Ping(sequence=_ASKED))
         timeout_s = self.roster.detector.compute_timeout_s()
-        reply = await self.peers.ask(target, question, timeout_s)
+        reply = await self.peers.request(target, question, timeout_s)
         verdict = _UNREACHED if isinstance(reply, PeerFailure) else _REACHED
         return ttypes.Message(ping=ttypes.Ping(sequence=verdict, address=target))
--- a/eelgrassmount/members/timing.py
+++ b/eelgrassmount/members/timing.py
@@ -23,11 +23,11 @@
 SENDS_OF_DOMAIN = 3
 SENDS_OF_LOAD = 2
 
-DELEGATES = 3
+DELEGATES_PER_DOMAIN = 3
 
 
 @frozen
-class Pace:
+class Timing:
     """Intervals in seconds, and fan-outs.
 
     ``load_share_s`` times the number of members is the least time between two
@@ -51,7 +51,7 @@
     cross_s: float = 1.0
     domain_heartbeat_s: float = 4.0
     domain_stale_s: float = 20.0
-    stagger_s: float = 0.7
+    delegate_stagger_s: float = 0.7
     tombstone_s: float = 120.0
     pull_s: float = 0.5
     look_least_s: float = 0.5
@@ -60,15 +60,15 @@
     ask_s: float = 1.0
 
 
-def compute_dead_s(pace: Pace, members: int) -> float:
+def compute_dead_s(timing: Timing, members: int) -> float:
     """Return how long a suspicion may stand before it becomes a verdict.
 
     It grows with the logarithm of the number of members, as does the time that
     a suspicion and its refutation take to spread.
     """
-    return pace.dead_s * max(1.0, math.log10(max(1, members)))
+    return timing.dead_s * max(1.0, math.log10(max(1, members)))
 
 
-def compute_load_interval_s(pace: Pace, members: int) -> float:
+def compute_load_interval_s(timing: Timing, members: int) -> float:
     """Return the least time between two announcements of a node's own load."""
-    return max(pace.load_least_s, pace.load_share_s * members)
+    return max(timing.load_least_s, timing.load_share_s * members)
--- a/eelgrassmount/peer/link.py
+++ b/eelgrassmount/peer/link.py
@@ -56,7 +56,7 @@
     _unanswered_s: float | None = None
     lost: bool = False
 
-    async def ask(self, message: Message, timeout_s: float) -> Message | None:
+    async def request(self, message: Message, timeout_s: float) -> Message | None:
         """Send a message and return its reply, ``None`` after ``timeout_s``.
 
         Raises `LinkLostError` when the link ends first.
@@ -79,7 +79,7 @@
             raise LinkLostError(self.address, sent=True)
         return waiter.reply
 
-    def tell(self, message: Message) -> bool:
+    def send(self, message: Message) -> bool:
         """Send a message that has no reply."""
         message.sequence = next(self._sequences)
         message.reply = False
--- a/eelgrassmount/peer/pool.py
+++ b/eelgrassmount/peer/pool.py
@@ -55,7 +55,7 @@
         self._group = group
         self.timers.subscribe(self.silence_s / PINGS_PER_SILENCE, self._watch)
 
-    async def ask(
+    async def request(
         self, address: str, message: Message, timeout_s: float, incarnation: str = ""
     ) -> Message | PeerFailure:
         """Send a message and wait for its reply.
@@ -69,17 +69,17 @@
             return PeerFailure(address, sent=False)
         remaining_s = deadline_s - self.timers.read()
         try:
-            reply = await link.ask(message, remaining_s)
+            reply = await link.request(message, remaining_s)
         except LinkLostError as error:
             return PeerFailure(address, error.sent, link.hello.incarnation)
         if reply is None:
             return PeerFailure(address, True, link.hello.incarnation)
         return reply
 
-    async def tell(self, address: str, message: Message) -> bool:
+    async def send(self, address: str, message: Message) -> bool:
         """Send a message that has no reply; tell whether it was handed over."""
         link = await self._get(address)
-        return link is not None and link.tell(message)
+        return link is not None and link.send(message)
 
     def find_hello(self, address: str) -> Hello | None:
         """Return how the node at an address introduced itself, if linked."""
--- a/eelgrassmount/peer/port.py
+++ b/eelgrassmount/peer/port.py
@@ -25,12 +25,12 @@
 class PeerPort(Protocol):
     """Sends messages to other nodes by their address (``ip:port``)."""
 
-    async def ask(
+    async def request(
         self, address: str, message: Message, timeout_s: float
     ) -> Message | PeerFailure:
         """Send a message and wait for its reply."""
 
-    async def tell(self, address: str, message: Message) -> bool:
+    async def send(self, address: str, message: Message) -> bool:
         """Send a message that has no reply; tell whether it was handed over."""
 
 
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -107,7 +107,7 @@
             gossip = Gossip()
             self.fill(gossip)
             message = Message(gossip=gossip)
-            self.tasks.start_soon(self.peers.tell, address, message)
+            self.tasks.start_soon(self.peers.send, address, message)
 
 
 def _encode(suspect: Suspect, now_s: float, cleared: bool) -> QuarantineNote:
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -45,7 +45,7 @@
     told: list[Message] = field(factory=list)
     answered: list[str] = field(factory=list)
 
-    async def ask(self, address, message, timeout_s, incarnation=""):
+    async def request(self, address, message, timeout_s, incarnation=""):
         await anyio.sleep(0)
         reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
         if reply is ANSWER:
@@ -53,7 +53,7 @@
             return Message(outcome=encode_outcome(self.answered[-1], Outcome(GOOD)))
         return reply
 
-    async def tell(self, address, message):
+    async def send(self, address, message):
         self.told.append(message)
         return True
 
--- a/tests/config/fakes.py
+++ b/tests/config/fakes.py
@@ -119,7 +119,7 @@
     texts: dict[int, str] = field(factory=dict)
     seen: dict[str, int] = field(factory=dict)
 
-    async def ask(
+    async def request(
         self, sender: str, address: str, message: Message
     ) -> Message | PeerFailure:
         await anyio.lowlevel.checkpoint()
@@ -204,13 +204,13 @@
     cluster: Cluster
     sender: str
 
-    async def ask(
+    async def request(
         self, address: str, message: Message, timeout_s: float
     ) -> Message | PeerFailure:
-        return await self.cluster.ask(self.sender, address, message)
+        return await self.cluster.request(self.sender, address, message)
 
-    async def tell(self, address: str, message: Message) -> bool:
-        return not isinstance(await self.ask(address, message, 1.0), PeerFailure)
+    async def send(self, address: str, message: Message) -> bool:
+        return not isinstance(await self.request(address, message, 1.0), PeerFailure)
 
 
 def run_cluster(scenario) -> None:
--- a/tests/config/test_follower.py
+++ b/tests/config/test_follower.py
@@ -235,11 +235,11 @@
         cluster.log.down = True
         cluster.cut = {"b"}
         node = await cluster.start("b-0")
-        node.follower.hear_version("a-0", 1)
+        node.follower.record_announced_version("a-0", 1)
         await cluster.settle()
         assert node.version == 0
         cluster.cut = set()
-        node.follower.hear_version("a-0", 1)
+        node.follower.record_announced_version("a-0", 1)
         await cluster.settle()
         assert node.version == 1
         assert node.follower.stream.fold == Fold(1, 1, True, 1, make_text("one"))
--- a/tests/config/test_readers.py
+++ b/tests/config/test_readers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from eelgrassmount.config.fold import Fold
-from eelgrassmount.config.readers import READERS, is_reader
+from eelgrassmount.config.readers import READERS_PER_DOMAIN, is_reader
 from eelgrassmount.config.record import decode_record
 from eelgrassmount.config.rewrite import is_rewrite_due
 from eelgrassmount.config.stream import Anchor
@@ -18,12 +18,15 @@
 def test_few_read_and_the_next_in_rank_take_over() -> None:
     live = [f"10.0.0.{number}:1" for number in range(100)]
     lasting = find_readers(live, 0) & find_readers(live, 1) & find_readers(live, 2)
-    assert len(lasting) == READERS
-    assert all(READERS <= len(find_readers(live, e)) <= READERS + 1 for e in range(50))
+    assert len(lasting) == READERS_PER_DOMAIN
+    assert all(
+        READERS_PER_DOMAIN <= len(find_readers(live, e)) <= READERS_PER_DOMAIN + 1
+        for e in range(50)
+    )
     assert len(set().union(*(find_readers(live, e) for e in range(50)))) > 20
     rest = [address for address in live if address not in lasting]
     taken_over = find_readers(rest, 0) & find_readers(rest, 1) & find_readers(rest, 2)
-    assert len(taken_over) == READERS
+    assert len(taken_over) == READERS_PER_DOMAIN
     assert is_reader("10.0.0.1:1", [], 0)
 
 
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -230,7 +230,7 @@
         return Outcome(Answered(200, (), f"{key} {len(world.runs)}".encode()))
 
     # the peer port
-    async def ask(
+    async def request(
         self, address: str, message: Message, timeout_s: float
     ) -> Message | PeerFailure:
         await self.stand()
@@ -259,8 +259,8 @@
         await self.stand()
         return reply
 
-    async def tell(self, address: str, message: Message) -> bool:
-        return not isinstance(await self.ask(address, message, 1.0), PeerFailure)
+    async def send(self, address: str, message: Message) -> bool:
+        return not isinstance(await self.request(address, message, 1.0), PeerFailure)
 
     def hello(self) -> Hello:
         identity = self.identity
--- a/tests/members/test_merge.py
+++ b/tests/members/test_merge.py
@@ -20,7 +20,7 @@
 )
 from eelgrassmount.members.flapping import Flapping, compute_hold_s
 from eelgrassmount.members.merge import merge_member, merge_summary
-from eelgrassmount.members.timing import MAX_ADDRESSES, Pace
+from eelgrassmount.members.timing import MAX_ADDRESSES, Timing
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.table import (
     Identity,
@@ -73,7 +73,7 @@
 
 
 def make_roster():
-    return Roster(OWN, Pace(), random.Random(1), MemberTable())
+    return Roster(OWN, Timing(), random.Random(1), MemberTable())
 
 
 @given(st.lists(members, min_size=1, max_size=6), st.randoms(use_true_random=False))
@@ -118,10 +118,10 @@
     one, other = make_roster(), make_roster()
     for report in reports:
         if report.present:
-            one.learn_member(report, 1.0)
+            one.apply_member(report, 1.0)
     kept = one.table.members.get("127.1.0.2:1")
     if kept is not None:
-        other.learn_member(evolve(kept, heard_s=0.0), 2.0)
+        other.apply_member(evolve(kept, heard_s=0.0), 2.0)
     assert one.digest == other.digest
 
 
@@ -149,7 +149,7 @@
 
 def test_a_suspicion_of_oneself_is_refuted():
     roster = make_roster()
-    roster.learn_member(evolve(roster.own, state=DEAD), 1.0)
+    roster.apply_member(evolve(roster.own, state=DEAD), 1.0)
     assert roster.own.state is ALIVE
     assert roster.own.heartbeat == 2
     assert MemberKey(OWN.address) in roster.urgent
@@ -158,7 +158,7 @@
 def test_a_former_incarnation_is_outbid():
     roster = make_roster()
     identity = evolve(OWN, incarnation="former")
-    roster.learn_member(Member(identity, heartbeat=70, started=7), 1.0)
+    roster.apply_member(Member(identity, heartbeat=70, started=7), 1.0)
     roster.raise_own(2.0)
     assert roster.own.started == 8
 
--- a/tests/peer/test_links.py
+++ b/tests/peer/test_links.py
@@ -68,12 +68,12 @@
     group: Any
     failures: list[None] = field(factory=list)
 
-    async def ask(self, message: Message, **options: Any) -> Message | PeerFailure:
-        return await self.pool.ask(self.address, message, LONG_S, **options)
+    async def request(self, message: Message, **options: Any) -> Message | PeerFailure:
+        return await self.pool.request(self.address, message, LONG_S, **options)
 
     async def ask_soon(self, replies: list[Any], message: Message) -> None:
         async def run() -> None:
-            replies.append(await self.ask(message))
+            replies.append(await self.request(message))
 
         self.group.start_soon(run)
         await anyio.wait_all_tasks_blocked()
@@ -139,7 +139,7 @@
         replies: dict[str, str] = {}
 
         async def ask(call_id: str) -> None:
-            reply = await pair.ask(question(call_id))
+            reply = await pair.request(question(call_id))
             replies[call_id] = reply.fate_answer.call_id
 
         async with anyio.create_task_group() as group:
@@ -160,8 +160,8 @@
         await reader.read()
 
     async with run_peer(act) as pair:
-        assert (await pair.ask(question("a"))).fate_answer.call_id == "a"
-        assert (await pair.ask(question("b"))).fate_answer.call_id == "b"
+        assert (await pair.request(question("a"))).fate_answer.call_id == "a"
+        assert (await pair.request(question("b"))).fate_answer.call_id == "b"
         dropped = count(pair.pool.metrics, "dropped_answers")
         assert dropped == {"late": 2, "doubled": 1}
 
@@ -184,7 +184,7 @@
 
     async with run_peer(act) as pair:
         for _ in range(2):
-            failure = await pair.ask(question())
+            failure = await pair.request(question())
             assert failure == PeerFailure(pair.address, True, "second")
             await anyio.wait_all_tasks_blocked()
         replaced = count(pair.pool.metrics, "peer_links_replaced")
@@ -209,7 +209,7 @@
         await anyio.wait_all_tasks_blocked()
         assert replies == [PeerFailure(pair.address, True, "second")]
         assert count(pair.pool.metrics, "peer_links_replaced") == {"silent": 1}
-        reply = await pair.ask(question(), incarnation="second")
+        reply = await pair.request(question(), incarnation="second")
         assert reply.fate_answer.call_id == "x"
 
 
@@ -267,7 +267,7 @@
         received.append(await reader.read())
 
     async with run_peer(act) as pair:
-        failure = await pair.ask(question(), incarnation="first")
+        failure = await pair.request(question(), incarnation="first")
         assert failure == PeerFailure(pair.address, sent=False)
         await anyio.wait_all_tasks_blocked()
         assert received == []
@@ -291,16 +291,16 @@
     async with listener, anyio.create_task_group() as group:
         group.start_soon(listener.serve, serve)
         async with run_pool(port) as pair:
-            failure = await pair.ask(question())
+            failure = await pair.request(question())
             assert failure == PeerFailure(pair.address, sent=False)
         group.cancel_scope.cancel()
 
 
 async def test_refused_connection_and_unreadable_address() -> None:
     async with run_pool(find_port()) as pair:
-        assert await pair.ask(question()) == PeerFailure(pair.address, sent=False)
-        assert not await pair.pool.tell(pair.address, question())
-        failure = await pair.pool.ask("no address", question(), LONG_S)
+        assert await pair.request(question()) == PeerFailure(pair.address, sent=False)
+        assert not await pair.pool.send(pair.address, question())
+        failure = await pair.pool.request("no address", question(), LONG_S)
         assert failure == PeerFailure("no address", sent=False)
 
 
@@ -338,7 +338,7 @@
     reason: str, greeting: bytes
 ) -> None:
     async with run_listener({"fate_question": answer_fate}) as (listener, pair):
-        assert (await pair.ask(question())).fate_answer.call_id == "x"
+        assert (await pair.request(question())).fate_answer.call_id == "x"
         async with await anyio.connect_tcp(HOST, listener.address.port) as stream:
             await stream.send(greeting + b"".join(BAD_LINKS[reason]))
             await stream.send_eof()
@@ -346,7 +346,7 @@
                 while True:
                     await stream.receive()
         assert count(listener.metrics, "rejected_frames") == {reason: 1}
-        assert (await pair.ask(question())).fate_answer.call_id == "x"
+        assert (await pair.request(question())).fate_answer.call_id == "x"
         assert count(pair.pool.metrics, "peer_links_replaced") == {}
 
 
@@ -359,7 +359,7 @@
                     await stream.send(rng.randbytes(length))
                     await stream.send_eof()
                     await stream.receive()
-        assert (await pair.ask(question())).fate_answer.call_id == "x"
+        assert (await pair.request(question())).fate_answer.call_id == "x"
         assert sum(count(listener.metrics, "rejected_frames").values()) == 7
 
 
@@ -369,8 +369,8 @@
 
     handlers = {"cancel": fail, "fate_question": answer_fate}
     async with run_listener(handlers) as (_, pair):
-        assert await pair.pool.tell(pair.address, Message(cancel=Cancel("x")))
-        assert (await pair.ask(question())).fate_answer.call_id == "x"
+        assert await pair.pool.send(pair.address, Message(cancel=Cancel("x")))
+        assert (await pair.request(question())).fate_answer.call_id == "x"
 
 
 async def test_call_outlives_the_link_that_it_came_on() -> None:
@@ -411,8 +411,8 @@
             async with anyio.create_task_group() as group:
                 await listener.start(Background(group, lambda: None))
                 pair.timers.advance(CONNECT_PAUSE_S)
-                reply = await pair.ask(question(), incarnation=incarnation)
+                reply = await pair.request(question(), incarnation=incarnation)
                 assert reply.fate_answer.call_id == "x"
                 group.cancel_scope.cancel()
             await anyio.wait_all_tasks_blocked()
-            assert isinstance(await pair.ask(question()), PeerFailure)
+            assert isinstance(await pair.request(question()), PeerFailure)
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -48,7 +48,7 @@
     network: Network
     own: str
 
-    async def tell(self, address, message):
+    async def send(self, address, message):
         self.network.nodes[address].observe(self.own, message.gossip)
         return True
 
