--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -23,13 +23,13 @@
 from eelgrassmount.config.readers import READERS_PER_DOMAIN
 from eelgrassmount.context import Context, Tier
 from eelgrassmount.members.delegates import choose_addresses, summarize_services
-from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN
 from eelgrassmount.members.table import (
     Identity,
     Member,
     ServerState,
     ServiceSummary,
 )
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN
 from eelgrassmount.settings import load_settings
 
 if TYPE_CHECKING:
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -15,8 +15,8 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.log_port import Appended, LogFailure, Page, Record
 from eelgrassmount.members.membership import Membership
-from eelgrassmount.members.timing import Timing
 from eelgrassmount.members.table import Identity, MemberState, ServerState
+from eelgrassmount.members.timing import Timing
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.timers import ManualClock, TimerService
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,8 +25,8 @@
 from eelgrassmount.load.state import ServiceLoad
 from eelgrassmount.members import flapping
 from eelgrassmount.members.counts import Count
-from eelgrassmount.members.timing import Timing
 from eelgrassmount.members.table import MemberState, ServerState
+from eelgrassmount.members.timing import Timing
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/eelgrassmount/config/follower.py
+++ b/eelgrassmount/config/follower.py
@@ -13,7 +13,7 @@
 from eelgrassmount.config.fold import Fold
 from eelgrassmount.config.history import HistoryEntry, list_accepted
 from eelgrassmount.config.publish import Publisher
-from eelgrassmount.config.readers import ROTATION_S, is_reader
+from eelgrassmount.config.readers import ROTATION_INTERVAL_S, is_reader
 from eelgrassmount.config.rewrite import Rewriter
 from eelgrassmount.config.stream import ConfigStream, read_decisions
 from eelgrassmount.log_port import LogFailure
@@ -175,7 +175,7 @@
             for address, member in self.board.members.members.items()
             if member.state is MemberState.ALIVE
         )
-        epoch = int(self.timers.read() // ROTATION_S)
+        epoch = int(self.timers.read() // ROTATION_INTERVAL_S)
         self.tails_log = is_reader(self.board.identity.address, live, epoch)
 
     def _ask_if_behind(self) -> None:
--- a/eelgrassmount/members/conflicts.py
+++ b/eelgrassmount/members/conflicts.py
@@ -1,4 +1,4 @@
-"""Two incarnations that claim one address."""
+"""Resolves conflicts between two incarnations that claim one address."""
 
 from __future__ import annotations
 
@@ -16,45 +16,48 @@
     from eelgrassmount.members.roster import Roster
     from eelgrassmount.members.rounds import Rounds
 
-_FREE_RAISES = 3
+_MAX_UNCHECKED_SUPERSESSIONS = 3
 
 
 @define
 class Conflicts:
-    """Puts this incarnation above another one that claims its address.
+    """Lets this incarnation supersede another one that claims its address.
 
-    A restarted node does so as soon as it hears of its former incarnation.
-    When it happens again and again, there are two processes; the one that is
-    reached at the address goes on and the other one gives in.
+    A restarted node does so when it receives a report about its former
+    incarnation. Repeated conflicts mean that two processes run; then only the
+    process that is reachable at the address continues to supersede the other.
     """
 
     roster: Roster
     rounds: Rounds
-    _raises: int = 0
-    _settling: bool = False
-
-    def start_settling(self) -> None:
-        """Settle a conflict, unless that is being done."""
-        if not self._settling:
-            self._settling = True
-            self.rounds.spawn(self._settle)
-
-    async def _settle(self) -> None:
-        self._raises += 1
-        if self._raises <= _FREE_RAISES or await self._reaches_itself():
-            self.roster.raise_own(self.rounds.timers.read())
+    _supersessions: int = 0
+    _resolving: bool = False
+
+    def start_resolving(self) -> None:
+        """Start to resolve a conflict, unless a resolution is running."""
+        if not self._resolving:
+            self._resolving = True
+            self.rounds.spawn(self._resolve)
+
+    async def _resolve(self) -> None:
+        self._supersessions += 1
+        if (
+            self._supersessions <= _MAX_UNCHECKED_SUPERSESSIONS
+            or await self._is_reachable()
+        ):
+            self.roster.supersede_conflict(self.rounds.timers.read())
             self.rounds.flush_soon()
         else:
             self.roster.conflict = None
             self.roster.counts.add(Count.ADDRESS_CONFLICTS)
-            logger.warning("another process is reached at the address of this node")
-        self._settling = False
+            logger.warning("another process answers at the address of this node")
+        self._resolving = False
 
-    async def _reaches_itself(self) -> bool:
+    async def _is_reachable(self) -> bool:
         identity = self.roster.identity
         question = ttypes.Message(gossip=exchange.build_pull(self.roster, [0]))
         reply = await self.rounds.peers.request(
-            identity.address, question, self.roster.timing.ask_s
+            identity.address, question, self.roster.timing.request_timeout_s
         )
         if isinstance(reply, PeerFailure):
             return False
--- a/eelgrassmount/members/contacts.py
+++ b/eelgrassmount/members/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses in each failure domain that may be worth asking."""
+"""Addresses of nodes in each failure domain that gossip can be sent to."""
 
 from __future__ import annotations
 
@@ -11,45 +11,46 @@
 if TYPE_CHECKING:
     import random
 
-_KEPT_CONTACTS = 4
+_MIN_CONTACTS = 4
 
 
 @define
 class Contacts:
-    """A bounded number of addresses by failure domain; the oldest are replaced."""
+    """A bounded number of addresses by failure domain; new ones replace the oldest."""
 
-    own_address: str
+    local_address: str
     _domains: dict[str, dict[str, None]] = field(factory=dict)
 
     @property
     def domains(self) -> list[str]:
         """Return the failure domains that have contacts."""
-        return [domain for domain, known in self._domains.items() if known]
+        return [domain for domain, addresses in self._domains.items() if addresses]
 
     def add(self, failure_domain: str, address: str) -> None:
-        """Note an address, as the newest one."""
-        if address == self.own_address:
+        """Add an address as the newest, dropping the oldest beyond the bound."""
+        if address == self.local_address:
             return
-        known = self._domains.setdefault(failure_domain, {})
-        known.pop(address, None)
-        known[address] = None
-        while len(known) > MAX_CONTACTS:
-            del known[next(iter(known))]
+        addresses = self._domains.setdefault(failure_domain, {})
+        addresses.pop(address, None)
+        addresses[address] = None
+        while len(addresses) > MAX_CONTACTS:
+            del addresses[next(iter(addresses))]
 
     def drop(self, failure_domain: str, address: str) -> None:
-        """Forget an address that did not answer, but keep the last few.
+        """Remove an address that did not answer, unless only a few remain.
 
-        When a cut ends they may be all that is left to start from.
+        After a network partition, the remaining ones may be the only way to
+        reach the failure domain again.
         """
-        known = self._domains.get(failure_domain, {})
-        if len(known) > _KEPT_CONTACTS:
-            known.pop(address, None)
+        addresses = self._domains.get(failure_domain, {})
+        if len(addresses) > _MIN_CONTACTS:
+            addresses.pop(address, None)
 
-    def list_known(self, failure_domain: str) -> list[str]:
-        """Return the addresses of a failure domain, the newest first."""
+    def list_newest_first(self, failure_domain: str) -> list[str]:
+        """Return the addresses of a failure domain, newest first."""
         return list(reversed(self._domains.get(failure_domain, {})))
 
     def choose(self, failure_domain: str, count: int, rng: random.Random) -> list[str]:
-        """Return up to ``count`` addresses of a failure domain at random."""
-        known = list(self._domains.get(failure_domain, {}))
-        return rng.sample(known, min(count, len(known)))
+        """Return up to ``count`` random addresses of a failure domain."""
+        addresses = list(self._domains.get(failure_domain, {}))
+        return rng.sample(addresses, min(count, len(addresses)))
--- a/eelgrassmount/members/counts.py
+++ b/eelgrassmount/members/counts.py
@@ -1,4 +1,4 @@
-"""Counters of the membership."""
+"""Event counters of the membership."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Count(StrEnum):
-    """What is counted; the value is the label of the metric."""
+    """A counted event; the value is a label of the metric."""
 
     ROUNDS = "rounds"
     PROBES_FAILED = "probes-failed"
@@ -35,13 +35,13 @@
 
 @define
 class Counts:
-    """How often each thing happened; ``listener`` hears of each as well."""
+    """The number of events by kind; ``listener`` is called for each event."""
 
     values: dict[Count, int] = field(factory=lambda: dict.fromkeys(Count, 0))
     listener: Callable[[Count], None] | None = None
 
     def add(self, count: Count) -> None:
-        """Count one occurrence."""
+        """Count one event."""
         self.values[count] += 1
         if self.listener is not None:
             self.listener(count)
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -1,4 +1,4 @@
-"""Which members speak for their failure domain, and what they say of services."""
+"""Choice of a failure domain's delegates, and the summaries that they publish."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import xxhash
 from attrs import evolve, frozen
 
-from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState, ServerState, ServiceSummary
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_ADDRESSES
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
     from eelgrassmount.members.table import Member
 
-_LOAD_FACTOR = 2.0
-DOMAIN_ADDRESSES = 2
+_LOAD_CHANGE_FACTOR = 2.0
+HEARTBEAT_ADDRESSES = 2
 
 
 def _score(key: str, address: str) -> int:
@@ -28,14 +28,14 @@
 def choose_addresses(key: str, addresses: Iterable[str], count: int) -> list[str]:
     """Return the ``count`` addresses with the highest hash for a key.
 
-    All who know the same addresses choose alike, and a change of the addresses
-    changes as few choices as possible (rendezvous hashing).
+    Nodes with the same addresses make the same choice, and a changed address
+    changes at most one choice (rendezvous hashing).
     """
     return heapq.nlargest(count, addresses, key=lambda address: _score(key, address))
 
 
 def choose_delegates(members: Iterable[Member], failure_domain: str) -> list[str]:
-    """Return the addresses that speak for a failure domain, the first rank first."""
+    """Return the addresses of a failure domain's delegates in order of rank."""
     candidates = [
         member.identity.address
         for member in members
@@ -45,12 +45,12 @@
     return choose_addresses(failure_domain, candidates, DELEGATES_PER_DOMAIN)
 
 
-class Weight(IntEnum):
-    """How soon a change has to be known.
+class Urgency(IntEnum):
+    """How soon a change must reach the other failure domains.
 
-    Urgent is what would still send calls to a backend server that takes none,
-    and a service that had no server. Other changes of the servers come next, and load
-    alone comes last.
+    A change is urgent if a published address no longer serves, or if a service
+    without servers has one again. Other changes of the servers come next,
+    changes of load last.
     """
 
     URGENT = 0
@@ -60,10 +60,10 @@
 
 @frozen
 class Change:
-    """A summary that should replace the one last published."""
+    """A summary that must replace the published one."""
 
     summary: ServiceSummary
-    weight: Weight
+    urgency: Urgency
 
 
 def summarize_services(
@@ -72,10 +72,10 @@
     failure_domain: str,
     now_s: float,
 ) -> dict[str, ServiceSummary]:
-    """Return the present summary of each service of the own failure domain.
+    """Return the current summary of each service of the local failure domain.
 
-    Published addresses stay as long as they serve, so that the connections of
-    other failure domains do too.
+    A published address remains in the summary while it serves, so that other
+    failure domains can retain their connections.
     """
     serving: dict[str, list[Member]] = {}
     for member in members:
@@ -97,13 +97,13 @@
     now_s: float,
 ) -> ServiceSummary:
     present = {member.identity.address for member in servers}
-    kept = [
+    retained = [
         address
         for address in (before.addresses if before else ())
         if address in present
     ]
-    others = present.difference(kept)
-    added = choose_addresses(service, others, MAX_ADDRESSES - len(kept))
+    others = present.difference(retained)
+    added = choose_addresses(service, others, MAX_ADDRESSES - len(retained))
     return ServiceSummary(
         failure_domain=failure_domain,
         service=service,
@@ -111,7 +111,7 @@
         servers=len(servers),
         headroom=sum(member.headroom for member in servers),
         threshold=sum(member.threshold for member in servers) // len(servers),
-        addresses=tuple(sorted(kept + added)),
+        addresses=tuple(sorted(retained + added)),
         heard_s=now_s,
     )
 
@@ -121,44 +121,44 @@
     present: Mapping[str, ServiceSummary],
     serving: frozenset[str],
 ) -> list[Change]:
-    """Return what has to be published anew, the most urgent first."""
+    """Return the summaries that differ from the published ones, most urgent first."""
     changes = []
     for service, summary in present.items():
         before = published.get(service)
-        weight = _weigh(before, summary, serving)
-        if weight is not None:
-            changes.append(_raise_sequence(before, summary, weight))
+        urgency = _find_urgency(before, summary, serving)
+        if urgency is not None:
+            changes.append(_increment_sequence(before, summary, urgency))
     for service, before in published.items():
         if before.servers and service and service not in present:
-            gone = evolve(before, servers=0, headroom=0, threshold=0, addresses=())
-            changes.append(_raise_sequence(before, gone, Weight.URGENT))
-    return sorted(changes, key=lambda change: change.weight)
+            withdrawn = evolve(before, servers=0, headroom=0, threshold=0, addresses=())
+            changes.append(_increment_sequence(before, withdrawn, Urgency.URGENT))
+    return sorted(changes, key=lambda change: change.urgency)
 
 
-def _raise_sequence(
-    before: ServiceSummary | None, summary: ServiceSummary, weight: Weight
+def _increment_sequence(
+    before: ServiceSummary | None, summary: ServiceSummary, urgency: Urgency
 ) -> Change:
     sequence = before.sequence + 1 if before else 1
-    return Change(evolve(summary, sequence=sequence), weight)
+    return Change(evolve(summary, sequence=sequence), urgency)
 
 
-def _weigh(
+def _find_urgency(
     before: ServiceSummary | None, summary: ServiceSummary, serving: frozenset[str]
-) -> Weight | None:
+) -> Urgency | None:
     if before is None or not before.servers:
-        return Weight.URGENT
+        return Urgency.URGENT
     if not serving.issuperset(before.addresses):
-        return Weight.URGENT
+        return Urgency.URGENT
     if before.addresses != summary.addresses or before.servers != summary.servers:
-        return Weight.SERVERS
-    if differ_in_load(before.headroom, summary.headroom) or differ_in_load(
+        return Urgency.SERVERS
+    if has_load_changed(before.headroom, summary.headroom) or has_load_changed(
         before.threshold, summary.threshold
     ):
-        return Weight.LOAD
+        return Urgency.LOAD
     return None
 
 
-def differ_in_load(before: int, after: int) -> bool:
-    """Tell whether load changed enough to be told, that is by a factor of two."""
+def has_load_changed(before: int, after: int) -> bool:
+    """Return whether load changed by more than the factor worth publishing."""
     low, high = sorted((before, after))
-    return high > _LOAD_FACTOR * low
+    return high > _LOAD_CHANGE_FACTOR * low
--- a/eelgrassmount/members/digest.py
+++ b/eelgrassmount/members/digest.py
@@ -1,4 +1,4 @@
-"""Digests by which two nodes find out where their knowledge differs."""
+"""Digests with which two nodes find the parts in which their tables differ."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
     return xxhash.xxh32_intdigest(key.encode()) % BUCKETS
 
 
-def name_summary(failure_domain: str, service: str) -> str:
-    """Return the key under which a summary is placed in a bucket."""
+def make_summary_key(failure_domain: str, service: str) -> str:
+    """Return the key that determines the bucket of a summary."""
     return f"{failure_domain}/{service}"
 
 
 def hash_member(member: Member) -> int:
-    """Hash what changes rarely of a member; 0 for one that is gone.
+    """Hash the stable fields of a member; 0 for a member that has left or died.
 
-    Heartbeats and load are left out, so that equal digests are the rule.
+    Heartbeats and load are not hashed, since they differ between nodes most of
+    the time.
     """
     if not member.present:
         return 0
@@ -43,37 +44,37 @@
 
 
 def hash_summary(summary: ServiceSummary) -> int:
-    """Hash what changes rarely of a summary; 0 for a service without servers."""
+    """Hash the stable fields of a summary; 0 for a service without servers."""
     if not summary.servers or not summary.service:
         return 0
     return _hash(summary.failure_domain, summary.service, *summary.addresses)
 
 
 def _hash(*parts: str) -> int:
-    # signed, because it travels as an i64
+    # signed, because the wire type is i64
     value = xxhash.xxh3_64_intdigest("|".join(parts).encode())
     return value - _MODULUS if value >= _SIGN else value
 
 
 @define
 class Digest:
-    """A digest of everything and one of each bucket."""
+    """A digest of all items and one of each bucket."""
 
     total: int = 0
     buckets: list[int] = field(factory=lambda: [0] * BUCKETS)
 
     def toggle(self, key: str, value: int) -> None:
-        """Add an item, or take the same item out again."""
+        """Add the hash of an item, or remove it if it was added before."""
         if value:
             self.total ^= value
             self.buckets[find_bucket(key)] ^= value
 
     def compare(self, buckets: list[int]) -> list[int]:
-        """Return the buckets that differ from another node's."""
+        """Return the indices of the buckets that differ from another node's."""
         return [
             index
-            for index, (mine, other) in enumerate(
+            for index, (local, other) in enumerate(
                 zip(self.buckets, buckets, strict=False)
             )
-            if mine != other
+            if local != other
         ]
--- a/eelgrassmount/members/domains.py
+++ b/eelgrassmount/members/domains.py
@@ -1,4 +1,4 @@
-"""The exchange of summaries between failure domains."""
+"""Exchange of service summaries between failure domains."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import (
-    DOMAIN_ADDRESSES,
+    HEARTBEAT_ADDRESSES,
     Change,
-    Weight,
+    Urgency,
     choose_addresses,
     choose_delegates,
     find_changes,
     summarize_services,
 )
-from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_CROSS_SUMMARIES
 from eelgrassmount.members.table import MemberState, ServiceSummary
+from eelgrassmount.members.timing import DELEGATES_PER_DOMAIN, MAX_CROSS_SUMMARIES
 from eelgrassmount.members.updates import SummaryKey, UpdateQueue
 
 if TYPE_CHECKING:
@@ -27,42 +27,44 @@
     from eelgrassmount.members.rounds import Rounds
     from eelgrassmount.timers import TimerService
 
-# changes of load, published in a tick by all failure domains together
-_PUBLISHED_BY_ALL = 5.0
-_MAX_CREDIT = 3.0
+# Changes of load per tick that all failure domains together may publish.
+_LOAD_CHANGES_PER_TICK = 5.0
+_MAX_LOAD_CREDIT = 3.0
 _URGENT_CONTACTS = 2
 _REPAIR_SUMMARIES = 8
-# a digest differs for a moment whenever something changes
-_REPAIR_FROM_MISMATCHES = 3
+# Every change makes digests differ until it has spread.
+_MIN_REPAIR_MISMATCHES = 3
 
 
 @define
-class Domains:
-    """Publishes what the own failure domain's services can take, and tells the others.
+class DomainExchange:
+    """Publishes summaries of the local services and sends them to other domains.
 
-    A few delegates do so. The first one publishes at once; the others only
-    what is urgent and what the first has not published after a while, staggered by
-    rank, so that they do not publish the same change twice.
+    Only delegates do so. The first delegate publishes every change at once. The
+    others publish urgent changes only, each after a delay that grows with its
+    rank, so that a change is not published twice.
     """
 
     roster: Roster
     timers: TimerService
     rounds: Rounds
-    _differs_since_s: float | None = None
+    _changed_since_s: float | None = None
     _outgoing: dict[str, UpdateQueue] = field(factory=dict)
     _mismatches: dict[str, int] = field(factory=dict)
-    _credit: float = 0.0
+    _load_credit: float = 0.0
     _rank: int | None = None
     _rank_version: int = -1
     _ticks: int = 0
 
     def start(self) -> None:
         """Subscribe to the timers."""
-        self.timers.subscribe(self.roster.timing.cross_s, self.run_tick, 0.1)
+        self.timers.subscribe(
+            self.roster.timing.cross_domain_interval_s, self.run_tick, 0.1
+        )
 
     @property
     def rank(self) -> int | None:
-        """Return this node's rank among the delegates, if it is one."""
+        """Return this node's rank among the delegates, or ``None``."""
         if self._rank_version != self.roster.version:
             self._rank_version = self.roster.version
             self._rank = self._compute_rank()
@@ -72,44 +74,44 @@
         delegates = choose_delegates(
             self.roster.table.members.values(), self.roster.identity.failure_domain
         )
-        own = self.roster.identity.address
-        return delegates.index(own) if own in delegates else None
+        address = self.roster.identity.address
+        return delegates.index(address) if address in delegates else None
 
     def run_tick(self) -> None:
-        """Do the periodic work of a delegate."""
+        """Publish changes and send them to the other failure domains."""
         now_s = self.timers.read()
         self.roster.hide_stale_domains(now_s)
         rank = self.rank
         if rank is None:
             self._outgoing.clear()
             self._mismatches.clear()
-            self.roster.fresh.clear()
-            self._differs_since_s = None
+            self.roster.unsent_summaries.clear()
+            self._changed_since_s = None
             return
-        self._earn_credit()
+        self._refill_load_credit()
         self._publish_services(rank, now_s, urgent_only=False)
         self._publish_heartbeat(rank, now_s)
-        self._queue_fresh()
+        self._queue_published()
         self._ticks += 1
-        # each failure domain hears from one of the delegates in each tick
+        # in each tick, one of the delegates sends to each failure domain
         for turn, domain in enumerate(self.roster.contacts.domains, self._ticks):
             is_turn = turn % DELEGATES_PER_DOMAIN == rank
             if domain != self.roster.identity.failure_domain and is_turn:
                 self._send(domain, contacts=1)
 
-    def react(self) -> None:
-        """Publish and tell at once what would send calls to a server that left."""
+    def publish_urgent(self) -> None:
+        """Publish and send at once that a published address no longer serves."""
         rank = self.rank
-        if rank is None or not self._published_in_vain():
+        if rank is None or not self._has_stale_addresses():
             return
         if not self._publish_services(rank, self.timers.read(), urgent_only=True):
             return
-        self._queue_fresh()
+        self._queue_published()
         for domain in self.roster.contacts.domains:
             if domain != self.roster.identity.failure_domain:
                 self._send(domain, contacts=_URGENT_CONTACTS)
 
-    def _published_in_vain(self) -> bool:
+    def _has_stale_addresses(self) -> bool:
         serving = self._list_serving()
         return any(
             not serving.issuperset(summary.addresses)
@@ -133,7 +135,7 @@
         }
 
     def _publish_services(self, rank: int, now_s: float, urgent_only: bool) -> bool:
-        """Publish what changed, if it is this rank's turn; tell whether it did."""
+        """Publish changes once this rank's delay is over; return whether it did."""
         published = self._list_published()
         domain = self.roster.identity.failure_domain
         present = summarize_services(
@@ -141,43 +143,47 @@
         )
         changes = find_changes(published, present, self._list_serving())
         if urgent_only or rank:
-            changes = [one for one in changes if one.weight is Weight.URGENT]
+            changes = [one for one in changes if one.urgency is Urgency.URGENT]
         if not changes:
-            self._differs_since_s = None
+            self._changed_since_s = None
             return False
-        if self._differs_since_s is None:
-            self._differs_since_s = now_s
-        if now_s - self._differs_since_s < rank * self.roster.timing.delegate_stagger_s:
+        if self._changed_since_s is None:
+            self._changed_since_s = now_s
+        if now_s - self._changed_since_s < rank * self.roster.timing.delegate_stagger_s:
             return False
         for change in self._choose_changes(changes):
             self._publish(change.summary, now_s)
         return True
 
     def _choose_changes(self, changes: list[Change]) -> list[Change]:
-        """Return all changes of servers, and of load as far as the share allows."""
-        servers = [change for change in changes if change.weight < Weight.LOAD]
+        """Return all changes of servers, and changes of load within the credit."""
+        servers = [change for change in changes if change.urgency < Urgency.LOAD]
         loads = changes[len(servers) :]
-        count = min(int(self._credit), len(loads))
-        self._credit -= count
+        count = min(int(self._load_credit), len(loads))
+        self._load_credit -= count
         return servers + self.roster.rng.sample(loads, count)
 
-    def _earn_credit(self) -> None:
+    def _refill_load_credit(self) -> None:
         domains = len(self.roster.contacts.domains) + 1
-        limit = max(_MAX_CREDIT, _PUBLISHED_BY_ALL / domains)
-        self._credit = min(limit, self._credit + _PUBLISHED_BY_ALL / domains)
+        limit = max(_MAX_LOAD_CREDIT, _LOAD_CHANGES_PER_TICK / domains)
+        self._load_credit = min(
+            limit, self._load_credit + _LOAD_CHANGES_PER_TICK / domains
+        )
 
     def _publish(self, summary: ServiceSummary, now_s: float) -> None:
         self.roster.counts.add(Count.SUMMARIES_PUBLISHED)
         self.roster.apply_summary(summary, now_s)
 
     def _publish_heartbeat(self, rank: int, now_s: float) -> None:
-        """Publish that the failure domain is there, and a few addresses in it."""
+        """Publish that the failure domain is reachable, with a few addresses."""
         timing = self.roster.timing
         domain = self.roster.identity.failure_domain
         key = SummaryKey(domain, "")
         before = self.roster.summaries.get(key)
-        patience_s = timing.domain_heartbeat_s + rank * timing.delegate_stagger_s
-        if before is not None and now_s - before.heard_s < patience_s:
+        due_after_s = (
+            timing.domain_heartbeat_interval_s + rank * timing.delegate_stagger_s
+        )
+        if before is not None and now_s - before.heard_s < due_after_s:
             return
         alive = [
             member.identity.address
@@ -191,37 +197,39 @@
             servers=len(alive),
             headroom=0,
             threshold=0,
-            addresses=tuple(choose_addresses(domain, alive, DOMAIN_ADDRESSES)),
+            addresses=tuple(choose_addresses(domain, alive, HEARTBEAT_ADDRESSES)),
             heard_s=now_s,
         )
         self.roster.apply_summary(summary, now_s)
 
-    def _queue_fresh(self) -> None:
-        """Note for each other failure domain what was newly published."""
+    def _queue_published(self) -> None:
+        """Queue newly published summaries for each other failure domain."""
         for domain in self.roster.contacts.domains:
             if domain == self.roster.identity.failure_domain:
                 continue
             queue = self._outgoing.setdefault(domain, UpdateQueue())
-            for key in self.roster.fresh:
+            for key in self.roster.unsent_summaries:
                 queue.add(key, 1)
-        self.roster.fresh.clear()
+        self.roster.unsent_summaries.clear()
 
     def _send(self, domain: str, contacts: int) -> None:
-        """Send to nodes of another failure domain what it has not been told."""
+        """Send queued summaries to nodes of another failure domain."""
         queue = self._outgoing.setdefault(domain, UpdateQueue())
-        own = self.roster.identity.failure_domain
-        keys = [SummaryKey(own, ""), *queue.take(MAX_CROSS_SUMMARIES)]
-        repair = self._mismatches.get(domain, 0) >= _REPAIR_FROM_MISMATCHES
+        local_domain = self.roster.identity.failure_domain
+        keys = [SummaryKey(local_domain, ""), *queue.take(MAX_CROSS_SUMMARIES)]
+        repair = self._mismatches.get(domain, 0) >= _MIN_REPAIR_MISMATCHES
         gossip = exchange.build_cross(self.roster, keys, repair)
         chosen = self.roster.contacts.choose(domain, contacts, self.roster.rng)
         for address in chosen:
-            self.rounds.spawn(self._tell_domain, domain, address, gossip, keys)
+            self.rounds.spawn(self._send_to_contact, domain, address, gossip, keys)
 
-    async def _tell_domain(
+    async def _send_to_contact(
         self, domain: str, address: str, gossip: Gossip, keys: list[SummaryKey]
     ) -> None:
         self.rounds.fill(gossip)
-        reply = await self.rounds.request(address, gossip, self.roster.timing.ask_s)
+        reply = await self.rounds.request(
+            address, gossip, self.roster.timing.request_timeout_s
+        )
         queue = self._outgoing.setdefault(domain, UpdateQueue())
         if reply is None:
             self.roster.contacts.drop(domain, address)
@@ -229,19 +237,21 @@
                 queue.add(key, 1)
             return
         self.roster.contacts.add(domain, address)
-        own = self.roster.identity.failure_domain
-        if reply.digest == self.roster.domain_digests.get(own, 0):
+        local_domain = self.roster.identity.failure_domain
+        if reply.digest == self.roster.domain_digests.get(local_domain, 0):
             self._mismatches.pop(domain, None)
             return
         count = self._mismatches.get(domain, 0) + 1
         self._mismatches[domain] = count
-        if count >= _REPAIR_FROM_MISMATCHES:
+        if count >= _MIN_REPAIR_MISMATCHES:
             self._queue_repair(queue)
 
     def _queue_repair(self, queue: UpdateQueue) -> None:
-        """Send some of the summaries again, as the other side knows other ones."""
-        own = self.roster.identity.failure_domain
-        keys = [key for key in self.roster.summaries if key.failure_domain == own]
+        """Queue some summaries again, since the other domain's digest differs."""
+        local_domain = self.roster.identity.failure_domain
+        keys = [
+            key for key in self.roster.summaries if key.failure_domain == local_domain
+        ]
         count = min(len(keys), _REPAIR_SUMMARIES)
         for key in self.roster.rng.sample(keys, count):
             queue.add(key, 1)
--- a/eelgrassmount/members/exchange.py
+++ b/eelgrassmount/members/exchange.py
@@ -1,4 +1,4 @@
-"""What the messages between members say, and what is learned from them."""
+"""Builds the gossip messages between nodes and applies received ones."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 from eelgrassmount.gen import ttypes
 from eelgrassmount.members.counts import Count
-from eelgrassmount.members.digest import find_bucket, name_summary
+from eelgrassmount.members.digest import find_bucket, make_summary_key
 from eelgrassmount.members.merge import rank_member
+from eelgrassmount.members.table import ServiceSummary
 from eelgrassmount.members.timing import (
     MAX_ADDRESSES,
     MAX_CROSS_SUMMARIES,
@@ -16,7 +17,6 @@
     MAX_UPDATES,
     MAX_URGENT,
 )
-from eelgrassmount.members.table import ServiceSummary
 from eelgrassmount.members.updates import MemberKey, SummaryKey
 from eelgrassmount.members.wire import (
     decode_members,
@@ -32,12 +32,12 @@
     from eelgrassmount.members.roster import Roster
     from eelgrassmount.members.table import Member
 
-_FEW_BUCKETS = 4
-_MANY_BUCKETS = 128
+_MAX_PULL_BUCKETS = 4
+_MAX_BULK_PULL_BUCKETS = 128
 
 
 def build_round(roster: Roster) -> Gossip:
-    """Return the message of one round, which asks for an answer."""
+    """Return the message of one gossip round, which expects a reply."""
     keys = roster.updates.take(MAX_UPDATES)
     gossip = build_updates(roster, keys)
     gossip.digest = roster.digest.total
@@ -45,12 +45,12 @@
 
 
 def build_updates(roster: Roster, keys: Iterable[MemberKey | SummaryKey]) -> Gossip:
-    """Return a message with the present state of what the keys name.
+    """Return a message with the current members and summaries of the keys.
 
-    The sender itself is always the first member: that costs little and keeps each
-    receiver right about the node it talks to.
+    The first member is always the sender, so that the receiver has its current
+    state.
     """
-    members = [roster.own]
+    members = [roster.local_member]
     summaries = []
     for key in keys:
         if isinstance(key, SummaryKey):
@@ -64,7 +64,7 @@
 
 
 def build_urgent(roster: Roster) -> Gossip:
-    """Return a message with all that has to be told at once; it has no answer."""
+    """Return a message with urgent updates; it has no reply."""
     keys = list(roster.urgent)[:MAX_URGENT]
     for key in keys:
         del roster.urgent[key]
@@ -72,18 +72,18 @@
 
 
 def build_join(roster: Roster) -> Gossip:
-    """Return the message of a node that knows nobody yet, to any node."""
-    gossip = _encode("", [roster.own], [])
+    """Return the message with which a node joins; any node can answer it."""
+    gossip = _encode("", [roster.local_member], [])
     gossip.digest = 0
     gossip.full = True
     return gossip
 
 
 def build_pull(roster: Roster, differing: list[int]) -> Gossip:
-    """Return a message that asks for some of the parts that differ."""
-    many = len(differing) > _MANY_BUCKETS
-    count = min(len(differing), _MANY_BUCKETS if many else _FEW_BUCKETS)
-    gossip = _encode(roster.identity.failure_domain, [roster.own], [])
+    """Return a message that requests some of the buckets that differ."""
+    many = len(differing) > _MAX_BULK_PULL_BUCKETS
+    count = min(len(differing), _MAX_BULK_PULL_BUCKETS if many else _MAX_PULL_BUCKETS)
+    gossip = _encode(roster.identity.failure_domain, [roster.local_member], [])
     gossip.wanted = sorted(roster.rng.sample(differing, count))
     return gossip
 
@@ -91,7 +91,8 @@
 def build_cross(roster: Roster, keys: Iterable[SummaryKey], repair: bool) -> Gossip:
     """Return the message of a delegate to another failure domain.
 
-    With ``repair`` it asks for what the other side holds of this one.
+    With ``repair`` it requests the summaries of this failure domain that the
+    receiver has stored.
     """
     known = (roster.summaries.get(key) for key in keys)
     summaries = [summary for summary in known if summary is not None]
@@ -101,13 +102,13 @@
     return gossip
 
 
-def needs_answer(gossip: Gossip) -> bool:
-    """Tell whether a message is a question."""
+def expects_reply(gossip: Gossip) -> bool:
+    """Return whether the sender of a message waits for a reply."""
     return gossip.digest is not None or gossip.wanted is not None
 
 
-def learn(roster: Roster, gossip: Gossip, now_s: float) -> None:
-    """Take in all that a message says."""
+def apply(roster: Roster, gossip: Gossip, now_s: float) -> None:
+    """Apply the members and summaries of a message."""
     members = decode_members(gossip.members, roster.identity, now_s)
     summaries = decode_summaries(gossip.summaries, now_s)
     if len(members) < len(gossip.members or ()):
@@ -120,8 +121,8 @@
         roster.apply_summary(summary, now_s)
 
 
-def answer(roster: Roster, sender: Hello, gossip: Gossip) -> Gossip:
-    """Return the answer to a question whose content was taken in before."""
+def build_reply(roster: Roster, sender: Hello, gossip: Gossip) -> Gossip:
+    """Return the reply to a message that has been applied."""
     if gossip.wanted is not None:
         reply = _answer_pull(roster, gossip.wanted)
     elif gossip.full and gossip.members:
@@ -130,7 +131,7 @@
         reply = _answer_round(roster, gossip)
     else:
         reply = _answer_cross(roster, sender, gossip)
-    _add_view_of_sender(roster, gossip, reply)
+    _add_newer_sender_report(roster, gossip, reply)
     return reply
 
 
@@ -152,14 +153,16 @@
     summaries = [
         summary
         for key, summary in roster.summaries.items()
-        if find_bucket(name_summary(key.failure_domain, key.service)) in chosen
+        if find_bucket(make_summary_key(key.failure_domain, key.service)) in chosen
     ]
-    return _encode(roster.identity.failure_domain, [roster.own, *members], summaries)
+    return _encode(
+        roster.identity.failure_domain, [roster.local_member, *members], summaries
+    )
 
 
 def _answer_join(roster: Roster, sender: Hello) -> Gossip:
-    """Return a first impression; the rest is pulled piece by piece."""
-    members = [roster.own]
+    """Return a sample of members and summaries; the rest is pulled by bucket."""
+    members = [roster.local_member]
     summaries = [
         summary for key, summary in roster.summaries.items() if not key.service
     ]
@@ -168,13 +171,13 @@
         services = [summary for key, summary in roster.summaries.items() if key.service]
         summaries += _sample(roster, services, MAX_JOIN_SUMMARIES)
     elif SummaryKey(sender.failure_domain, "") not in roster.summaries:
-        summaries.append(_hint_contacts(roster, sender.failure_domain))
+        summaries.append(_build_contact_hint(roster, sender.failure_domain))
     return _encode(sender.failure_domain, members, summaries)
 
 
-def _hint_contacts(roster: Roster, failure_domain: str) -> ServiceSummary:
-    """Return addresses that may be members, as a summary that any other replaces."""
-    addresses = roster.contacts.list_known(failure_domain)[:MAX_ADDRESSES]
+def _build_contact_hint(roster: Roster, failure_domain: str) -> ServiceSummary:
+    """Return possible members as a summary that any published summary replaces."""
+    addresses = roster.contacts.list_newest_first(failure_domain)[:MAX_ADDRESSES]
     return ServiceSummary(
         failure_domain=failure_domain,
         service="",
@@ -187,31 +190,31 @@
 
 
 def _answer_cross(roster: Roster, sender: Hello, gossip: Gossip) -> Gossip:
-    """Return what is held of the sender's failure domain and is newer.
+    """Return newer summaries of the sender's failure domain.
 
-    After a restart of its whole failure domain a delegate begins anew with low
-    sequence numbers; this is how it learns which ones to go above.
+    After a restart of its whole failure domain a delegate starts with low
+    sequence numbers. The reply tells it which ones it must exceed.
     """
     newer = []
     for struct in gossip.summaries or ():
         key = SummaryKey(struct.failure_domain, struct.service_name or "")
-        held = roster.summaries.get(key)
-        if held is not None and held.sequence > (struct.sequence or 0):
-            newer.append(held)
+        stored = roster.summaries.get(key)
+        if stored is not None and stored.sequence > (struct.sequence or 0):
+            newer.append(stored)
     if gossip.full:
-        held_all = [
+        all_stored = [
             summary
             for key, summary in roster.summaries.items()
             if key.failure_domain == sender.failure_domain
         ]
-        newer += _sample(roster, held_all, MAX_CROSS_SUMMARIES - len(newer))
+        newer += _sample(roster, all_stored, MAX_CROSS_SUMMARIES - len(newer))
     reply = _encode(sender.failure_domain, [], newer)
     reply.digest = roster.domain_digests.get(sender.failure_domain, 0)
     return reply
 
 
-def _add_view_of_sender(roster: Roster, gossip: Gossip, reply: Gossip) -> None:
-    """Tell the sender when something else is thought of it than it says itself."""
+def _add_newer_sender_report(roster: Roster, gossip: Gossip, reply: Gossip) -> None:
+    """Add a report about the sender that outranks the sender's own."""
     if not gossip.members:
         return
     claimed = decode_members(gossip.members[:1], roster.identity, 0.0)
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -1,4 +1,4 @@
-"""Finding the other nodes: seeds, and announcements on the log."""
+"""Discovery of other nodes through seeds and announcements on the log."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from eelgrassmount.members import exchange
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.delegates import choose_addresses
-from eelgrassmount.members.timing import MAX_ADDRESSES
 from eelgrassmount.members.table import MemberState
+from eelgrassmount.members.timing import MAX_ADDRESSES
 from eelgrassmount.members.wire import decode_members, encode_member
 
 if TYPE_CHECKING:
@@ -31,24 +31,24 @@
     from eelgrassmount.timers import TimerService
 
 STREAM = "members"
-_TAIL_RECORDS = 200
-_MAX_ASKED = 8
-_DELEGATE_LOOK_S = 15.0
-_ANNOUNCED_LOOK_S = 2.0
-_EAGER_LOOKS = 3
-# a log that hangs must not keep a node from its seeds
-_LOOK_LIMIT_S = 8.0
+_MAX_TAIL_RECORDS = 200
+_MAX_CONTACTED = 8
+_DELEGATE_INTERVAL_S = 15.0
+_ANNOUNCED_INTERVAL_S = 2.0
+_MIN_BACKOFF_DISCOVERIES = 3
+# Bounds a discovery, so that a log without answers does not delay the next one.
+_DISCOVERY_TIMEOUT_S = 8.0
 _PROTOCOL = TBinaryProtocolAcceleratedFactory()
 
 
 def encode_announcement(members: Iterable[Member]) -> bytes:
-    """Return the record that announces members on the log."""
+    """Return the body of a record that announces members on the log."""
     structs = [encode_member(member, "") for member in members]
     return serialize(ttypes.Gossip(members=structs), _PROTOCOL)
 
 
 def decode_announcement(body: bytes, roster: Roster) -> list[Member]:
-    """Return the members that a record announces; none if it is not readable."""
+    """Return the members that a record announces; none if it is malformed."""
     try:
         gossip = deserialize(ttypes.Gossip(), body, _PROTOCOL)
     except (TException, EOFError, ValueError, UnicodeDecodeError):
@@ -58,33 +58,33 @@
 
 
 def list_candidates(roster: Roster, records: Iterable[Record]) -> list[str]:
-    """Note the announced addresses and return those worth asking, newest first.
+    """Record announced addresses and return those to contact, newest first.
 
-    An announcement proves nothing about the present, so members are only
-    learned from the nodes that answer.
+    Announcements may be out of date, so an announced node becomes a member only
+    by the answer of a live node.
     """
-    own = roster.identity
+    identity = roster.identity
     for record in records:
         for member in decode_announcement(record.body, roster):
-            _note_announced(roster, member)
+            _record_announced(roster, member)
     known = frozenset(roster.others)
-    near = [
+    local = [
         address
-        for address in roster.contacts.list_known(own.failure_domain)
+        for address in roster.contacts.list_newest_first(identity.failure_domain)
         if address not in known
     ]
-    far = [
+    remote = [
         address
         for domain in roster.contacts.domains
-        if domain != own.failure_domain
-        for address in roster.contacts.list_known(domain)
+        if domain != identity.failure_domain
+        for address in roster.contacts.list_newest_first(domain)
     ]
-    count = _MAX_ASKED // 2 if not roster.others else 1
-    chosen_far = roster.rng.sample(far, min(len(far), count))
-    return near[: _MAX_ASKED - len(chosen_far)] + chosen_far
+    count = _MAX_CONTACTED // 2 if not roster.others else 1
+    chosen_remote = roster.rng.sample(remote, min(len(remote), count))
+    return local[: _MAX_CONTACTED - len(chosen_remote)] + chosen_remote
 
 
-def _note_announced(roster: Roster, member: Member) -> None:
+def _record_announced(roster: Roster, member: Member) -> None:
     identity = member.identity
     if identity.address != roster.identity.address:
         roster.contacts.add(identity.failure_domain, identity.address)
@@ -94,12 +94,12 @@
 
 @define
 class Joiner:
-    """Looks for other nodes: often while alone, rarely as a delegate.
+    """Discovers other nodes: often while no member is known, rarely as a delegate.
 
-    A node announces itself only if its second look finds nobody of its failure
-    domain either; else the members that it joined are announced already. The
-    first look of a node that announced itself is followed by another one soon, for two
-    nodes that announced themselves at once.
+    A node announces itself on the log if its second discovery finds no member of
+    its failure domain either. A node that announced itself and then found
+    members runs another discovery soon, in case two nodes announced themselves at
+    the same time.
     """
 
     roster: Roster
@@ -109,66 +109,70 @@
     seeds: tuple[str, ...]
     is_delegate: Callable[[], bool]
     _backoff_s: float = field(init=False)
-    _next_look_s: float = 0.0
+    _next_discovery_s: float = 0.0
     _next_announcement_s: float = 0.0
-    _looks: int = 0
-    _looking: bool = False
+    _discoveries: int = 0
+    _discovering: bool = False
     _announced: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self._backoff_s = self.roster.timing.look_least_s
+        self._backoff_s = self.roster.timing.min_discovery_interval_s
 
     @property
-    def alone(self) -> bool:
-        """Tell whether no other member of the failure domain is known."""
+    def is_alone(self) -> bool:
+        """Return whether no other member of the failure domain is known."""
         return not self.roster.others
 
     def start(self) -> None:
-        """Look once at once and then subscribe to the timers."""
+        """Start a discovery and subscribe to the timers."""
         timing = self.roster.timing
-        delay_s = self.roster.rng.uniform(0.5, 1.5) * timing.announce_s
+        delay_s = self.roster.rng.uniform(0.5, 1.5) * timing.announcement_interval_s
         self._next_announcement_s = self.timers.read() + delay_s
-        self.rounds.spawn(self.look)
-        self.timers.subscribe(timing.look_least_s / 2, self.check, 0.2)
+        self.rounds.spawn(self.discover)
+        self.timers.subscribe(timing.min_discovery_interval_s / 2, self.check, 0.2)
 
     def check(self) -> None:
-        """Look again when that is due, and announce members from time to time."""
+        """Start a discovery and announce members when each is due."""
         now_s = self.timers.read()
-        if now_s < self._next_look_s or self._looking or not self.roster.own.present:
+        if (
+            now_s < self._next_discovery_s
+            or self._discovering
+            or not self.roster.local_member.present
+        ):
             return
-        if self.alone or self.is_delegate():
-            self.rounds.spawn(self.look)
+        if self.is_alone or self.is_delegate():
+            self.rounds.spawn(self.discover)
         else:
-            self._next_look_s = now_s + self.roster.timing.look_most_s
-        self._announce_again(now_s)
+            self._next_discovery_s = now_s + self.roster.timing.max_discovery_interval_s
+        self._announce_members_if_due(now_s)
 
-    async def look(self) -> None:
-        """Ask seeds and announced nodes; announce this node if there is nobody."""
-        self._looking = True
-        self._looks += 1
+    async def discover(self) -> None:
+        """Contact seeds and announced nodes; announce this node if none is found."""
+        self._discovering = True
+        self._discoveries += 1
         try:
-            with anyio.move_on_after(_LOOK_LIMIT_S):
-                await self._ask_around()
+            with anyio.move_on_after(_DISCOVERY_TIMEOUT_S):
+                await self._contact_candidates()
         finally:
-            self._plan_next_look()
-            self._looking = False
+            self._schedule_next_discovery()
+            self._discovering = False
 
-    async def _ask_around(self) -> None:
+    async def _contact_candidates(self) -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(self._look_at_log, group)
+            group.start_soon(self._discover_through_log, group)
             for address in self._choose_seeds():
                 group.start_soon(self._join_through, address)
 
-    async def _look_at_log(self, group: TaskGroup) -> None:
+    async def _discover_through_log(self, group: TaskGroup) -> None:
         records = await self._read_tail()
         for address in list_candidates(self.roster, records or ()):
             group.start_soon(self._join_through, address)
-        patient = self._looks > 1
-        if records is not None and patient and self.alone and not self._announced:
-            self._announced = await self.announce([self.roster.own])
+        repeated = self._discoveries > 1
+        if records is not None and repeated and self.is_alone and not self._announced:
+            self._announced = await self.announce([self.roster.local_member])
 
     async def announce(self, members: list[Member]) -> bool:
-        """Append addresses to the log, so that nodes to come find them."""
+        """Announce members on the log; return whether the append was answered."""
         self.roster.counts.add(Count.LOG_ANNOUNCEMENTS)
         answer = await self.log.append(STREAM, encode_announcement(members))
         if isinstance(answer, LogFailure):
@@ -176,11 +180,14 @@
             return False
         return True
 
-    def _announce_again(self, now_s: float) -> None:
-        """Announce a few live members, before the log drops older announcements."""
+    def _announce_members_if_due(self, now_s: float) -> None:
+        """Announce a few live members before the log drops older announcements."""
         if now_s < self._next_announcement_s or not self.is_delegate():
             return
-        delay_s = self.roster.rng.uniform(0.75, 1.25) * self.roster.timing.announce_s
+        delay_s = (
+            self.roster.rng.uniform(0.75, 1.25)
+            * self.roster.timing.announcement_interval_s
+        )
         self._next_announcement_s = now_s + delay_s
         alive = {
             member.identity.address: member
@@ -194,16 +201,16 @@
     def _choose_seeds(self) -> list[str]:
         known = {self.roster.identity.address, *self.roster.others}
         seeds = [seed for seed in self.seeds if seed not in known]
-        count = _MAX_ASKED if self.alone else 1
+        count = _MAX_CONTACTED if self.is_alone else 1
         return self.roster.rng.sample(seeds, min(len(seeds), count))
 
     async def _join_through(self, address: str) -> None:
         gossip = exchange.build_join(self.roster)
         self.rounds.fill(gossip)
-        await self.rounds.request(address, gossip, self.roster.timing.ask_s)
+        await self.rounds.request(address, gossip, self.roster.timing.request_timeout_s)
 
     async def _read_tail(self) -> tuple[Record, ...] | None:
-        """Return the newest announcements, or ``None`` when the log gave no answer."""
+        """Return the newest announcements, or ``None`` if the log failed."""
         self.roster.counts.add(Count.LOG_LOOKS)
         probe = await self.log.read(STREAM, 0, 1, 0.0)
         if isinstance(probe, LogFailure):
@@ -211,23 +218,25 @@
             return None
         if probe.next <= probe.first:
             return ()
-        offset = max(probe.first, probe.next - _TAIL_RECORDS)
-        page = await self.log.read(STREAM, offset, _TAIL_RECORDS, 0.0)
+        offset = max(probe.first, probe.next - _MAX_TAIL_RECORDS)
+        page = await self.log.read(STREAM, offset, _MAX_TAIL_RECORDS, 0.0)
         if isinstance(page, LogFailure):
             self.roster.counts.add(Count.LOG_FAILURES)
             return None
         return page.records
 
-    def _plan_next_look(self) -> None:
-        """Back off, with jitter, while alone; else look as rarely as a delegate."""
+    def _schedule_next_discovery(self) -> None:
+        """Back off while no member is known; else use the interval of delegates."""
         timing = self.roster.timing
-        if not self.alone:
-            self._backoff_s = timing.look_least_s
-            wait_s = _ANNOUNCED_LOOK_S if self._announced else _DELEGATE_LOOK_S
+        if not self.is_alone:
+            self._backoff_s = timing.min_discovery_interval_s
+            wait_s = _ANNOUNCED_INTERVAL_S if self._announced else _DELEGATE_INTERVAL_S
             self._announced = False
         else:
             wait_s = self._backoff_s
-            if self._looks >= _EAGER_LOOKS:
-                self._backoff_s = min(2 * self._backoff_s, timing.look_most_s)
+            if self._discoveries >= _MIN_BACKOFF_DISCOVERIES:
+                self._backoff_s = min(
+                    2 * self._backoff_s, timing.max_discovery_interval_s
+                )
         wait_s *= self.roster.rng.uniform(0.7, 1.3)
-        self._next_look_s = self.timers.read() + wait_s
+        self._next_discovery_s = self.timers.read() + wait_s
--- a/eelgrassmount/members/membership.py
+++ b/eelgrassmount/members/membership.py
@@ -1,4 +1,4 @@
-"""The membership of a node: what `compose` wires and other parts call."""
+"""Membership of a node among the others of the deployment."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from eelgrassmount.members import exchange
 from eelgrassmount.members.conflicts import Conflicts
 from eelgrassmount.members.counts import Counts
-from eelgrassmount.members.delegates import differ_in_load
-from eelgrassmount.members.domains import Domains
+from eelgrassmount.members.delegates import has_load_changed
+from eelgrassmount.members.domains import DomainExchange
 from eelgrassmount.members.joining import Joiner
-from eelgrassmount.members.timing import Timing, compute_load_interval_s
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.rounds import Rounds
 from eelgrassmount.members.table import MemberState, ServerState
+from eelgrassmount.members.timing import Timing, compute_load_interval_s
 from eelgrassmount.members.updates import MemberKey
 
 if TYPE_CHECKING:
@@ -33,25 +33,25 @@
     from eelgrassmount.timers import TimerService
     from eelgrassmount.util.background import Background
 
-_LEAVE_TELLS = 6
-_LEAVE_S = 0.5
+_MAX_LEAVE_RECIPIENTS = 6
+_LEAVE_TIMEOUT_S = 0.5
 
 
 class Membership:
-    """Keeps `Blackboard.members` and tells the other nodes of this one.
+    """Updates `Blackboard.members` and announces this node to the others.
 
-    ``describe_load`` gives the load of the local backend server. Other parts
-    that have something to say in each message add a function to ``fillers``, and to
-    ``observers`` one that is given each message with its sender's address::
+    ``describe_load`` returns the load of the local backend server. Each function
+    in ``fillers`` adds fields to messages before they are sent; each one in
+    ``observers`` is called with the sender's address and a received message::
 
-        membership = Membership(board, timers, peers, log, rng, seeds)
+        membership = Membership(shared_state, timers, peers, log, rng, seeds)
         membership.fillers.append(add_version)
         await membership.start(task_group)
     """
 
     def __init__(
         self,
-        board: Blackboard,
+        shared_state: Blackboard,
         timers: TimerService,
         peers: PeerPort,
         log: LogPort,
@@ -63,25 +63,25 @@
     ) -> None:
         self.fillers: list[Callable[[Gossip], None]] = []
         self.observers: list[Callable[[str, Gossip], None]] = []
-        self._board = board
+        self._shared_state = shared_state
         self._timers = timers
         self.describe_load = describe_load
         self._tasks: Background | None = None
-        self._load_told_s = -math.inf
+        self._load_announced_s = -math.inf
         self.roster = Roster(
-            board.identity,
+            shared_state.identity,
             timing or Timing(),
             rng,
-            board.members,
+            shared_state.members,
             counts=counts or Counts(),
         )
         self._rounds = Rounds(
             self.roster, timers, peers, self._spawn, self._fill, self._observe
         )
-        self._domains = Domains(self.roster, timers, self._rounds)
+        self._domain_exchange = DomainExchange(self.roster, timers, self._rounds)
         conflicts = Conflicts(self.roster, self._rounds)
-        self._rounds.react = self._domains.react
-        self._rounds.settle_conflict = conflicts.start_settling
+        self._rounds.publish_urgent = self._domain_exchange.publish_urgent
+        self._rounds.resolve_conflict = conflicts.start_resolving
         self._joiner = Joiner(
             self.roster, timers, self._rounds, log, tuple(seeds), self._is_delegate
         )
@@ -94,53 +94,63 @@
         }
 
     async def start(self, task_group: Background) -> None:
-        """Join the other nodes and keep going in ``task_group``."""
+        """Join the other nodes and run in ``task_group``."""
         self._tasks = task_group
         self._rounds.start()
-        self._domains.start()
+        self._domain_exchange.start()
         self._joiner.start()
-        self._timers.subscribe(self.roster.timing.round_s, self.announce_change)
+        self._timers.subscribe(
+            self.roster.timing.round_interval_s, self.announce_change
+        )
 
     def announce_change(self) -> None:
-        """Tell the other nodes what changed at this one.
+        """Announce changes of this node to the others.
 
-        A change of the backend server's state is told at once. A change of load
-        is told when it is large, and not too often; it travels with the usual
-        messages. Called without a change it does nothing.
+        A change of the backend server's state is sent at once. A large change of
+        load is sent with the next rounds of gossip, at a limited rate. Without a
+        change, this does nothing.
         """
-        if self.roster.own.state is MemberState.LEFT:
+        if self.roster.local_member.state is MemberState.LEFT:
             return
         now_s = self._timers.read()
-        service = self._board.server.service
+        service = self._shared_state.server.service
         server_state = self._compute_server_state()
-        own = self.roster.own
-        if (own.service, own.server_state) != (service, server_state):
-            self.roster.change_own(now_s, service=service, server_state=server_state)
-            self.roster.urgent[MemberKey(own.identity.address)] = None
+        local = self.roster.local_member
+        if (local.service, local.server_state) != (service, server_state):
+            self.roster.update_local_member(
+                now_s, service=service, server_state=server_state
+            )
+            self.roster.urgent[MemberKey(local.identity.address)] = None
             self._rounds.flush_soon()
-            # the load of a server that just came or went is news as well
-            self._load_told_s = -math.inf
+            # the load of a server that started or stopped is announced at once
+            self._load_announced_s = -math.inf
         self._announce_load(now_s)
 
     async def leave(self) -> None:
-        """Tell the other nodes that this one goes, as its last word."""
+        """Announce that this node leaves."""
         now_s = self._timers.read()
-        self.roster.change_own(
+        self.roster.update_local_member(
             now_s, state=MemberState.LEFT, server_state=ServerState.DRAINING
         )
         partners = self._rounds.partners
-        count = min(len(partners), _LEAVE_TELLS)
-        # asked, because what is only told may be lost when the process ends
+        count = min(len(partners), _MAX_LEAVE_RECIPIENTS)
+        # sent as requests, since the process may end before a message without a
+        # reply is delivered
         gossip = exchange.build_round(self.roster)
-        with anyio.move_on_after(_LEAVE_S):
+        with anyio.move_on_after(_LEAVE_TIMEOUT_S):
             async with anyio.create_task_group() as group:
                 for address in self.roster.rng.sample(partners, count):
-                    group.start_soon(self._rounds.request, address, gossip, _LEAVE_S)
+                    group.start_soon(
+                        self._rounds.request, address, gossip, _LEAVE_TIMEOUT_S
+                    )
         logger.info("left the membership")
 
     def _compute_server_state(self) -> ServerState:
-        state = self._board.server.state
-        if state is ServerState.ABSENT or self._board.drain is DrainStage.RUNNING:
+        state = self._shared_state.server.state
+        if (
+            state is ServerState.ABSENT
+            or self._shared_state.drain is DrainStage.RUNNING
+        ):
             return state
         return ServerState.DRAINING
 
@@ -150,20 +160,20 @@
         interval_s = compute_load_interval_s(
             self.roster.timing, len(self.roster.table.members)
         )
-        if now_s - self._load_told_s < interval_s:
+        if now_s - self._load_announced_s < interval_s:
             return
         load = self.describe_load()
-        own = self.roster.own
-        if differ_in_load(own.headroom, load.headroom) or differ_in_load(
-            own.threshold, load.threshold
+        local = self.roster.local_member
+        if has_load_changed(local.headroom, load.headroom) or has_load_changed(
+            local.threshold, load.threshold
         ):
-            self._load_told_s = now_s
-            self.roster.change_own(
+            self._load_announced_s = now_s
+            self.roster.update_local_member(
                 now_s, headroom=load.headroom, threshold=load.threshold
             )
 
     def _is_delegate(self) -> bool:
-        return self._domains.rank is not None
+        return self._domain_exchange.rank is not None
 
     def _spawn(self, action: Callable[..., object], *args: object) -> None:
         if self._tasks is not None:
--- a/eelgrassmount/members/merge.py
+++ b/eelgrassmount/members/merge.py
@@ -1,4 +1,4 @@
-"""Which of two reports about the same thing is kept."""
+"""Merge rules for reports about the same member or service."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 def rank_member(member: Member) -> Rank:
     """Return the rank of a report about the node at one address.
 
-    The newer incarnation goes first, then the higher heartbeat, then the graver
-    state. The fields after that only make the order total, so that reports may
-    be merged in any order.
+    A newer incarnation outranks an older one, then a higher heartbeat a lower
+    one, then the state with the higher value. The remaining fields make the order
+    total, so that the result does not depend on the order of merging.
     """
     return (
         member.started,
@@ -34,14 +34,14 @@
 
 
 def merge_member(known: Member | None, report: Member) -> Member:
-    """Return the report to keep of two about the same address."""
+    """Return the report with the higher rank of two about the same address."""
     if known is None or rank_member(report) > rank_member(known):
         return report
     return known
 
 
 def rank_summary(summary: ServiceSummary) -> Rank:
-    """Return the rank of a summary among those of one service and domain."""
+    """Return the rank of a summary among those of one service and failure domain."""
     return (
         summary.sequence,
         summary.servers,
@@ -54,47 +54,47 @@
 def merge_summary(
     known: ServiceSummary | None, report: ServiceSummary
 ) -> ServiceSummary:
-    """Return the summary to keep of two of one service and failure domain."""
+    """Return the summary with the higher rank of two of one service and domain."""
     if known is None or rank_summary(report) > rank_summary(known):
         return report
     return known
 
 
-def needs_refutation(own: Member, report: Member) -> bool:
-    """Tell whether a report says of this incarnation that it is not alive."""
+def needs_refutation(local: Member, report: Member) -> bool:
+    """Return whether a report that outranks the local member says it is not alive."""
     return (
-        report.identity.incarnation == own.identity.incarnation
-        and report.started == own.started
-        and rank_member(report) > rank_member(own)
+        report.identity.incarnation == local.identity.incarnation
+        and report.started == local.started
+        and rank_member(report) > rank_member(local)
         and report.state is not MemberState.ALIVE
     )
 
 
-def needs_reminder(own: Member, report: Member) -> bool:
-    """Tell whether a report doubts this incarnation and is refuted already."""
+def needs_reminder(local: Member, report: Member) -> bool:
+    """Return whether a report says this incarnation is not alive but is refuted."""
     return (
-        report.identity.incarnation == own.identity.incarnation
+        report.identity.incarnation == local.identity.incarnation
         and report.state is not MemberState.ALIVE
-        and rank_member(report) < rank_member(own)
+        and rank_member(report) < rank_member(local)
     )
 
 
-def needs_raise(own: Member, report: Member) -> bool:
-    """Tell whether another incarnation at the own address stands above this one."""
-    return report.identity.incarnation != own.identity.incarnation and rank_member(
+def is_superseded(local: Member, report: Member) -> bool:
+    """Return whether another incarnation at the local address outranks this one."""
+    return report.identity.incarnation != local.identity.incarnation and rank_member(
         report
-    ) > rank_member(own)
+    ) > rank_member(local)
 
 
-def stops_work(known: Member | None, report: Member) -> bool:
-    """Tell whether a report takes a node out of service by its own word."""
+def stops_serving(known: Member | None, report: Member) -> bool:
+    """Return whether a node reports itself that it no longer serves."""
     if known is None or not known.serves:
         return False
     return not report.serves and report.state in (MemberState.ALIVE, MemberState.LEFT)
 
 
 def refutes(known: Member | None, report: Member) -> bool:
-    """Tell whether a report takes back that this incarnation is not alive."""
+    """Return whether a report refutes that a suspect or dead member is not alive."""
     return (
         known is not None
         and known.state in (MemberState.SUSPECT, MemberState.DEAD)
--- a/eelgrassmount/members/table.py
+++ b/eelgrassmount/members/table.py
@@ -1,4 +1,4 @@
-"""The nodes that this node knows."""
+"""Members of the local failure domain and summaries of the others."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MemberState(IntEnum):
-    """What is thought of a node, in order of precedence for one heartbeat."""
+    """State of a node; of reports with equal heartbeats the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,7 +22,7 @@
 
 
 class ServerState(IntEnum):
-    """What a backend server says of itself."""
+    """State of a backend server, as announced by its node."""
 
     ABSENT = 0
     STARTING = 1
@@ -32,7 +32,7 @@
 
 @frozen
 class Identity:
-    """Who a node is. A restarted process is a new incarnation."""
+    """The identity of a node. A restarted process is a new incarnation."""
 
     address: str
     failure_domain: str
@@ -42,13 +42,14 @@
 
 @frozen
 class Member:
-    """One node with its backend server, as known here.
-
-    ``heartbeat`` grows at its owner; a higher one replaces a lower one of the
-    same incarnation. ``started`` orders the incarnations at one address.
-    ``threshold`` and ``headroom`` are the node's last word on its load.
-    ``held`` is this node's own decision to give no new work to a member that
-    came back from a suspicion once too often.
+    """The last known state of a node and of its backend server.
+
+    Only the node itself raises ``heartbeat``; a higher one replaces a lower one
+    of the same incarnation. ``started`` orders the incarnations at one address.
+    ``threshold`` and ``headroom`` describe the load that the node last announced.
+    ``held`` is a local decision: a member that repeatedly returned from
+    suspicions gets no new work for a while. ``heard_s`` is the time at which the
+    report was received.
     """
 
     identity: Identity
@@ -64,17 +65,17 @@
 
     @property
     def present(self) -> bool:
-        """Tell whether the node counts as a member, suspected or not."""
+        """Return whether the node is alive or suspected."""
         return self.state <= MemberState.SUSPECT
 
     @property
     def serves(self) -> bool:
-        """Tell whether new work may be sent to this node's backend server."""
+        """Return whether new work may be sent to this node's backend server."""
         return self.could_serve and not self.held
 
     @property
     def could_serve(self) -> bool:
-        """Tell whether the node is up and its server serves, held or not."""
+        """Return whether the node is alive and its server serves, held or not."""
         return (
             self.state is MemberState.ALIVE and self.server_state is ServerState.SERVING
         )
@@ -82,7 +83,7 @@
 
 @frozen
 class ServiceSummary:
-    """What another failure domain says of one service."""
+    """The state of one service in a failure domain, as published by a delegate."""
 
     failure_domain: str
     service: str
@@ -95,9 +96,9 @@
 
 
 class SummaryTable(UserDict[tuple[str, str], ServiceSummary]):
-    """Summaries by failure domain and service, which are found by service too.
+    """Summaries by failure domain and service, with an index by service.
 
-    There may be thousands of them, and each call looks for those of its service.
+    Each call looks up the summaries of its service among possibly thousands.
     """
 
     def __init__(
@@ -129,13 +130,13 @@
 
 @define
 class MemberTable:
-    """All members of the own failure domain and summaries of the others."""
+    """Members of the local failure domain and summaries of the others."""
 
     members: dict[str, Member] = field(factory=dict)
     summaries: SummaryTable = field(factory=SummaryTable, converter=SummaryTable)
 
     def find_serving(self, service: str) -> list[Member]:
-        """Return the members of the own failure domain that serve a service."""
+        """Return the members of the local failure domain that serve a service."""
         return [
             member
             for member in self.members.values()
@@ -143,7 +144,7 @@
         ]
 
     def find_held(self, service: str) -> list[Member]:
-        """Return the members that would serve a service but are held back."""
+        """Return the members that serve a service but are held back."""
         return [
             member
             for member in self.members.values()
@@ -151,7 +152,7 @@
         ]
 
     def find_summaries(self, service: str) -> list[ServiceSummary]:
-        """Return what the other failure domains say of a service."""
+        """Return the other failure domains' summaries of a service with servers."""
         return [
             summary for summary in self.summaries.find(service) if summary.servers > 0
         ]
--- a/eelgrassmount/members/timing.py
+++ b/eelgrassmount/members/timing.py
@@ -6,69 +6,72 @@
 
 from attrs import frozen
 
-# bounds per message
+# Members, summaries, and addresses of one summary, in a message.
 MAX_UPDATES = 32
 MAX_URGENT = 32
 MAX_JOIN_MEMBERS = 128
 MAX_JOIN_SUMMARIES = 128
 MAX_CROSS_SUMMARIES = 32
 MAX_ADDRESSES = 8
+
+# Addresses stored of each failure domain.
 MAX_CONTACTS = 8
 
-# members that a node exchanges news with, so that its connections stay few
-PARTNERS = 12
+# Members that a node exchanges gossip with; bounds its connections.
+MAX_PARTNERS = 12
 
-# how often one update is passed on by each node that learns of it
-SENDS_OF_STATE = 4
-SENDS_OF_DOMAIN = 3
-SENDS_OF_LOAD = 2
+# Times that each node that receives an update passes it on.
+STATE_TRANSMISSIONS = 4
+DOMAIN_TRANSMISSIONS = 3
+LOAD_TRANSMISSIONS = 2
 
 DELEGATES_PER_DOMAIN = 3
 
 
 @frozen
 class Timing:
-    """Intervals in seconds, and fan-outs.
+    """Intervals and timeouts in seconds, and fan-outs.
 
-    ``load_share_s`` times the number of members is the least time between two
-    announcements of a member's own load, so that load costs each node the same
-    number of messages however large the failure domain is.
+    A member announces its load at most once in ``load_interval_per_member_s``
+    times the number of members, so that each node receives announcements of load
+    at a rate that does not grow with the failure domain. A gap of more than
+    ``pause_threshold_s`` between two sweeps means that the process was paused.
     """
 
-    round_s: float = 0.5
+    round_interval_s: float = 0.5
     round_jitter: float = 0.3
-    sweep_s: float = 0.2
-    probe_least_s: float = 0.2
-    probe_most_s: float = 1.0
+    sweep_interval_s: float = 0.2
+    min_probe_timeout_s: float = 0.2
+    max_probe_timeout_s: float = 1.0
     indirect_probes: int = 3
-    dead_s: float = 2.0
-    dead_probe_s: float = 10.0
-    frozen_s: float = 0.75
+    suspicion_timeout_s: float = 2.0
+    dead_probe_interval_s: float = 10.0
+    pause_threshold_s: float = 0.75
     fan_out: int = 3
-    flush_s: float = 0.02
-    load_least_s: float = 1.0
-    load_share_s: float = 0.2
-    cross_s: float = 1.0
-    domain_heartbeat_s: float = 4.0
-    domain_stale_s: float = 20.0
+    flush_delay_s: float = 0.02
+    min_load_interval_s: float = 1.0
+    load_interval_per_member_s: float = 0.2
+    cross_domain_interval_s: float = 1.0
+    domain_heartbeat_interval_s: float = 4.0
+    domain_timeout_s: float = 20.0
     delegate_stagger_s: float = 0.7
-    tombstone_s: float = 120.0
-    pull_s: float = 0.5
-    look_least_s: float = 0.5
-    look_most_s: float = 10.0
-    announce_s: float = 120.0
-    ask_s: float = 1.0
+    tombstone_lifetime_s: float = 120.0
+    min_pull_interval_s: float = 0.5
+    min_discovery_interval_s: float = 0.5
+    max_discovery_interval_s: float = 10.0
+    announcement_interval_s: float = 120.0
+    request_timeout_s: float = 1.0
 
 
-def compute_dead_s(timing: Timing, members: int) -> float:
-    """Return how long a suspicion may stand before it becomes a verdict.
+def compute_suspicion_timeout_s(timing: Timing, members: int) -> float:
+    """Return the time after which a suspect is declared dead.
 
-    It grows with the logarithm of the number of members, as does the time that
-    a suspicion and its refutation take to spread.
+    It grows with the logarithm of the number of members, as does the time in
+    which a suspicion and its refutation spread.
     """
-    return timing.dead_s * max(1.0, math.log10(max(1, members)))
+    return timing.suspicion_timeout_s * max(1.0, math.log10(max(1, members)))
 
 
 def compute_load_interval_s(timing: Timing, members: int) -> float:
-    """Return the least time between two announcements of a node's own load."""
-    return max(timing.load_least_s, timing.load_share_s * members)
+    """Return the minimum time between two announcements of a node's load."""
+    return max(timing.min_load_interval_s, timing.load_interval_per_member_s * members)
--- a/eelgrassmount/members/updates.py
+++ b/eelgrassmount/members/updates.py
@@ -1,4 +1,4 @@
-"""Updates that wait to be passed on with the next messages."""
+"""Queue of updates to send with the next messages."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @frozen
 class MemberKey:
-    """The place of a member among the updates."""
+    """Key of an update of a member."""
 
     address: str
 
 
 @frozen
 class SummaryKey:
-    """The place of a summary among the updates."""
+    """Key of an update of a summary."""
 
     failure_domain: str
     service: str
@@ -31,31 +31,33 @@
 
 @define
 class UpdateQueue:
-    """How often each update is still to be sent; a newer one takes its place.
+    """Remaining transmissions of each update.
 
-    The queue holds keys and not values: what is sent is what is known at that
-    time, so a burst of changes of one member costs no more than one.
+    The queue holds keys, not values: the state is read when a message is built,
+    so that several changes of one member need no more messages than one.
     """
 
-    _left: dict[Hashable, int] = field(factory=dict)
+    _remaining_sends: dict[Hashable, int] = field(factory=dict)
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._remaining_sends)
 
     def add(self, key: UpdateKey, sends: int) -> None:
-        """Put an update in, to be sent ``sends`` times."""
-        self._left[key] = max(sends, self._left.get(key, 0))
+        """Add an update, to be sent ``sends`` times."""
+        self._remaining_sends[key] = max(sends, self._remaining_sends.get(key, 0))
 
     def take(self, limit: int) -> list[UpdateKey]:
-        """Return up to ``limit`` updates, those sent least first."""
-        if not self._left:
+        """Return up to ``limit`` updates, those with most remaining sends first."""
+        if not self._remaining_sends:
             return []
-        if len(self._left) <= limit:
-            keys = list(self._left)
+        if len(self._remaining_sends) <= limit:
+            keys = list(self._remaining_sends)
         else:
-            keys = heapq.nlargest(limit, self._left, key=self._left.__getitem__)
+            keys = heapq.nlargest(
+                limit, self._remaining_sends, key=self._remaining_sends.__getitem__
+            )
         for key in keys:
-            self._left[key] -= 1
-            if not self._left[key]:
-                del self._left[key]
+            self._remaining_sends[key] -= 1
+            if not self._remaining_sends[key]:
+                del self._remaining_sends[key]
         return keys
--- a/eelgrassmount/members/wire.py
+++ b/eelgrassmount/members/wire.py
@@ -1,4 +1,4 @@
-"""Members and summaries as thrift structs."""
+"""Conversion of members and summaries to and from thrift structs."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_MAX_NAME = 256
+_MAX_NAME_CHARS = 256
 _MAX_ADDRESSES = 64
 
 
 def encode_member(member: Member, failure_domain: str) -> ttypes.Member:
     """Return the struct of a member for a receiver in ``failure_domain``.
 
-    The failure domain and the region are left out when they are the receiver's own.
+    The failure domain and the region are omitted if they are the receiver's.
     """
     identity = member.identity
     same = identity.failure_domain == failure_domain
@@ -45,7 +45,7 @@
 def decode_member(
     struct: ttypes.Member, receiver: Identity, now_s: float
 ) -> Member | None:
-    """Return the member of a struct, or ``None`` when it makes no sense."""
+    """Return the member of a struct, or ``None`` if the struct is malformed."""
     if not _is_name(struct.address) or not _is_name(struct.incarnation):
         return None
     try:
@@ -88,7 +88,7 @@
 def decode_summary(
     struct: ttypes.ServiceSummary, now_s: float
 ) -> ServiceSummary | None:
-    """Return the summary of a struct, or ``None`` when it makes no sense."""
+    """Return the summary of a struct, or ``None`` if the struct is malformed."""
     if not _is_name(struct.failure_domain) or (struct.sequence or 0) < 0:
         return None
     addresses = struct.addresses or []
@@ -109,7 +109,7 @@
 def decode_members(
     structs: Iterable[ttypes.Member] | None, receiver: Identity, now_s: float
 ) -> list[Member]:
-    """Return the members of a message, leaving out those that make no sense."""
+    """Return the members of a message, except malformed ones."""
     decoded = (decode_member(struct, receiver, now_s) for struct in structs or ())
     return [member for member in decoded if member is not None]
 
@@ -117,10 +117,10 @@
 def decode_summaries(
     structs: Iterable[ttypes.ServiceSummary] | None, now_s: float
 ) -> list[ServiceSummary]:
-    """Return the summaries of a message, leaving out those that make no sense."""
+    """Return the summaries of a message, except malformed ones."""
     decoded = (decode_summary(struct, now_s) for struct in structs or ())
     return [summary for summary in decoded if summary is not None]
 
 
 def _is_name(value: str | None) -> bool:
-    return bool(value) and len(value) <= _MAX_NAME
+    return bool(value) and len(value) <= _MAX_NAME_CHARS
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -1,4 +1,4 @@
-"""Memberships of up to 30 nodes, on a clock that is moved by hand."""
+"""Membership protocol between up to 30 nodes on a manual clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from eelgrassmount.members.counts import Count
 from eelgrassmount.members.table import MemberState, ServerState
 
-NEVER = 30.0
+JOIN_TIMEOUT_S = 30.0
 
 
 def manual(test):
-    """Run an async test on a loop of its own."""
+    """Run an async test in its own event loop."""
 
     @wraps(test)
     def run(**kwargs):
@@ -25,8 +25,8 @@
     return run
 
 
-async def grow(network, domains, each, service="jobdesk"):
-    """Start nodes that know the first one, all with a serving server."""
+async def start_nodes(network, domains, each, service="jobdesk"):
+    """Start nodes with serving servers and the first node as their seed."""
     seeds = ()
     for domain in range(domains):
         for index in range(each):
@@ -34,17 +34,17 @@
             node = await network.add(address, f"domain-{domain}", seeds)
             node.serve(service)
             seeds = seeds or (address,)
-    took_s = await network.run_until(lambda: knows_all(network), NEVER)
-    assert took_s < NEVER
+    took_s = await network.run_until(lambda: knows_all(network), JOIN_TIMEOUT_S)
+    assert took_s < JOIN_TIMEOUT_S
     return list(network.nodes.values())
 
 
 def knows_all(network):
-    """Tell whether each node sees all serving nodes of its domain and the others."""
+    """Return whether each node sees all servers of its domain and other domains."""
     nodes = list(network.nodes.values())
     domains = {node.identity.failure_domain for node in nodes}
     for node in nodes:
-        near = {
+        serving = {
             member.identity.address
             for member in node.board.members.find_serving("jobdesk")
         }
@@ -53,7 +53,7 @@
             for other in nodes
             if other.identity.failure_domain == node.identity.failure_domain
         }
-        if near != expected:
+        if serving != expected:
             return False
         if len(node.board.members.find_summaries("jobdesk")) != len(domains) - 1:
             return False
@@ -70,7 +70,7 @@
 async def test_nodes_find_each_other_through_one_seed():
     async with Network(random.Random(1)).open() as network:
         network.log.down = True
-        await grow(network, domains=3, each=10)
+        await start_nodes(network, domains=3, each=10)
 
 
 @manual
@@ -80,8 +80,11 @@
             domain = f"domain-{index % 2}"
             node = await network.add(f"127.1.0.{index + 1}:9000", domain)
             node.serve("jobdesk")
-        assert await network.run_until(lambda: knows_all(network), NEVER) < NEVER
-        # far fewer than one for each node
+        assert (
+            await network.run_until(lambda: knows_all(network), JOIN_TIMEOUT_S)
+            < JOIN_TIMEOUT_S
+        )
+        # most nodes join without an announcement
         assert len(network.log.records) <= 12
         await network.run(300.0)
         assert len(network.log.records) <= 12 + 2 * 2 * 3
@@ -102,7 +105,7 @@
 @manual
 async def test_a_killed_node_is_suspected_then_dead():
     async with Network(random.Random(4)).open() as network:
-        nodes = await grow(network, domains=1, each=20)
+        nodes = await start_nodes(network, domains=1, each=20)
         victim = nodes[7]
         victim.kill()
         others = list(network.nodes.values())
@@ -118,9 +121,9 @@
 
 @pytest.mark.parametrize("freeze_s", [0.2, 3.0, 20.0])
 @manual
-async def test_a_frozen_node_comes_back_as_what_it_is(freeze_s):
+async def test_a_resumed_node_keeps_its_identity(freeze_s):
     async with Network(random.Random(5)).open() as network:
-        nodes = await grow(network, domains=2, each=8)
+        nodes = await start_nodes(network, domains=2, each=8)
         nodes[3].freeze()
         await network.run(freeze_s)
         nodes[3].thaw()
@@ -132,9 +135,9 @@
 
 @pytest.mark.parametrize("one_way", [False, True])
 @manual
-async def test_a_cut_inside_a_domain_heals(one_way):
+async def test_a_partition_inside_a_domain_heals(one_way):
     async with Network(random.Random(6)).open() as network:
-        nodes = await grow(network, domains=1, each=12)
+        nodes = await start_nodes(network, domains=1, each=12)
         left = {node.address for node in nodes[:5]}
 
         def is_cut(source, target):
@@ -148,9 +151,9 @@
 
 
 @manual
-async def test_domains_cut_apart_hide_and_show_each_other():
+async def test_partitioned_domains_hide_and_later_show_each_other():
     async with Network(random.Random(7)).open() as network:
-        nodes = await grow(network, domains=2, each=4)
+        nodes = await start_nodes(network, domains=2, each=4)
         network.log.down = True
         network.is_cut = lambda source, target: (
             source.identity.failure_domain != target.identity.failure_domain
@@ -160,13 +163,16 @@
             assert not node.board.members.find_summaries("jobdesk")
             assert len(node.board.members.find_serving("jobdesk")) == 4
         network.is_cut = lambda source, target: False
-        assert await network.run_until(lambda: knows_all(network), NEVER) < NEVER
+        assert (
+            await network.run_until(lambda: knows_all(network), JOIN_TIMEOUT_S)
+            < JOIN_TIMEOUT_S
+        )
 
 
 @manual
-async def test_a_replaced_node_takes_the_place_of_the_former_one():
+async def test_a_restarted_node_replaces_its_former_incarnation():
     async with Network(random.Random(8)).open() as network:
-        nodes = await grow(network, domains=1, each=6)
+        nodes = await start_nodes(network, domains=1, each=6)
         former = nodes[2]
         former.kill()
         seeds = (nodes[0].address,)
@@ -184,9 +190,9 @@
 
 
 @manual
-async def test_the_reachable_one_of_two_at_an_address_wins():
+async def test_of_two_incarnations_the_reachable_one_wins():
     async with Network(random.Random(9)).open() as network:
-        nodes = await grow(network, domains=1, each=6)
+        nodes = await start_nodes(network, domains=1, each=6)
         former = nodes[2]
         former.freeze()
         await network.run(10.0)
@@ -194,7 +200,7 @@
         node = await network.add(former.address, "domain-0", (nodes[0].address,))
         node.serve("jobdesk")
         await network.run(5.0)
-        # the former one wakes: what it sends arrives, but nobody reaches it
+        # the resumed incarnation can send, but its address reaches the new one
         former.thaw()
         for _ in range(400):
             former.timers.run_due()
@@ -208,7 +214,7 @@
 @manual
 async def test_draining_is_known_everywhere_within_two_seconds(seed):
     async with Network(random.Random(seed)).open() as network:
-        nodes = await grow(network, domains=3, each=10)
+        nodes = await start_nodes(network, domains=3, each=10)
         await network.run(10.0)
         leaving = nodes[seed]
         leaving.serve("jobdesk", ServerState.DRAINING)
@@ -217,16 +223,16 @@
         def unknown():
             for node in others:
                 members = node.board.members
-                near = [
+                local = [
                     member.identity.address
                     for member in members.find_serving("jobdesk")
                 ]
-                far = [
+                remote = [
                     address
                     for summary in members.find_summaries("jobdesk")
                     for address in summary.addresses
                 ]
-                if leaving.address in near + far:
+                if leaving.address in local + remote:
                     return False
             return True
 
@@ -234,9 +240,9 @@
 
 
 @manual
-async def test_a_lost_message_in_a_hundred_kills_nobody():
+async def test_no_node_is_declared_dead_at_one_percent_message_loss():
     async with Network(random.Random(13), loss=0.01).open() as network:
-        await grow(network, domains=1, each=25)
+        await start_nodes(network, domains=1, each=25)
         await network.run(120.0)
         assert count(network, Count.DECLARED_DEAD) == 0
 
@@ -244,7 +250,7 @@
 @manual
 async def test_a_flapping_node_is_held_back():
     async with Network(random.Random(14)).open() as network:
-        nodes = await grow(network, domains=1, each=6)
+        nodes = await start_nodes(network, domains=1, each=6)
         for _ in range(4):
             nodes[1].freeze()
             await network.run(3.0)
@@ -259,7 +265,7 @@
 @manual
 async def test_a_node_that_leaves_is_gone_at_once():
     async with Network(random.Random(15)).open() as network:
-        nodes = await grow(network, domains=2, each=6)
+        nodes = await start_nodes(network, domains=2, each=6)
         await nodes[2].membership.leave()
 
         def gone():
@@ -274,9 +280,9 @@
 
 
 @manual
-async def test_a_domain_that_restarts_as_a_whole_is_believed_again():
+async def test_summaries_of_a_restarted_domain_replace_older_ones():
     async with Network(random.Random(16)).open() as network:
-        nodes = await grow(network, domains=2, each=4)
+        nodes = await start_nodes(network, domains=2, each=4)
         await network.run(30.0)
         for node in nodes[4:]:
             node.kill()
@@ -285,11 +291,11 @@
             new = await network.add(node.address, "domain-1", seeds)
             new.serve("platehouse")
 
-        def believed():
+        def replaced():
             members = nodes[0].board.members
             return bool(
                 members.find_summaries("platehouse")
                 and not members.find_summaries("jobdesk")
             )
 
-        assert await network.run_until(believed, NEVER) < NEVER
+        assert await network.run_until(replaced, JOIN_TIMEOUT_S) < JOIN_TIMEOUT_S
--- a/tests/members/test_merge.py
+++ b/tests/members/test_merge.py
@@ -1,4 +1,4 @@
-"""Which reports are kept, whatever order they come in."""
+"""Merging of reports, independent of their order, and the state built on it."""
 
 from __future__ import annotations
 
@@ -13,14 +13,13 @@
 from eelgrassmount.gen import ttypes
 from eelgrassmount.members import exchange
 from eelgrassmount.members.delegates import (
-    Weight,
+    Urgency,
     choose_addresses,
     find_changes,
     summarize_services,
 )
 from eelgrassmount.members.flapping import Flapping, compute_hold_s
 from eelgrassmount.members.merge import merge_member, merge_summary
-from eelgrassmount.members.timing import MAX_ADDRESSES, Timing
 from eelgrassmount.members.roster import Roster
 from eelgrassmount.members.table import (
     Identity,
@@ -31,12 +30,13 @@
     ServiceSummary,
     SummaryTable,
 )
+from eelgrassmount.members.timing import MAX_ADDRESSES, Timing
 from eelgrassmount.members.updates import MemberKey, UpdateQueue
 from eelgrassmount.members.wire import decode_member, encode_member
 
 ALIVE, SUSPECT = MemberState.ALIVE, MemberState.SUSPECT
 LEFT, DEAD = MemberState.LEFT, MemberState.DEAD
-OWN = Identity("127.1.0.1:1", "bowbazar", "kolkata", "own")
+LOCAL = Identity("127.1.0.1:1", "bowbazar", "kolkata", "own")
 
 members = st.builds(
     Member,
@@ -73,11 +73,11 @@
 
 
 def make_roster():
-    return Roster(OWN, Timing(), random.Random(1), MemberTable())
+    return Roster(LOCAL, Timing(), random.Random(1), MemberTable())
 
 
 @given(st.lists(members, min_size=1, max_size=6), st.randoms(use_true_random=False))
-def test_members_merge_alike_in_any_order(reports, rng):
+def test_members_merge_to_the_same_result_in_any_order(reports, rng):
     shuffled = [*rng.sample(reports, len(reports)), reports[0]]
     merged = functools.reduce(merge_member, reports, None)
     assert functools.reduce(merge_member, shuffled, None) == merged
@@ -85,20 +85,20 @@
 
 
 @given(st.lists(summaries, min_size=1, max_size=6), st.randoms(use_true_random=False))
-def test_summaries_merge_alike_in_any_order(reports, rng):
+def test_summaries_merge_to_the_same_result_in_any_order(reports, rng):
     shuffled = [*rng.sample(reports, len(reports)), reports[0]]
     merged = functools.reduce(merge_summary, reports, None)
     assert functools.reduce(merge_summary, shuffled, None) == merged
 
 
 @given(members, members, members)
-def test_merging_groups_alike(first, second, third):
+def test_merging_is_associative(first, second, third):
     left = merge_member(merge_member(first, second), third)
     assert merge_member(first, merge_member(second, third)) == left
 
 
 @pytest.mark.parametrize(
-    ("known", "report", "kept"),
+    ("known", "report", "retained"),
     [
         ({}, {"state": SUSPECT}, "report"),
         ({"state": DEAD}, {"state": SUSPECT}, "known"),
@@ -108,28 +108,28 @@
         ({"started": 2}, {"started": 1, "heartbeat": 9}, "known"),
     ],
 )
-def test_the_merge_rule(known, report, kept):
+def test_the_higher_rank_is_retained(known, report, retained):
     reports = {"known": member(**known), "report": member(**report)}
-    assert merge_member(reports["known"], reports["report"]) == reports[kept]
+    assert merge_member(reports["known"], reports["report"]) == reports[retained]
 
 
 @given(st.lists(members, max_size=12))
-def test_equal_knowledge_has_equal_digests(reports):
+def test_equal_tables_have_equal_digests(reports):
     one, other = make_roster(), make_roster()
     for report in reports:
         if report.present:
             one.apply_member(report, 1.0)
-    kept = one.table.members.get("127.1.0.2:1")
-    if kept is not None:
-        other.apply_member(evolve(kept, heard_s=0.0), 2.0)
+    merged = one.table.members.get("127.1.0.2:1")
+    if merged is not None:
+        other.apply_member(evolve(merged, heard_s=0.0), 2.0)
     assert one.digest == other.digest
 
 
 @given(members)
-def test_a_member_survives_the_wire(report):
+def test_a_member_is_decoded_as_it_was_encoded(report):
     for domain in ("bowbazar", "sealdah"):
         struct = encode_member(report, domain)
-        assert decode_member(struct, OWN, report.heard_s) == report
+        assert decode_member(struct, LOCAL, report.heard_s) == report
 
 
 @pytest.mark.parametrize(
@@ -141,29 +141,29 @@
         ttypes.Member(address="x" * 999, incarnation="a"),
     ],
 )
-def test_senseless_members_are_left_out(struct):
+def test_malformed_members_are_ignored(struct):
     roster = make_roster()
-    exchange.learn(roster, ttypes.Gossip(members=[struct]), 1.0)
-    assert list(roster.table.members) == [OWN.address]
+    exchange.apply(roster, ttypes.Gossip(members=[struct]), 1.0)
+    assert list(roster.table.members) == [LOCAL.address]
 
 
-def test_a_suspicion_of_oneself_is_refuted():
+def test_a_node_refutes_a_report_of_its_death():
     roster = make_roster()
-    roster.apply_member(evolve(roster.own, state=DEAD), 1.0)
-    assert roster.own.state is ALIVE
-    assert roster.own.heartbeat == 2
-    assert MemberKey(OWN.address) in roster.urgent
+    roster.apply_member(evolve(roster.local_member, state=DEAD), 1.0)
+    assert roster.local_member.state is ALIVE
+    assert roster.local_member.heartbeat == 2
+    assert MemberKey(LOCAL.address) in roster.urgent
 
 
-def test_a_former_incarnation_is_outbid():
+def test_a_former_incarnation_is_superseded():
     roster = make_roster()
-    identity = evolve(OWN, incarnation="former")
+    identity = evolve(LOCAL, incarnation="former")
     roster.apply_member(Member(identity, heartbeat=70, started=7), 1.0)
-    roster.raise_own(2.0)
-    assert roster.own.started == 8
+    roster.supersede_conflict(2.0)
+    assert roster.local_member.started == 8
 
 
-def test_a_summary_keeps_addresses_that_serve_and_names_those_that_do_not():
+def test_a_summary_retains_serving_addresses_and_a_lost_one_is_urgent():
     serving = [member(index) for index in range(1, 21)]
     first = summarize_services(serving, {}, "bowbazar", 1.0)["jobdesk"]
     assert len(first.addresses) == MAX_ADDRESSES
@@ -174,15 +174,15 @@
     assert set(first.addresses[1:]) <= set(then["jobdesk"].addresses)
     addresses = frozenset(one.identity.address for one in left)
     (change,) = find_changes(published, then, addresses)
-    assert change.weight is Weight.URGENT
+    assert change.urgency is Urgency.URGENT
     (gone,) = find_changes(published, {}, frozenset())
-    assert gone.weight is Weight.URGENT
+    assert gone.urgency is Urgency.URGENT
     assert gone.summary.servers == 0
     assert gone.summary.sequence == first.sequence + 1
 
 
-def test_servers_that_return_go_before_load():
-    """A service without servers must not wait behind changes of load."""
+def test_returned_servers_are_published_before_load():
+    """A service that has servers again must not wait behind changes of load."""
     servers = [
         member(index, service=service, headroom=9)
         for index, service in enumerate(("busy", "grown", "lost"))
@@ -196,19 +196,19 @@
     serving = frozenset(
         address for one in present.values() for address in one.addresses
     )
-    weights = {
-        change.summary.service: change.weight
+    urgencies = {
+        change.summary.service: change.urgency
         for change in find_changes(published, present, serving)
     }
-    assert list(weights.items()) == [
-        ("lost", Weight.URGENT),
-        ("grown", Weight.SERVERS),
-        ("busy", Weight.LOAD),
+    assert list(urgencies.items()) == [
+        ("lost", Urgency.URGENT),
+        ("grown", Urgency.SERVERS),
+        ("busy", Urgency.LOAD),
     ]
 
 
 @given(st.sets(st.integers(0, 99), min_size=4), st.data())
-def test_one_address_less_changes_one_choice(indices, data):
+def test_a_removed_address_changes_at_most_one_choice(indices, data):
     addresses = [f"127.1.0.{index}:1" for index in indices]
     chosen = choose_addresses("key", addresses, 3)
     gone = data.draw(st.sampled_from(addresses))
@@ -216,12 +216,12 @@
     assert len(set(choose_addresses("key", left, 3)) - set(chosen)) <= 1
 
 
-def test_a_hold_grows_with_suspicions_and_lapses():
+def test_a_hold_grows_with_suspicions_and_ends():
     flapping = Flapping()
-    flapping.note_suspicion("a", 0.0)
-    assert not flapping.note_return("a", 1.0)
-    flapping.note_suspicion("a", 2.0)
-    assert flapping.note_return("a", 3.0)
+    flapping.record_suspicion("a", 0.0)
+    assert not flapping.record_return("a", 1.0)
+    flapping.record_suspicion("a", 2.0)
+    assert flapping.record_return("a", 3.0)
     assert flapping.holds("a")
     assert flapping.release_due(60.0) == ["a"]
     assert compute_hold_s(20.0) == 60.0
@@ -229,7 +229,7 @@
     assert flapping == Flapping()
 
 
-def test_updates_are_sent_so_often_and_the_newest_first():
+def test_updates_are_sent_the_given_times_and_the_newest_first():
     queue = UpdateQueue()
     queue.add(MemberKey("a"), 1)
     queue.add(MemberKey("b"), 3)
