--- a/eelgrassmount/peer/codec.py
+++ b/eelgrassmount/peer/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between the messages of the wire and the types of the program."""
+"""Conversion between thrift messages and the types of the program."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def encode_frame(message: ttypes.Message) -> bytes:
-    """Return a message as a frame: its length in four bytes, then itself."""
+    """Return a message as a frame: a length prefix of four bytes and the payload."""
     buffer = TMemoryBuffer()
     message.write(TBinaryProtocolAccelerated(buffer))
     payload = buffer.getvalue()
@@ -34,11 +34,11 @@
 
 
 def decode_payload(payload: bytes) -> ttypes.Message:
-    """Return the message in a frame, raising `BadFrameError` if it has none."""
+    """Return the message in a payload; raise `BadFrameError` if it is malformed."""
     message = ttypes.Message()
     try:
         message.read(TBinaryProtocolAccelerated(TMemoryBuffer(payload)))
-    # the accelerated decoder raises many types on malformed input
+    # the accelerated decoder raises many types of exceptions on malformed input
     except Exception as error:
         raise BadFrameError(f"not a thrift message: {error!r}") from error
     if message.sequence is None:
@@ -47,7 +47,7 @@
 
 
 def encode_call(call: Call, route: int, now_s: float) -> ttypes.Call:
-    """Return a call as it goes to another node at ``now_s``."""
+    """Return the struct of a call that is sent to another node at ``now_s``."""
     context = call.context
     request = call.request
     return ttypes.Call(
@@ -79,7 +79,7 @@
 
 
 def decode_call(frame: ttypes.Call, now_s: float) -> Call:
-    """Return a call that arrived at ``now_s``, raising `BadFrameError`."""
+    """Return a call received at ``now_s``; raise `BadFrameError` if it is invalid."""
     try:
         return Call(_decode_context(frame.context, now_s), _decode_request(frame))
     except (AttributeError, TypeError, ValueError) as error:
@@ -120,9 +120,9 @@
     return value
 
 
-def _check_range(name: str, value: int | None, highest: int) -> int:
-    if value is None or not 0 <= value <= highest:
-        raise ValueError(f"{name} is {value}, allowed is 0 to {highest}")
+def _check_range(name: str, value: int | None, maximum: int) -> int:
+    if value is None or not 0 <= value <= maximum:
+        raise ValueError(f"{name} is {value}, allowed is 0 to {maximum}")
     return value
 
 
@@ -139,7 +139,7 @@
 
 
 def encode_outcome(call_id: str, outcome: Outcome) -> ttypes.Outcome:
-    """Return the outcome of a call as it goes back to another node."""
+    """Return the struct of a call's outcome."""
     frame = ttypes.Outcome(
         call_id=call_id,
         attempts_left=outcome.attempts_left,
@@ -167,7 +167,7 @@
 
 
 def decode_outcome(frame: ttypes.Outcome) -> Outcome:
-    """Return the outcome that a node sent, raising `BadFrameError`."""
+    """Return the outcome of a struct; raise `BadFrameError` if it is invalid."""
     try:
         verdict = _decode_verdict(frame)
         loads = tuple(_decode_load(load) for load in frame.loads or ())
@@ -187,7 +187,7 @@
 
 def _decode_load(frame: ttypes.ServiceLoad) -> ServiceLoad:
     if not frame.service_name:
-        raise BadFrameError("a load names no service")
+        raise BadFrameError("a load has no service name")
     threshold = FULL_THRESHOLD if frame.threshold is None else frame.threshold
     return ServiceLoad(
         service=frame.service_name,
@@ -211,7 +211,7 @@
 
 
 def _decode_reason(text: str | None) -> Reason:
-    # a newer release may know more reasons than this one
+    # a newer release may send reasons that this one does not define
     try:
         return Reason(text)
     except ValueError:
--- a/eelgrassmount/peer/frames.py
+++ b/eelgrassmount/peer/frames.py
@@ -21,7 +21,7 @@
 
 @define
 class FrameReader:
-    """Cuts a byte stream into messages."""
+    """Reads messages from a byte stream."""
 
     stream: ByteReceiveStream
     max_frame_bytes: int
@@ -31,16 +31,16 @@
     async def read(self) -> Message:
         """Return the next message.
 
-        Raises `BadFrameError` for a frame that can't be read, and
-        `anyio.EndOfStream` when the other side has closed the stream.
+        Raises `BadFrameError` for an invalid frame, and `anyio.EndOfStream` when
+        the other side has closed the stream.
         """
         while True:
-            payload = self._cut()
+            payload = self._extract_payload()
             if payload is not None:
                 return decode_payload(payload)
             await self._receive()
 
-    def _cut(self) -> bytes | None:
+    def _extract_payload(self) -> bytes | None:
         buffer = self._buffer
         if len(buffer) < FRAME_HEADER_BYTES:
             return None
@@ -63,52 +63,52 @@
             self._buffer += await self.stream.receive(_CHUNK_BYTES)
         except anyio.EndOfStream:
             if self._buffer:
-                raise TruncatedFrameError("the stream ended within it") from None
+                raise TruncatedFrameError("the stream ended within a frame") from None
             raise
 
 
 @define(eq=False)
 class FrameWriter:
-    """Sends messages in order from one task, joining those that wait."""
+    """Queues messages and sends them in order, in batches, from one task."""
 
     stream: ByteSendStream
     max_frame_bytes: int
-    max_waiting_bytes: int
+    max_queued_bytes: int
     sent: Traffic | None = None
-    _waiting: list[bytes] = field(factory=list)
-    _waiting_bytes: int = 0
+    _queue: list[bytes] = field(factory=list)
+    _queued_bytes: int = 0
     _wake: anyio.Event = field(factory=anyio.Event)
     closed: bool = False
 
     def write(self, message: Message) -> bool:
-        """Queue a message; ``False`` when the stream doesn't take it.
+        """Queue a message; return whether it was accepted.
 
-        That is so when it is closed, when the other side reads too slowly, and
-        for a message that is longer than the other side takes.
+        A message is refused if the writer is closed, if more than
+        ``max_queued_bytes`` are queued, or if the message is too long.
         """
-        if self.closed or self._waiting_bytes > self.max_waiting_bytes:
+        if self.closed or self._queued_bytes > self.max_queued_bytes:
             return False
         frame = encode_frame(message)
         if len(frame) > self.max_frame_bytes + FRAME_HEADER_BYTES:
             return False
-        self._waiting.append(frame)
-        self._waiting_bytes += len(frame)
+        self._queue.append(frame)
+        self._queued_bytes += len(frame)
         self._wake.set()
         return True
 
     async def run(self) -> None:
-        """Send what is queued until the stream breaks or the writer is closed."""
+        """Send queued messages until the stream breaks or the writer is closed."""
         while not self.closed:
             await self._wake.wait()
             self._wake = anyio.Event()
-            batch = b"".join(self._waiting)
+            batch = b"".join(self._queue)
             if self.sent is not None:
-                self.sent.add(len(self._waiting), len(batch))
-            self._waiting.clear()
-            self._waiting_bytes = 0
+                self.sent.add(len(self._queue), len(batch))
+            self._queue.clear()
+            self._queued_bytes = 0
             await self.stream.send(batch)
 
     def close(self) -> None:
-        """Take no more messages and end `run`."""
+        """Refuse further messages and end `run`."""
         self.closed = True
         self._wake.set()
--- a/eelgrassmount/peer/link.py
+++ b/eelgrassmount/peer/link.py
@@ -1,4 +1,4 @@
-"""One connection to another node, with many questions outstanding on it."""
+"""Connection to another node that carries many requests at a time."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
     from eelgrassmount.metrics import Metrics
     from eelgrassmount.timers import Clock
 
-# pings on a quiet link with questions outstanding, for each silence limit
-PINGS_PER_SILENCE = 4
-MAX_WAITING_BYTES = 16 * 1024 * 1024
+# Pings in a silence timeout, on a silent link with pending requests.
+PINGS_PER_SILENCE_TIMEOUT = 4
+MAX_QUEUED_BYTES = 16 * 1024 * 1024
 
 
 @define(eq=False)
-class Waiter:
-    """One question outstanding on a link."""
+class PendingRequest:
+    """A request without a reply so far."""
 
-    asked_s: float
+    sent_s: float
     done: anyio.Event = field(factory=anyio.Event)
     reply: Message | None = None
 
 
 @define(eq=False)
 class Link:
-    """A connection that this node opened to another one.
+    """A connection that this node opened to another node.
 
-    Replies are matched to questions by sequence number; one that matches none
-    is dropped and counted.
+    Replies are matched to requests by sequence number. A reply without a pending
+    request is dropped and counted.
     """
 
     address: str
@@ -49,35 +49,35 @@
     stream: SocketStream
     clock: Clock
     metrics: Metrics
-    _waiters: dict[int, Waiter] = field(factory=dict)
+    _pending: dict[int, PendingRequest] = field(factory=dict)
     _sequences: itertools.count = field(factory=lambda: itertools.count(1))
     _received_s: float = 0.0
-    _pinged_s: float = 0.0
-    _unanswered_s: float | None = None
+    _last_ping_s: float = 0.0
+    _first_unanswered_ping_s: float | None = None
     lost: bool = False
 
     async def request(self, message: Message, timeout_s: float) -> Message | None:
-        """Send a message and return its reply, ``None`` after ``timeout_s``.
+        """Send a message and return its reply, or ``None`` after ``timeout_s``.
 
-        Raises `LinkLostError` when the link ends first.
+        Raises `LinkLostError` if the link closes first.
         """
         if self.lost:
             raise LinkLostError(self.address, sent=False)
         sequence = next(self._sequences)
         message.sequence = sequence
         message.reply = False
-        waiter = Waiter(self.clock.read())
-        self._waiters[sequence] = waiter
+        pending = PendingRequest(self.clock.read())
+        self._pending[sequence] = pending
         try:
             if not self.writer.write(message):
                 raise LinkLostError(self.address, sent=False)
             with anyio.move_on_after(timeout_s):
-                await waiter.done.wait()
+                await pending.done.wait()
         finally:
-            self._waiters.pop(sequence, None)
-        if self.lost and waiter.reply is None:
+            self._pending.pop(sequence, None)
+        if self.lost and pending.reply is None:
             raise LinkLostError(self.address, sent=True)
-        return waiter.reply
+        return pending.reply
 
     def send(self, message: Message) -> bool:
         """Send a message that has no reply."""
@@ -86,7 +86,7 @@
         return not self.lost and self.writer.write(message)
 
     async def run(self) -> LinkReason:
-        """Carry messages until the link ends and return why it ended."""
+        """Send and receive messages until the link closes; return the reason."""
         self._received_s = self.clock.read()
         reason = LinkReason.CLOSED
         try:
@@ -119,55 +119,55 @@
             ):
                 return LinkReason.SILENT if self.lost else LinkReason.CLOSED
             self._received_s = self.clock.read()
-            self._unanswered_s = None
+            self._first_unanswered_ping_s = None
             self._deliver(message)
 
     def _deliver(self, message: Message) -> None:
-        waiter = self._waiters.get(message.sequence)
-        if waiter is None and message.ping is not None:
+        pending = self._pending.get(message.sequence)
+        if pending is None and message.ping is not None:
             return
-        if waiter is None or not message.reply:
+        if pending is None or not message.reply:
             self.metrics.dropped_answers.labels(DropReason.LATE).inc()
             return
-        if waiter.reply is not None:
+        if pending.reply is not None:
             self.metrics.dropped_answers.labels(DropReason.DOUBLED).inc()
             return
-        waiter.reply = message
-        waiter.done.set()
+        pending.reply = message
+        pending.done.set()
 
-    def watch(self, silence_s: float) -> bool:
-        """Ping a quiet link that is waited on; tell whether it went silent.
+    def watch(self, silence_timeout_s: float) -> bool:
+        """Ping a silent link with pending requests; return whether it timed out.
 
-        Silence counts only from the first ping that was not answered, so that
-        a process that was frozen itself looks at its links before it blames them.
+        The timeout also needs time to pass since the first unanswered ping.
+        Otherwise a process that was paused would close links that work.
         """
-        if not self._waiters or self.lost:
+        if not self._pending or self.lost:
             return False
         now_s = self.clock.read()
-        interval_s = silence_s / PINGS_PER_SILENCE
-        oldest_s = next(iter(self._waiters.values())).asked_s
+        interval_s = silence_timeout_s / PINGS_PER_SILENCE_TIMEOUT
+        oldest_s = next(iter(self._pending.values())).sent_s
         quiet_s = now_s - max(oldest_s, self._received_s)
         if quiet_s >= interval_s:
             self._ping(now_s, interval_s)
-        if self._unanswered_s is None or quiet_s < silence_s:
+        if self._first_unanswered_ping_s is None or quiet_s < silence_timeout_s:
             return False
-        return now_s - self._unanswered_s >= silence_s / 2
+        return now_s - self._first_unanswered_ping_s >= silence_timeout_s / 2
 
     def _ping(self, now_s: float, interval_s: float) -> None:
-        if now_s - self._pinged_s < interval_s:
+        if now_s - self._last_ping_s < interval_s:
             return
-        self._pinged_s = now_s
-        if self._unanswered_s is None:
-            self._unanswered_s = now_s
+        self._last_ping_s = now_s
+        if self._first_unanswered_ping_s is None:
+            self._first_unanswered_ping_s = now_s
         sequence = next(self._sequences)
         self.writer.write(Message(sequence=sequence, reply=False, ping=Ping(sequence)))
 
     def close(self) -> None:
-        """End the link: everything outstanding on it is lost."""
+        """Close the link, which fails all pending requests."""
         self.lost = True
         self.writer.close()
-        for waiter in self._waiters.values():
-            waiter.done.set()
+        for pending in self._pending.values():
+            pending.done.set()
 
     async def abort(self) -> None:
         """Close the link and its connection at once."""
--- a/eelgrassmount/peer/listener.py
+++ b/eelgrassmount/peer/listener.py
@@ -1,4 +1,4 @@
-"""The listener that other nodes connect to."""
+"""Listener for connections of other nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from eelgrassmount.gen.ttypes import Message
 from eelgrassmount.metrics import Direction, FrameReason
 from eelgrassmount.peer.frames import FrameReader, FrameWriter
-from eelgrassmount.peer.link import MAX_WAITING_BYTES
+from eelgrassmount.peer.link import MAX_QUEUED_BYTES
 from eelgrassmount.peer.pool import make_hello
 from eelgrassmount.peer.traffic import make_traffic
 
@@ -32,16 +32,15 @@
     from eelgrassmount.util.addresses import Address
     from eelgrassmount.util.background import Background
 
-GREETING_LIMIT_S = 5.0
+HANDSHAKE_TIMEOUT_S = 5.0
 _CLOSED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 @define(eq=False)
 class PeerListener:
-    """Accepts links of other nodes and hands their messages to handlers.
+    """Accepts connections of other nodes and passes their messages to handlers.
 
-    A frame that can't be taken is counted and costs its connection, nothing
-    else.
+    An invalid frame is counted and closes its connection only.
     """
 
     identity: Identity
@@ -52,9 +51,9 @@
     _group: Background | None = field(default=None)
 
     async def start(self, group: Background) -> None:
-        """Bind the address and accept links in the given task group.
+        """Bind the address and accept connections in the given task group.
 
-        Raises `ListenError` when the address can't be bound.
+        Raises `ListenError` if the address cannot be bound.
         """
         try:
             listener = await anyio.create_tcp_listener(
@@ -72,35 +71,35 @@
     async def _serve(self, stream: SocketStream) -> None:
         try:
             async with stream:
-                await self._greet(stream)
+                await self._handshake(stream)
         except OverlongFrameError:
-            self._reject(FrameReason.OVER_LONG)
+            self._count_rejected_frame(FrameReason.OVER_LONG)
         except TruncatedFrameError:
-            self._reject(FrameReason.TRUNCATED)
+            self._count_rejected_frame(FrameReason.TRUNCATED)
         except BadFrameError:
-            self._reject(FrameReason.MALFORMED)
+            self._count_rejected_frame(FrameReason.MALFORMED)
         except _CLOSED:
             pass
         except Exception:
-            # the other links must not go with this one
+            # a fault in one connection must not close the others
             self.metrics.internal_errors.inc()
-            logger.exception("a link of a peer failed")
+            logger.exception("connection of a peer failed")
 
-    def _reject(self, reason: FrameReason) -> None:
+    def _count_rejected_frame(self, reason: FrameReason) -> None:
         self.metrics.rejected_frames.labels(reason).inc()
 
-    async def _greet(self, stream: SocketStream) -> None:
+    async def _handshake(self, stream: SocketStream) -> None:
         received = make_traffic(self.metrics, Direction.RECEIVED)
         reader = FrameReader(stream, self.max_frame_bytes, received)
-        with anyio.move_on_after(GREETING_LIMIT_S) as limit:
+        with anyio.move_on_after(HANDSHAKE_TIMEOUT_S) as limit:
             greeting = await reader.read()
         if limit.cancelled_caught:
             return
         if greeting.hello is None:
-            self._reject(FrameReason.UNEXPECTED)
+            self._count_rejected_frame(FrameReason.UNEXPECTED)
             return
         sent = make_traffic(self.metrics, Direction.SENT)
-        writer = FrameWriter(stream, self.max_frame_bytes, MAX_WAITING_BYTES, sent)
+        writer = FrameWriter(stream, self.max_frame_bytes, MAX_QUEUED_BYTES, sent)
         hello = make_hello(self.identity)
         writer.write(Message(sequence=greeting.sequence, reply=True, hello=hello))
         self._group.start_soon(_send, writer, stream)
@@ -120,9 +119,10 @@
                 continue
             handler = self._find_handler(message)
             if handler is None:
-                self._reject(FrameReason.UNEXPECTED)
+                self._count_rejected_frame(FrameReason.UNEXPECTED)
                 continue
-            # in the node's own group: a call outlives the link it came on
+            # in the node's task group, since a call continues after its connection
+            # is closed
             self._group.start_soon(_handle, handler, sender, message, writer)
 
     def _find_handler(self, message: Message) -> Handler | None:
@@ -152,5 +152,6 @@
     reply.sequence = message.sequence
     reply.reply = True
     if not writer.write(reply):
-        # the asker waits: without its link it asks again over another one
+        # the reply could not be queued: without the connection, the sender learns
+        # of the loss and can retry
         await anyio.aclose_forcefully(writer.stream)
--- a/eelgrassmount/peer/port.py
+++ b/eelgrassmount/peer/port.py
@@ -1,4 +1,4 @@
-"""What controllers may ask of other nodes."""
+"""Interfaces for messages between nodes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerFailure:
-    """A question to another node had no answer.
+    """A request to another node that got no reply.
 
-    ``sent`` tells whether the other node may have received it, and
-    ``incarnation`` which process it was that may have, if it is known.
+    ``sent`` is true if the other node may have received the request;
+    ``incarnation`` is the process that may have received it, if known.
     """
 
     address: str
@@ -31,13 +31,13 @@
         """Send a message and wait for its reply."""
 
     async def send(self, address: str, message: Message) -> bool:
-        """Send a message that has no reply; tell whether it was handed over."""
+        """Send a message that has no reply; return whether it was queued."""
 
 
 class Handler(Protocol):
-    """Answers one kind of message.
+    """Handles one kind of message.
 
-    Handlers are registered under the name of the message's field, for example
+    Handlers are registered by the name of the message's field, for example
     ``"gossip"``.
     """
 
--- a/eelgrassmount/peer/traffic.py
+++ b/eelgrassmount/peer/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what goes over the links between nodes."""
+"""Counters of messages and bytes on the links between nodes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @frozen
 class Traffic:
-    """Counters of one direction; bytes are those of frames, without TCP's own."""
+    """Counters of one direction; bytes are those of frames, without TCP headers."""
 
     bytes: Counter
     messages: Counter
 
     def add(self, messages: int, size: int) -> None:
-        """Count messages of ``size`` bytes together."""
+        """Count messages of ``size`` bytes in total."""
         self.messages.inc(messages)
         self.bytes.inc(size)
 
--- a/tests/peer/test_codec.py
+++ b/tests/peer/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames: what goes in comes out, and nothing else gets through."""
+"""Encoding and decoding of frames, also of malformed ones."""
 
 from __future__ import annotations
 
@@ -57,26 +57,30 @@
 REQUESTS = st.builds(Request, TEXT, TEXT, TEXT, HEADERS, st.binary(max_size=200))
 
 
-def travel(message: ttypes.Message) -> ttypes.Message:
+def encode_and_decode(message: ttypes.Message) -> ttypes.Message:
     message.sequence = 7
     return decode_payload(encode_frame(message)[4:])
 
 
 @given(st.builds(Call, CONTEXTS, REQUESTS))
 def test_call_arrives_as_it_was_sent(call: Call) -> None:
-    frame = travel(ttypes.Message(call=encode_call(call, ttypes.Route.OWN, 100.0)))
+    frame = encode_and_decode(
+        ttypes.Message(call=encode_call(call, ttypes.Route.OWN, 100.0))
+    )
     arrived = decode_call(frame.call, 100.0)
     assert frame.call.route == ttypes.Route.OWN
-    # the time remaining travels in whole milliseconds, rounded down
-    lost_s = call.context.deadline_s - arrived.context.deadline_s
-    assert 0 <= lost_s < 0.0011
+    # the remaining time is sent in whole milliseconds, rounded down
+    rounding_s = call.context.deadline_s - arrived.context.deadline_s
+    assert 0 <= rounding_s < 0.0011
     context = evolve(arrived.context, deadline_s=call.context.deadline_s)
     assert (context, arrived.request) == (call.context, call.request)
 
 
 @given(VERDICTS, st.integers(0, 1000))
 def test_outcome_arrives_as_it_was_sent(verdict: object, attempts_left: int) -> None:
-    frame = travel(ttypes.Message(outcome=encode_outcome("id", Outcome(verdict))))
+    frame = encode_and_decode(
+        ttypes.Message(outcome=encode_outcome("id", Outcome(verdict)))
+    )
     arrived = decode_outcome(frame.outcome).verdict
     assert frame.outcome.call_id == "id"
     if isinstance(verdict, Answered):
@@ -87,13 +91,13 @@
 
 
 @given(st.floats(allow_nan=False))
-def test_no_delay_is_too_long_for_a_frame(delay_s: float) -> None:
+def test_retry_delays_are_limited_in_a_frame(delay_s: float) -> None:
     outcome = Outcome(NotRun(Reason.SERVER_SHED, delay_s))
-    frame = travel(ttypes.Message(outcome=encode_outcome("id", outcome)))
+    frame = encode_and_decode(ttypes.Message(outcome=encode_outcome("id", outcome)))
     assert 0 <= decode_outcome(frame.outcome).verdict.retry_after_s <= 3600
 
 
-def take_all(payload: bytes) -> None:
+def decode_all(payload: bytes) -> None:
     message = decode_payload(payload)
     if message.call is not None:
         decode_call(message.call, 0.0)
@@ -112,7 +116,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_are_a_message_or_a_bad_frame(payload: bytes) -> None:
     with suppress(BadFrameError):
-        take_all(payload)
+        decode_all(payload)
 
 
 @given(st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=6))
@@ -123,11 +127,11 @@
     for position, value in damage:
         payload[position % len(payload)] = value
     with suppress(BadFrameError):
-        take_all(bytes(payload))
+        decode_all(bytes(payload))
 
 
-def lengthen_list() -> bytes:
-    # a gossip whose list of members claims two thousand million entries
+def make_overlong_list() -> bytes:
+    # gossip whose list of members claims 2**31 - 1 entries
     return b"\x0c\x00\x0a\x0f\x00\x01\x0c\x7f\xff\xff\xff"
 
 
@@ -136,12 +140,12 @@
     [
         b"",
         b"\x00",
-        lengthen_list(),
+        make_overlong_list(),
         b"\x0c\x00\x63" * 50_000,
         b"\x08\x00\x01\0\0\0\1\0",
     ],
 )
-def test_bad_payloads(payload: bytes) -> None:
+def test_malformed_payloads_are_rejected(payload: bytes) -> None:
     with pytest.raises(BadFrameError):
         decode_payload(payload)
 
@@ -155,7 +159,7 @@
         {"headers": [ttypes.Header(None, "value")]},
     ],
 )
-def test_incomplete_calls(change: dict[str, object]) -> None:
+def test_incomplete_calls_are_rejected(change: dict[str, object]) -> None:
     frame = make_message().call
     for name, value in change.items():
         setattr(frame, name, value)
@@ -167,14 +171,14 @@
     ("name", "value"),
     [("kind", 9), ("kind", None), ("status", 999), ("status", None), ("status", 101)],
 )
-def test_impossible_outcomes(name: str, value: object) -> None:
+def test_impossible_outcomes_are_rejected(name: str, value: object) -> None:
     frame = make_message().outcome
     setattr(frame, name, value)
     with pytest.raises(BadFrameError):
         decode_outcome(frame)
 
 
-def test_a_newer_release_is_understood() -> None:
+def test_unknown_fields_and_reasons_of_a_newer_release_are_accepted() -> None:
     payload = encode_frame(make_message())[4:]
     unknown = b"\x0b\x03\xe7\x00\x00\x00\x03new\x0c\x03\xe8\x08\x00\x01\0\0\0\1\0\x00"
     assert decode_payload(payload[:-1] + unknown) == make_message()
@@ -182,49 +186,49 @@
     assert decode_outcome(frame).verdict == NotRun(Reason.INTERNAL, 0.5)
 
 
-class Pieces:
-    """A stream that gives its bytes in pieces of chosen lengths."""
+class PieceStream:
+    """A stream that returns its bytes in pieces of a given length."""
 
-    def __init__(self, data: bytes, piece: int) -> None:
+    def __init__(self, data: bytes, piece_bytes: int) -> None:
         self.data = data
-        self.piece = piece
+        self.piece_bytes = piece_bytes
 
     async def receive(self, max_bytes: int) -> bytes:
         if not self.data:
             raise anyio.EndOfStream
-        taken, self.data = self.data[: self.piece], self.data[self.piece :]
+        taken, self.data = self.data[: self.piece_bytes], self.data[self.piece_bytes :]
         return taken
 
     async def send(self, data: bytes) -> None:
         self.data += data
 
 
-@pytest.mark.parametrize("piece", [1, 3, 4, 1000])
-async def test_reader_cuts_frames_from_any_pieces(piece: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [1, 3, 4, 1000])
+async def test_reader_reassembles_frames_from_pieces(piece_bytes: int) -> None:
     frames = [
         ttypes.Message(sequence=number, call=make_message().call) for number in range(3)
     ]
     data = b"".join(encode_frame(frame) for frame in frames)
-    reader = FrameReader(Pieces(data, piece), 1000)
+    reader = FrameReader(PieceStream(data, piece_bytes), 1000)
     assert [await reader.read() for _ in frames] == frames
     with pytest.raises(anyio.EndOfStream):
         await reader.read()
 
 
-@pytest.mark.parametrize("cut", [1, 4, 5, 30])
-async def test_reader_tells_a_cut_frame_from_an_end(cut: int) -> None:
+@pytest.mark.parametrize("length", [1, 4, 5, 30])
+async def test_reader_reports_a_truncated_frame(length: int) -> None:
     data = encode_frame(make_message())
     with pytest.raises(TruncatedFrameError):
-        await FrameReader(Pieces(data[:cut], 2), 1000).read()
+        await FrameReader(PieceStream(data[:length], 2), 1000).read()
 
 
-async def test_reader_refuses_a_frame_by_its_length_alone() -> None:
+async def test_reader_rejects_an_overlong_frame_by_its_length_prefix() -> None:
     with pytest.raises(OverlongFrameError):
-        await FrameReader(Pieces(b"\x00\x00\x04\x01", 4), 1024).read()
+        await FrameReader(PieceStream(b"\x00\x00\x04\x01", 4), 1024).read()
 
 
-async def test_writer_keeps_the_order_and_its_bounds() -> None:
-    stream = Pieces(b"", 1000)
+async def test_writer_preserves_order_and_enforces_its_bounds() -> None:
+    stream = PieceStream(b"", 1000)
     writer = FrameWriter(stream, 400, 500)
     assert not writer.write(
         ttypes.Message(sequence=1, call=ttypes.Call(body=b"x" * 400))
