--- a/eelgrassmount/config/__init__.py
+++ b/eelgrassmount/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of the classes of work."""
+"""Configuration of request classes and their targets."""
--- a/eelgrassmount/config/classes.py
+++ b/eelgrassmount/config/classes.py
@@ -1,4 +1,4 @@
-"""Classes of work and their targets."""
+"""Request classes and their targets."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     prefix: str
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a request falls under this pattern.
+        """Return whether a request matches this pattern.
 
-        A prefix ends at a path segment: ``/jobdesk/book`` does not cover
+        A prefix ends at a path segment: ``/jobdesk/book`` does not match
         ``/jobdesk/bookings``.
         """
         if method != self.method or not path.startswith(self.prefix):
@@ -30,11 +30,11 @@
 
 @frozen
 class WorkClass:
-    """One class of work with the operators' targets.
+    """A request class with its targets.
 
     ``complete_fraction`` of its requests must be answered completely within
     ``within_ms`` milliseconds. A class with ``refuse_last`` is refused only
-    when no request of another class is admitted to the same scarce service.
+    when no request of another class is admitted to the same overloaded service.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
     @property
     def tier(self) -> Tier:
-        """Return the order of refusal of this class."""
+        """Return the tier that determines the order of refusal."""
         if self.refuse_last:
             return Tier.REFUSED_LAST
         return Tier.REFUSED_FIRST
@@ -54,7 +54,7 @@
 
 @frozen
 class Document:
-    """The content of one configuration."""
+    """The parsed content of a configuration."""
 
     classes: tuple[WorkClass, ...] = ()
     failure_domains: tuple[str, ...] = ()
@@ -64,8 +64,9 @@
 class Configuration:
     """A configuration in force: its version, its content and its text.
 
-    Version 0 means that none has been accepted yet. ``offset`` is a place on the
-    log right after which this version was in force, or -1 if none is known.
+    Version 0 means that no version has been accepted yet. ``offset`` is the offset
+    of a record on the log after which this version was in force, or -1 if none is
+    known.
     """
 
     version: int = 0
@@ -75,7 +76,7 @@
 
 
 def find_class(document: Document, method: str, path: str) -> WorkClass | None:
-    """Return the class whose longest matching route covers the request."""
+    """Return the class with the longest route that matches the request."""
     best: WorkClass | None = None
     best_length = -1
     for work_class in document.classes:
@@ -87,9 +88,9 @@
 
 
 def is_idempotent(document: Document, method: str, path: str) -> bool:
-    """Tell whether an operation may be run more than once.
+    """Return whether an operation may be run more than once.
 
-    An operation that no class covers is idempotent when its method is safe.
+    An operation without a matching class is idempotent if its method is safe.
     """
     work_class = find_class(document, method, path)
     if work_class is None:
--- a/eelgrassmount/config/counts.py
+++ b/eelgrassmount/config/counts.py
@@ -1,4 +1,4 @@
-"""Counts of what the configuration did and of its use of the log."""
+"""Counts of configuration events and of requests to the log."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 @define
 class ConfigCounts:
-    """Counts since the start of the process, for the metrics.
+    """Counts since the start of the process.
 
-    ``appends`` and ``read_records`` concern the log, by kind of record and in all;
-    ``log_failures`` are requests to it without an answer, ``gaps`` the times that
-    records were dropped before this node had read them. ``taken`` counts versions
-    by where they came from, ``publishes`` by their outcome.
+    ``appends`` counts records appended to the log by kind, ``read_records`` records
+    read from it, ``log_failures`` failed requests to it. ``gaps`` counts how often
+    the log dropped records before this node had read them. ``applied`` counts
+    versions by their source, ``publishes`` publishes by their outcome,
+    ``questions`` requests to other nodes for a newer version.
     """
 
     appends: Counter[str] = field(factory=Counter)
-    taken: Counter[str] = field(factory=Counter)
+    applied: Counter[str] = field(factory=Counter)
     publishes: Counter[str] = field(factory=Counter)
     questions: int = 0
     read_records: int = 0
--- a/eelgrassmount/config/document.py
+++ b/eelgrassmount/config/document.py
@@ -1,4 +1,4 @@
-"""Reads the text of a configuration."""
+"""Parser of configuration texts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentProblem:
-    """Something that an operator has to mend, and the line it stands on."""
+    """An error in a configuration text, with its line."""
 
     line: int
     message: str
@@ -41,14 +41,14 @@
 
 @frozen
 class Reading:
-    """What could be read of a text, and what is wrong with it."""
+    """The valid part of a configuration text, and its problems."""
 
     document: Document
     problems: tuple[DocumentProblem, ...]
 
 
 def parse_document(text: str) -> Document | tuple[DocumentProblem, ...]:
-    """Return the configuration of a text, or everything that is wrong with it.
+    """Return the configuration of a text, or all problems in it.
 
     The text is TOML::
 
@@ -70,10 +70,10 @@
 
 
 def read_document(text: str) -> Reading:
-    """Read as much of a text as possible.
+    """Read the valid part of a text.
 
-    A node of an older release can so follow a configuration that was accepted
-    by newer ones and says things that it does not know.
+    A node of an older release can thus apply a configuration that was accepted
+    by a newer release and has keys that the older one does not define.
     """
     values, broken = _read_toml(text)
     reader = _Reader(find_positions(text, _CLASS), broken)
@@ -84,8 +84,8 @@
 
 
 def _read_toml(text: str) -> tuple[dict[str, object], list[DocumentProblem]]:
-    # a line that is no TOML is left out and the rest read again, so that one run
-    # finds what is wrong with the other lines too
+    # blanks each line with a syntax error and parses again, so that all errors are
+    # reported together
     lines = text.split("\n")
     problems: list[DocumentProblem] = []
     while len(problems) < _MAX_SYNTAX_PROBLEMS:
@@ -111,7 +111,7 @@
 
 @define
 class _Reader:
-    """Turns TOML values into a document and notes what is wrong on the way."""
+    """Converts TOML values to a document and collects problems."""
 
     positions: Positions
     broken: list[DocumentProblem]
@@ -136,21 +136,21 @@
             tables = []
         elif not tables and not self.broken:
             self.report(1, "there is no class of work: add a [[class]] table")
-        classes = [self._read_class(at, table) for at, table in enumerate(tables)]
+        classes = [self._read_class(index, table) for index, table in enumerate(tables)]
         return Document(tuple(item for item in classes if item), domains)
 
     def _report_unknown(
-        self, table: dict[str, object], at: int, known: frozenset[str]
+        self, table: dict[str, object], table_index: int, known: frozenset[str]
     ) -> None:
         for key in table:
             if key not in known:
-                line = self.positions.find_key(at, key)
+                line = self.positions.find_key(table_index, key)
                 self.report(line, explain_unknown(key, known))
 
     def _read_domains(self, value: object) -> tuple[str, ...]:
         line = self.positions.find_key(TOP, "failure_domains")
         if not isinstance(value, list):
-            self.report(line, 'failure_domains must be a list, as ["bowbazar"]')
+            self.report(line, 'failure_domains must be a list, such as ["bowbazar"]')
             return ()
         domains: list[str] = []
         for index, item in enumerate(value):
@@ -164,70 +164,78 @@
                 domains.append(item)
         return tuple(domains)
 
-    def _read_class(self, at: int, table: dict[str, object]) -> WorkClass | None:
-        self._report_unknown(table, at, CLASS_KEYS)
+    def _read_class(
+        self, table_index: int, table: dict[str, object]
+    ) -> WorkClass | None:
+        self._report_unknown(table, table_index, CLASS_KEYS)
         found = len(self.problems)
-        name = self._read_name(at, table)
-        routes = self._read_routes(at, table, name)
-        idempotent = self._read_flag(at, table, "idempotent", None)
-        refuse_last = self._read_flag(at, table, "refuse_last", False)
-        fraction = self._read_value(at, table, "complete_fraction", check_fraction)
-        within_ms = self._read_value(at, table, "within_ms", check_limit)
-        if len(self.problems) > found or self._is_damaged(at):
+        name = self._read_name(table_index, table)
+        routes = self._read_routes(table_index, table, name)
+        idempotent = self._read_flag(table_index, table, "idempotent", None)
+        refuse_last = self._read_flag(table_index, table, "refuse_last", False)
+        fraction = self._read_value(
+            table_index, table, "complete_fraction", check_fraction
+        )
+        within_ms = self._read_value(table_index, table, "within_ms", check_limit)
+        if len(self.problems) > found or self._is_damaged(table_index):
             return None
         return WorkClass(
             name, routes, idempotent, refuse_last, float(fraction), within_ms
         )
 
     def _read_value(
-        self, at: int, table: dict[str, object], key: str, check: Check
+        self, table_index: int, table: dict[str, object], key: str, check: Check
     ) -> object:
         if key not in table:
-            self._report_missing(at, key)
+            self._report_missing(table_index, key)
             return None
         problem = check(table[key])
         if problem:
-            self.report(self.positions.find_key(at, key), problem)
+            self.report(self.positions.find_key(table_index, key), problem)
         return table[key]
 
-    def _read_name(self, at: int, table: dict[str, object]) -> str:
+    def _read_name(self, table_index: int, table: dict[str, object]) -> str:
         found = len(self.problems)
         check = lambda value: check_name(value, "the name of a class")
-        name = self._read_value(at, table, "name", check)
+        name = self._read_value(table_index, table, "name", check)
         if len(self.problems) > found or "name" not in table:
             return ""
-        line = self.positions.find_key(at, "name")
+        line = self.positions.find_key(table_index, "name")
         if name in self.names:
             first = self.names[name]
-            self.report(line, f"class {name!r} stands on line {first} already")
+            self.report(line, f"class {name!r} is already defined on line {first}")
         self.names.setdefault(name, line)
         return name
 
     def _read_flag(
-        self, at: int, table: dict[str, object], key: str, default: bool | None
+        self, table_index: int, table: dict[str, object], key: str, default: bool | None
     ) -> bool:
         if key not in table and default is None:
-            self._report_missing(at, key)
+            self._report_missing(table_index, key)
         value = table.get(key, default or False)
         if not isinstance(value, bool):
-            line = self.positions.find_key(at, key)
+            line = self.positions.find_key(table_index, key)
             self.report(line, f"{key} must be true or false, not {value!r}")
         return value
 
     def _read_routes(
-        self, at: int, table: dict[str, object], name: str
+        self, table_index: int, table: dict[str, object], name: str
     ) -> tuple[RoutePattern, ...]:
         if "routes" not in table:
-            self._report_missing(at, "routes")
+            self._report_missing(table_index, "routes")
             return ()
         items = table["routes"]
         if not isinstance(items, list) or not items:
-            line = self.positions.find_key(at, "routes")
-            self.report(line, 'routes must be a list, as ["POST /jobdesk/bookings"]')
+            line = self.positions.find_key(table_index, "routes")
+            self.report(
+                line, 'routes must be a list, such as ["POST /jobdesk/bookings"]'
+            )
             return ()
         routes = [
             self._read_route(
-                self.positions.find_item(at, "routes", items, index), item, name
+                self.positions.find_item(table_index, "routes", items, index),
+                item,
+                name,
             )
             for index, item in enumerate(items)
         ]
@@ -240,20 +248,23 @@
             return None
         method, prefix = item.split(" ")
         route = RoutePattern(method, prefix)
-        plain = RoutePattern(method, prefix.rstrip("/"))
-        if plain in self.routes:
-            owner = self.routes[plain] or "another class"
-            self.report(line, f"route {item!r} belongs to class {owner!r} already")
+        normalized = RoutePattern(method, prefix.rstrip("/"))
+        if normalized in self.routes:
+            owner = self.routes[normalized] or "another class"
+            self.report(line, f"route {item!r} already belongs to class {owner!r}")
             return None
-        self.routes[plain] = name
+        self.routes[normalized] = name
         return route
 
-    def _report_missing(self, at: int, key: str) -> None:
-        if not self._is_damaged(at):
-            line = self.positions.find_table(at)
+    def _report_missing(self, table_index: int, key: str) -> None:
+        if not self._is_damaged(table_index):
+            line = self.positions.find_table(table_index)
             self.report(line, f"{key} is missing from this class")
 
-    def _is_damaged(self, at: int) -> bool:
-        # what looks missing may stand on a line that could not be read
-        first, last = self.positions.find_table(at), self.positions.end_table(at)
+    def _is_damaged(self, table_index: int) -> bool:
+        # a key that seems missing may be on a line with a syntax error
+        first, last = (
+            self.positions.find_table(table_index),
+            self.positions.end_table(table_index),
+        )
         return any(first <= problem.line <= last for problem in self.broken)
--- a/eelgrassmount/config/exchange.py
+++ b/eelgrassmount/config/exchange.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration between nodes."""
+"""Exchange of configuration versions between nodes."""
 
 from __future__ import annotations
 
@@ -23,59 +23,59 @@
     from eelgrassmount.gen.ttypes import Hello
     from eelgrassmount.peer.port import Handlers, PeerPort
 
-ANNOUNCED_PEERS = 3
+MAX_ANNOUNCED_PEERS = 3
 
-_ASK_LIMIT_S = 1.5
-_MAX_FETCHES = 3
-_ANCHOR_PEERS = 4
+_REQUEST_TIMEOUT_S = 1.5
+_MAX_PARALLEL_FETCHES = 3
+_MAX_QUERIED_PEERS = 4
 
 
 @define
 class ConfigExchange:
-    """Asks other nodes for versions, and tells them of new ones.
+    """Requests versions from other nodes and announces new ones to them.
 
-    A question carries the version that its sender has, so a node that is asked
-    learns of a newer version by the question itself and then fetches it.
-    ``take`` is called with each version that is newer than the one in force.
+    A request contains the sender's version. A receiver with an older version
+    then fetches the newer one. ``apply_version`` is called with each received
+    version that is newer than the one in force.
     """
 
-    board: Blackboard
+    shared_state: Blackboard
     stream: ConfigStream
     peers: PeerPort
     rng: random.Random
     seeds: tuple[str, ...]
-    take: Callable[[int, str, int], None]
+    apply_version: Callable[[int, str, int], None]
     tasks: TaskGroup | None = None
-    _heard: dict[str, int] = field(factory=dict)
-    _fetches: int = 0
+    _announced_versions: dict[str, int] = field(factory=dict)
+    _running_fetches: int = 0
 
     def handlers(self) -> Handlers:
-        """Return what answers other nodes' messages."""
+        """Return the handlers of other nodes' messages."""
         return {"config_question": self._answer}
 
-    def hear(self, address: str, version: int) -> None:
-        """Note that the node at ``address`` has a version; fetch it if newer."""
-        if version <= self._own.version or self.tasks is None:
+    def record_announced(self, address: str, version: int) -> None:
+        """Record that the node at ``address`` has a version; fetch it if newer."""
+        if version <= self._configuration.version or self.tasks is None:
             return
-        self._heard[address] = version
-        if self._fetches < _MAX_FETCHES:
-            self._fetches += 1
-            self.tasks.start_soon(self._fetch_heard)
+        self._announced_versions[address] = version
+        if self._running_fetches < _MAX_PARALLEL_FETCHES:
+            self._running_fetches += 1
+            self.tasks.start_soon(self._fetch_announced)
 
     def announce(self, to_other_domains: bool) -> None:
-        """Tell a few nodes at once of the version in force."""
-        targets = self._choose_members(ANNOUNCED_PEERS)
+        """Send the version in force to a few nodes at once."""
+        targets = self._choose_members(MAX_ANNOUNCED_PEERS)
         if to_other_domains:
-            targets += self._choose_outside()
+            targets += self._choose_remote()
         for address in targets:
             if self.tasks is not None:
                 self.tasks.start_soon(self.request, address)
 
-    async def ask_some(self) -> None:
-        """Ask a node of the own failure domain and some of the others."""
-        targets = self._choose_members(_ANCHOR_PEERS) + self._choose_outside()
+    async def query_some(self) -> None:
+        """Request newer versions from a few nodes of all failure domains."""
+        targets = self._choose_members(_MAX_QUERIED_PEERS) + self._choose_remote()
         self.rng.shuffle(targets)
-        chosen = targets[:_ANCHOR_PEERS]
+        chosen = targets[:_MAX_QUERIED_PEERS]
         if self.seeds:
             chosen.append(self.rng.choice(self.seeds))
         async with anyio.create_task_group() as tasks:
@@ -83,35 +83,39 @@
                 tasks.start_soon(self.request, address)
 
     async def request(self, address: str) -> None:
-        """Ask one node for a newer version."""
-        if address == self.board.identity.address:
+        """Request a newer version from one node."""
+        if address == self.shared_state.identity.address:
             return
-        question = ConfigQuestion(version=self._own.version)
+        question = ConfigQuestion(version=self._configuration.version)
         self.stream.counts.questions += 1
         reply = await self.peers.request(
-            address, Message(config_question=question), _ASK_LIMIT_S
+            address, Message(config_question=question), _REQUEST_TIMEOUT_S
         )
         if isinstance(reply, PeerFailure) or reply.config_answer is None:
             return
-        self._take_answer(reply.config_answer)
+        self._apply_answer(reply.config_answer)
 
     @property
-    def _own(self) -> Configuration:
-        return self.board.configuration
+    def _configuration(self) -> Configuration:
+        return self.shared_state.configuration
 
-    async def _fetch_heard(self) -> None:
+    async def _fetch_announced(self) -> None:
         try:
             while True:
-                address = self._next_heard()
+                address = self._pop_newest_announced()
                 if address is None:
                     return
                 await self.request(address)
         finally:
-            self._fetches -= 1
-
-    def _next_heard(self) -> str | None:
-        newer = {a: v for a, v in self._heard.items() if v > self._own.version}
-        self._heard = newer
+            self._running_fetches -= 1
+
+    def _pop_newest_announced(self) -> str | None:
+        newer = {
+            a: v
+            for a, v in self._announced_versions.items()
+            if v > self._configuration.version
+        }
+        self._announced_versions = newer
         if not newer:
             return None
         address = max(newer, key=newer.__getitem__)
@@ -119,49 +123,49 @@
         return address
 
     async def _answer(self, sender: Hello, message: Message) -> Message:
-        asked = message.config_question.version or 0
-        self.hear(sender.address, asked)
-        own = self._own
-        body = own.text.encode() if own.version > asked else b""
+        requested_version = message.config_question.version or 0
+        self.record_announced(sender.address, requested_version)
+        local = self._configuration
+        body = local.text.encode() if local.version > requested_version else b""
         answer = ConfigAnswer(
-            version=own.version, body=body, offset=self._find_offset(own)
+            version=local.version, body=body, offset=self._find_offset(local)
         )
         return Message(config_answer=answer)
 
-    def _find_offset(self, own: Configuration) -> int:
+    def _find_offset(self, local: Configuration) -> int:
         fold = self.stream.fold
-        if fold.exact and fold.version == own.version:
+        if fold.exact and fold.version == local.version:
             return fold.next - 1
-        return own.offset
+        return local.offset
 
-    def _take_answer(self, answer: ConfigAnswer) -> None:
-        own = self._own
+    def _apply_answer(self, answer: ConfigAnswer) -> None:
+        local = self._configuration
         version = answer.version or 0
         offset = -1 if answer.offset is None else answer.offset
-        if version < own.version:
+        if version < local.version:
             return
-        text = own.text
-        if version > own.version:
+        text = local.text
+        if version > local.version:
             if not answer.body:
                 return
             text = answer.body.decode(errors="replace")
-            self.take(version, text, offset)
+            self.apply_version(version, text, offset)
         if offset >= 0:
-            self.stream.adopt(version, text, offset + 1)
+            self.stream.adopt_version(version, text, offset + 1)
 
     def _choose_members(self, count: int) -> list[str]:
         others = [
             address
-            for address, member in self.board.members.members.items()
+            for address, member in self.shared_state.members.members.items()
             if member.state is MemberState.ALIVE
-            and address != self.board.identity.address
+            and address != self.shared_state.identity.address
         ]
         return self.rng.sample(others, min(count, len(others)))
 
-    def _choose_outside(self) -> list[str]:
+    def _choose_remote(self) -> list[str]:
         found: dict[str, set[str]] = {}
-        for summary in self.board.members.summaries.values():
-            if summary.failure_domain != self.board.identity.failure_domain:
+        for summary in self.shared_state.members.summaries.values():
+            if summary.failure_domain != self.shared_state.identity.failure_domain:
                 found.setdefault(summary.failure_domain, set()).update(
                     summary.addresses
                 )
--- a/eelgrassmount/config/fold.py
+++ b/eelgrassmount/config/fold.py
@@ -1,13 +1,12 @@
-"""The fold of the configuration stream: which version is in force.
-
-The fold is *exact* when it knows the version in force after all records before
-``next``. It is exact from the beginning of the stream. A reader whose stream
-begins later, because older records are no longer kept, buffers what it reads
-until something tells the version in force at an offset that it has: a rewrite
-whose ``through`` is not below the reader's first offset, or a peer whose own
-fold is exact. A rewrite by a node that was paused names an offset that is long
-past, so it can neither win nor mislead: who has read from there on folds the
-records that followed, and who has not does not trust it.
+"""Fold of the configuration stream, which determines the version in force.
+
+A fold is *exact* if it determines the version in force after all records before
+``next``, as it does for a reader that starts at the beginning of the stream. A
+reader that starts later, because the log dropped older records, buffers records
+until the version in force at one of its offsets is known: from a rewrite whose
+``through`` is not below the reader's first offset, or from a peer with an exact
+fold. A late rewrite by a node that was paused has an old ``through``: a reader that
+has the records from there on applies them too, and others ignore the rewrite.
 """
 
 from __future__ import annotations
@@ -16,18 +15,18 @@
 
 from eelgrassmount.config.record import ConfigRecord, PlacedRecord, RecordKind
 
-# versions that a restore leaves out, so that a version which was accepted by
-# somebody unreachable is never given a second content
+# Versions that a restore skips. A version that an unreachable node has accepted must
+# not be published again with other content.
 RESTORE_SKIP = 1000
 
 
 @frozen
 class Fold:
-    """The state of one reader of the configuration stream.
+    """The state of a reader of the configuration stream.
 
     ``start`` is the first offset that was read without a gap, ``next`` the next
-    one to read. ``version`` and ``text`` are meaningful only if ``exact``;
-    ``pending`` holds what was read while they were not.
+    one to read. ``version`` and ``text`` are valid only if ``exact``;
+    ``pending`` holds the records read while the fold is not exact.
     """
 
     start: int = 0
@@ -40,10 +39,10 @@
 
 @frozen
 class Decision:
-    """What the fold made of one publish or restore.
+    """Whether a publish or restore was accepted.
 
-    ``in_force`` is the version in force after the record. If it was accepted,
-    that is the record's own version.
+    ``in_force`` is the version in force after the record: the record's version
+    if it was accepted.
     """
 
     offset: int
@@ -54,17 +53,17 @@
 
 @frozen
 class FoldResult:
-    """The state after some records, and the decisions that were made."""
+    """The state after some records, and the decisions about them."""
 
     fold: Fold
     decisions: tuple[Decision, ...] = ()
 
 
-def skip_lost(fold: Fold, first: int) -> Fold:
-    """Account for records that are no longer kept: ``first`` is the oldest.
+def skip_dropped(fold: Fold, first: int) -> Fold:
+    """Return the fold after the log dropped the records before ``first``.
 
-    If the reader has not read some of them, it no longer knows the version in
-    force, and begins again.
+    If the reader had not read all of them, the fold restarts at ``first`` and is
+    not exact.
     """
     if first <= fold.next:
         return fold
@@ -72,7 +71,7 @@
 
 
 def fold_records(fold: Fold, records: tuple[PlacedRecord, ...]) -> FoldResult:
-    """Fold records in offset order; those already folded are passed over."""
+    """Apply records in order of offsets, skipping those already applied."""
     decisions: list[Decision] = []
     pending = list(fold.pending)
     for placed in records:
@@ -82,51 +81,51 @@
         if placed.record is None:
             continue
         if fold.exact:
-            fold, decision = _decide(fold, placed.offset, placed.record)
+            fold, decision = _apply_record(fold, placed.offset, placed.record)
             decisions += [decision] if decision else []
             continue
         pending.append(placed)
-        if _can_anchor(fold, placed):
-            found = _begin(evolve(fold, pending=tuple(pending)), placed)
+        if _is_resume_point(fold, placed):
+            found = _resume_at(evolve(fold, pending=tuple(pending)), placed)
             fold = found.fold
             decisions += found.decisions
             pending = list(fold.pending)
     return FoldResult(evolve(fold, pending=tuple(pending)), tuple(decisions))
 
 
-def anchor_fold(fold: Fold, version: int, text: str, through: int) -> FoldResult:
-    """Take the word of an exact fold for the version in force at ``through``.
+def resume_fold(fold: Fold, version: int, text: str, through: int) -> FoldResult:
+    """Make a fold exact with the version in force at ``through``.
 
-    ``through`` counts as in a rewrite: all records before it are folded in. Word
-    of an offset that this reader has not read without a gap is not used.
+    The version must come from an exact fold that has applied all records before
+    ``through``. It is ignored if this reader lacks some of the records after it.
     """
     if through >= fold.next:
         return FoldResult(Fold(through, through, True, version, text))
     if fold.exact or through < fold.start:
         return FoldResult(fold)
     rest = tuple(placed for placed in fold.pending if placed.offset >= through)
-    begun = Fold(fold.start, through, True, version, text)
-    result = fold_records(begun, rest)
+    resumed = Fold(fold.start, through, True, version, text)
+    result = fold_records(resumed, rest)
     return evolve(result, fold=evolve(result.fold, next=fold.next))
 
 
-def _can_anchor(fold: Fold, placed: PlacedRecord) -> bool:
+def _is_resume_point(fold: Fold, placed: PlacedRecord) -> bool:
     record = placed.record
     if record.kind is RecordKind.PUBLISH:
         return False
     return fold.start <= record.through <= placed.offset
 
 
-def _begin(fold: Fold, placed: PlacedRecord) -> FoldResult:
+def _resume_at(fold: Fold, placed: PlacedRecord) -> FoldResult:
     record = placed.record
     if record.kind is RecordKind.REWRITE:
-        return anchor_fold(fold, record.version, record.text, record.through)
-    begun = Fold(fold.start, fold.next, True, record.version, record.text)
+        return resume_fold(fold, record.version, record.text, record.through)
+    resumed = Fold(fold.start, fold.next, True, record.version, record.text)
     decision = Decision(placed.offset, record, True, record.version)
-    return FoldResult(begun, (decision,))
+    return FoldResult(resumed, (decision,))
 
 
-def _decide(
+def _apply_record(
     fold: Fold, offset: int, record: ConfigRecord
 ) -> tuple[Fold, Decision | None]:
     if record.kind is RecordKind.REWRITE:
@@ -146,6 +145,6 @@
 def _check_rewrite(fold: Fold, offset: int, record: ConfigRecord) -> Fold:
     if record.version <= fold.version:
         return fold
-    # only after a restore that this reader did not take: its history is not the
-    # one that the others follow, so it must begin again
+    # only possible after a restore that this reader did not accept, so that its
+    # history differs from that of other readers
     return Fold(start=offset + 1, next=offset + 1, exact=False)
--- a/eelgrassmount/config/history.py
+++ b/eelgrassmount/config/history.py
@@ -1,4 +1,4 @@
-"""The accepted versions, for operators."""
+"""List of accepted versions for operators."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @frozen
 class HistoryEntry:
-    """One accepted version: what it replaced, its text and its place on the log.
+    """An accepted version: the version it replaced, its text and offset on the log.
 
-    ``base`` and ``offset`` are -1 where they are no longer known.
+    ``base`` and ``offset`` are -1 if they are no longer known.
     """
 
     version: int
@@ -29,7 +29,7 @@
 def list_accepted(
     decisions: Iterable[Decision], in_force: Configuration
 ) -> tuple[HistoryEntry, ...]:
-    """Return the accepted versions in order, the one in force among them."""
+    """Return the accepted versions in order, including the version in force."""
     entries = {
         decision.in_force: HistoryEntry(
             decision.in_force,
--- a/eelgrassmount/config/positions.py
+++ b/eelgrassmount/config/positions.py
@@ -1,4 +1,4 @@
-"""Where the keys of a TOML text stand."""
+"""Line numbers of the tables and keys of a TOML text."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 _TABLE = re.compile(r"^\s*\[\[\s*([A-Za-z0-9_-]+)\s*\]\]")
 _KEY = re.compile(r"^\s*\"?([A-Za-z0-9_-]+)\"?\s*=")
 
-# the index of the place before the first table
+# Table index of the keys before the first table.
 TOP = -1
 
 
@@ -17,8 +17,8 @@
 class Positions:
     """Line numbers, from 1, of the tables and keys of a text.
 
-    ``tables`` are the lines of the ``[[...]]`` headers in order; ``keys`` maps
-    the index of a table (or `TOP`) and a key to the key's line.
+    ``tables`` holds the lines of the ``[[...]]`` headers in order; ``keys`` maps
+    the index of a table (or `TOP`) and a key to the line of the key.
     """
 
     lines: tuple[str, ...] = ()
@@ -32,20 +32,20 @@
         return 1
 
     def find_key(self, table: int, key: str) -> int:
-        """Return the line of a key, or that of its table if it has none."""
+        """Return the line of a key, or the line of its table if the key is absent."""
         return self.keys.get((table, key), self.find_table(table))
 
     def find_item(self, table: int, key: str, items: list, index: int) -> int:
         """Return the line of an item of an array that may span several lines."""
         first = self.find_key(table, key)
-        written = _write_item(items[index])
-        before = items[:index].count(items[index])
+        formatted = _format_item(items[index])
+        equal_before = items[:index].count(items[index])
         for number in range(first, len(self.lines) + 1):
             line = self.lines[number - 1]
             if number > first and (_TABLE.match(line) or _KEY.match(line)):
                 break
-            before -= line.count(written)
-            if before < 0:
+            equal_before -= line.count(formatted)
+            if equal_before < 0:
                 return number
         return first
 
@@ -56,7 +56,7 @@
         return len(self.lines)
 
 
-def _write_item(item: object) -> str:
+def _format_item(item: object) -> str:
     return f'"{item}"' if isinstance(item, str) else str(item)
 
 
--- a/eelgrassmount/config/publish.py
+++ b/eelgrassmount/config/publish.py
@@ -1,4 +1,4 @@
-"""Publishing of a configuration, with a definite outcome where there is one."""
+"""Publishing of configurations to the log."""
 
 from __future__ import annotations
 
@@ -24,38 +24,38 @@
     from eelgrassmount.config.stream import ConfigStream
     from eelgrassmount.timers import TimerService
 
-DEFAULT_LIMIT_S = 8.0
+PUBLISH_TIMEOUT_S = 8.0
 
 _ID_BITS = 128
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The text is in force, as this version."""
+    """The text was accepted as this version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Another version than the one named is in force, so nothing was changed."""
+    """Another version than the base is in force, so nothing was changed."""
 
     in_force: int
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The text is no configuration; nothing was published."""
+    """The text is not a valid configuration; nothing was published."""
 
     problems: tuple[DocumentProblem, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """It could not be found out whether the text was accepted.
+    """Whether the text was accepted could not be determined.
 
-    Asking again with the same request id, base and text settles it and cannot
-    publish it twice.
+    A retry with the same request id, base and text returns the outcome and cannot
+    publish the text twice.
     """
 
     detail: str
@@ -66,45 +66,47 @@
 
 
 @define
-class _Publish:
-    """One publish on its way.
+class _PendingPublish:
+    """A publish whose outcome is not known yet.
 
-    ``fold`` is the publish's own reading of the stream, from just before the
-    record was made, so that no decision is passed over.
+    ``fold`` is a separate fold of the stream, from before the record was made, so
+    that the decision about the record is not missed. ``appended`` is true if the
+    log confirmed the last append, ``may_be_stored`` if any append may have
+    reached the log.
     """
 
     record: ConfigRecord
     fold: Fold
     sent: bool = False
-    placed: bool = False
-    touched: bool = False
+    appended: bool = False
+    may_be_stored: bool = False
 
 
 @define
 class Publisher:
-    """Appends publishes to the log and finds out what became of them.
+    """Appends publishes to the log and determines their outcomes.
 
-    ``find_anchor`` asks other nodes for the version in force when the log no
-    longer tells it. Only after ``restore_s`` seconds without an answer to that
-    question is a publish allowed to begin a new history. A publish is given up
-    after about ``limit_s`` seconds.
+    If the records on the log do not determine the version in force,
+    ``query_peers`` requests it from other nodes. If it remains unknown for
+    ``restore_delay_s``, a publish becomes a restore. A publish without an outcome
+    is abandoned after about ``timeout_s``.
     """
 
     stream: ConfigStream
-    board: Blackboard
+    shared_state: Blackboard
     timers: TimerService
     rng: random.Random
-    find_anchor: Callable[[], Awaitable[None]]
-    restore_s: float
-    limit_s: float = DEFAULT_LIMIT_S
+    query_peers: Callable[[], Awaitable[None]]
+    restore_delay_s: float
+    timeout_s: float = PUBLISH_TIMEOUT_S
 
     async def publish(
         self, text: str, base: int, request_id: str = ""
     ) -> PublishOutcome:
-        """Publish a text that replaces version ``base``.
+        """Publish a text to replace version ``base``.
 
-        A publish with the ``request_id``, base and text of an earlier one is the
-        same publish and has its outcome. Without a request id it is a new one.
+        A publish with the ``request_id``, base and text of an earlier one returns
+        the outcome of that one. Without a request id, each publish is a new one.
         """
         parsed = parse_document(text)
         if isinstance(parsed, tuple):
@@ -115,9 +117,9 @@
         return outcome
 
     async def _run(self, text: str, base: int, request_id: str) -> PublishOutcome:
-        end_s = self.timers.read() + self.limit_s
+        end_s = self.timers.read() + self.timeout_s
         backoff = Backoff(self.rng)
-        publish: _Publish | None = None
+        publish: _PendingPublish | None = None
         while self.timers.read() < end_s:
             if publish is None:
                 prepared = await self._prepare(text, base, request_id)
@@ -128,32 +130,35 @@
             if outcome:
                 return outcome
             await wait_for(self.timers, backoff.fail())
-        return Unknown(self._explain(publish), backoff.limit_s)
+        return Unknown(self._describe_unknown(publish), backoff.limit_s)
 
     async def _prepare(
         self, text: str, base: int, request_id: str
-    ) -> _Publish | PublishOutcome | None:
+    ) -> _PendingPublish | PublishOutcome | None:
         if not await self.stream.catch_up():
             return None
         if not self.stream.fold.exact:
-            await self.find_anchor()
+            await self.query_peers()
         record_id = self._make_id(text, base, request_id)
         fold = self.stream.fold
-        in_force = max(fold.version, self.board.configuration.version)
+        in_force = max(fold.version, self.shared_state.configuration.version)
         if base != in_force:
             earlier = await self._find_earlier(record_id) if request_id else None
             return earlier or Lost(in_force)
         if fold.exact and base != fold.version:
-            # other nodes have a version that this node's log does not show yet
+            # other nodes have a version that this node has not read from the log yet
             return None
         if not fold.exact and not self._may_restore():
             return None
-        return _Publish(make_publish(fold, record_id, base, text), fold)
+        return _PendingPublish(make_publish(fold, record_id, base, text), fold)
 
     def _may_restore(self) -> bool:
-        # in that time every node that knows more would have rewritten it
-        lost_s = self.stream.lost_s
-        return lost_s is not None and self.timers.read() - lost_s >= self.restore_s
+        # by then, a node that knows the version in force would have rewritten it
+        inexact_since_s = self.stream.inexact_since_s
+        return (
+            inexact_since_s is not None
+            and self.timers.read() - inexact_since_s >= self.restore_delay_s
+        )
 
     def _make_id(self, text: str, base: int, request_id: str) -> str:
         if not request_id:
@@ -169,7 +174,7 @@
             return Accepted(decision.in_force)
         return None
 
-    async def _step(self, publish: _Publish) -> PublishOutcome | None:
+    async def _step(self, publish: _PendingPublish) -> PublishOutcome | None:
         if not publish.sent:
             await self._append(publish)
         if not publish.sent:
@@ -179,38 +184,38 @@
             return None
         decision = find_decision(result, publish.record.record_id)
         if decision:
-            return await self._conclude(decision, result.fold)
+            return await self._make_outcome(decision, result.fold)
         if publish.fold.start != result.fold.start:
             return Unknown("the log dropped records before they were read", 1.0)
         publish.fold = result.fold
-        # not there, so it was lost on the way; should it come late after all, a
-        # second copy is harmless: its base is out of date by then
-        publish.sent = publish.placed
+        # an append without confirmation is retried: if the first copy arrives late,
+        # the second one is rejected, since its base is out of date by then
+        publish.sent = publish.appended
         return None
 
-    async def _append(self, publish: _Publish) -> None:
+    async def _append(self, publish: _PendingPublish) -> None:
         result = await self.stream.append(publish.record)
-        publish.placed = isinstance(result, Appended)
-        publish.sent = publish.placed or result.sent
-        publish.touched = publish.touched or publish.sent
+        publish.appended = isinstance(result, Appended)
+        publish.sent = publish.appended or result.sent
+        publish.may_be_stored = publish.may_be_stored or publish.sent
 
-    async def _conclude(self, decision: Decision, fold: Fold) -> PublishOutcome:
+    async def _make_outcome(self, decision: Decision, fold: Fold) -> PublishOutcome:
         if not await self.stream.catch_up() and fold.exact:
-            self.stream.adopt(fold.version, fold.text, fold.next)
+            self.stream.adopt_version(fold.version, fold.text, fold.next)
         if decision.accepted:
             return Accepted(decision.in_force)
-        return Lost(max(decision.in_force, self.board.configuration.version))
+        return Lost(max(decision.in_force, self.shared_state.configuration.version))
 
-    def _explain(self, publish: _Publish | None) -> str:
-        if publish is not None and publish.touched:
-            return "the log may have it, but cannot be read to make sure"
-        if self.stream.lost_s is not None and self.board.log_reachable:
+    def _describe_unknown(self, publish: _PendingPublish | None) -> str:
+        if publish is not None and publish.may_be_stored:
+            return "the log may have the record, but it could not be read to confirm"
+        if self.stream.inexact_since_s is not None and self.shared_state.log_reachable:
             return "the log no longer tells which version is in force; nothing was sent"
         return "the log cannot be reached from this node; nothing was sent"
 
 
 def find_decision(result: FoldResult, record_id: str) -> Decision | None:
-    """Return the first decision about a record; later copies decide nothing."""
+    """Return the first decision about a record; later copies have no effect."""
     for decision in result.decisions:
         if decision.record.record_id == record_id:
             return decision
@@ -218,15 +223,12 @@
 
 
 def make_publish(fold: Fold, record_id: str, base: int, text: str) -> ConfigRecord:
-    """Return the record that asks for a text to replace version ``base``.
-
-    If the fold is not exact, that is a restore.
-    """
+    """Return a publish record, or a restore record if the fold is not exact."""
     kind = RecordKind.PUBLISH if fold.exact else RecordKind.RESTORE
     version = base + 1
     if not fold.exact:
-        named = [placed.record.version for placed in fold.pending]
-        version = max(base, *named, 0) + RESTORE_SKIP
+        pending = [placed.record.version for placed in fold.pending]
+        version = max(base, *pending, 0) + RESTORE_SKIP
     return ConfigRecord(
         kind=kind,
         record_id=record_id,
--- a/eelgrassmount/config/record.py
+++ b/eelgrassmount/config/record.py
@@ -1,4 +1,4 @@
-"""The records of the configuration stream."""
+"""Records of the configuration stream and their encoding."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RecordKind(StrEnum):
-    """What a record of the configuration stream asks for."""
+    """Kinds of records of the configuration stream."""
 
     PUBLISH = "publish"
     REWRITE = "rewrite"
@@ -27,13 +27,13 @@
 
 @frozen
 class ConfigRecord:
-    """One record of the configuration stream.
+    """A record of the configuration stream.
 
-    A *publish* asks that ``text`` become version ``base + 1``. A *rewrite* states
-    that after all records before the offset ``through`` the version in force was
-    ``version``, with ``text``; it changes nothing, but lets a reader begin there.
-    A *restore* is a publish made when no kept record tells which version is in
-    force: its author read all that the log keeps before ``through``.
+    A *publish* requests that ``text`` become version ``base + 1``. A *rewrite*
+    states that ``version`` with ``text`` was in force after all records before the
+    offset ``through``; it changes nothing, but a reader can start there. A
+    *restore* is a publish that is made if the records on the log do not determine
+    the version in force; its author has read all records before ``through``.
     """
 
     kind: RecordKind
@@ -46,14 +46,14 @@
 
 @frozen
 class PlacedRecord:
-    """A record with its offset; ``record`` is ``None`` if it cannot be read."""
+    """A record with its offset; ``record`` is ``None`` if it is malformed."""
 
     offset: int
     record: ConfigRecord | None
 
 
 def encode_record(record: ConfigRecord) -> bytes:
-    """Return the bytes that stand on the log for a record."""
+    """Return the encoded record for the log."""
     content = {
         "kind": record.kind.value,
         "id": record.record_id,
@@ -66,10 +66,9 @@
 
 
 def decode_record(body: bytes) -> ConfigRecord | None:
-    """Return the record that stands on the log, or ``None`` if it is not one.
+    """Return the decoded record, or ``None`` if the body is malformed.
 
-    Anything may have been appended to the stream; every reader must skip the
-    same records, so nothing is guessed.
+    Decoding is strict, so that all readers skip the same records.
     """
     try:
         content = json.loads(body)
--- a/eelgrassmount/config/rewrite.py
+++ b/eelgrassmount/config/rewrite.py
@@ -1,4 +1,4 @@
-"""Writes the version in force to the log again before it is dropped there."""
+"""Rewrites the version in force to the log before the log drops its record."""
 
 from __future__ import annotations
 
@@ -12,35 +12,39 @@
     import random
 
     from eelgrassmount.config.fold import Fold
-    from eelgrassmount.config.stream import Anchor, ConfigStream
+    from eelgrassmount.config.stream import ConfigStream, ResumePoint
     from eelgrassmount.timers import TimerService
 
 _ID_BITS = 128
-_MIN_PERIOD_S = 2.0
+_MIN_REWRITE_INTERVAL_S = 2.0
 
 
 def is_rewrite_due(
-    fold: Fold, anchor: Anchor, now_s: float, start_s: float, period_s: float
+    fold: Fold,
+    resume_point: ResumePoint,
+    now_s: float,
+    started_s: float,
+    interval_s: float,
 ) -> bool:
-    """Tell whether the version in force must be written again.
+    """Return whether the version in force must be rewritten.
 
-    That is so ``period_s`` seconds after the last rewrite was seen (or, if none
-    was, after ``start_s``), and earlier when the log has begun to drop records and
-    the last rewrite stands among the older half of those that it keeps.
+    A rewrite is due ``interval_s`` after the last one was read (or after
+    ``started_s`` if none was read). It is due earlier if the log drops records
+    and the last rewrite is in the older half of the stored records.
     """
     if not fold.exact or fold.version == 0:
         return False
-    seen_s = anchor.seen_s if anchor.offset >= 0 else start_s
-    if now_s - seen_s >= period_s:
+    seen_s = resume_point.seen_s if resume_point.offset >= 0 else started_s
+    if now_s - seen_s >= interval_s:
         return True
-    if anchor.first == 0:
+    if resume_point.first == 0:
         return False
-    kept = anchor.next - anchor.first
-    return anchor.offset - anchor.first < kept // 2
+    stored = resume_point.next - resume_point.first
+    return resume_point.offset - resume_point.first < stored // 2
 
 
 def make_rewrite(fold: Fold, record_id: str) -> ConfigRecord:
-    """Return the record that states the version in force of an exact fold."""
+    """Return the rewrite record for the version in force of an exact fold."""
     return ConfigRecord(
         kind=RecordKind.REWRITE,
         record_id=record_id,
@@ -53,36 +57,36 @@
 
 @define
 class Rewriter:
-    """Rewrites when it is due, seldom more than once for all nodes together.
+    """Rewrites the version in force when a rewrite is due.
 
-    Each node waits a random part longer than ``period_s``, and the rewrite of the
-    first one starts the wait of all the others again.
+    Each node waits for a random time above ``interval_s``. Reading a rewrite
+    restarts the wait, so that seldom more than one node rewrites in an interval.
     """
 
     stream: ConfigStream
     timers: TimerService
     rng: random.Random
-    period_s: float
-    _start_s: float = field(init=False)
-    _period_s: float = field(init=False)
+    interval_s: float
+    _started_s: float = field(init=False)
+    _interval_s: float = field(init=False)
     _next_s: float = field(init=False)
     _running: bool = False
 
     def __attrs_post_init__(self) -> None:
-        """Begin to wait."""
-        self._start_s = self.timers.read()
-        self._next_s = self._start_s
-        self._vary()
+        """Start the first interval."""
+        self._started_s = self.timers.read()
+        self._next_s = self._started_s
+        self._randomize_interval()
 
     def is_due(self) -> bool:
-        """Tell whether to rewrite now."""
+        """Return whether this node must rewrite now."""
         now_s = self.timers.read()
         if self._running or now_s < self._next_s:
             return False
         return self._is_due_by_fold()
 
     async def rewrite(self) -> None:
-        """Write the version in force, as of the end of the log."""
+        """Read the log to its end and append the version in force."""
         self._running = True
         try:
             if await self.stream.catch_up() and self._is_due_by_fold():
@@ -91,17 +95,19 @@
                 await self.stream.catch_up()
         finally:
             self._running = False
-            self._next_s = self.timers.read() + _MIN_PERIOD_S * self.rng.uniform(1, 2)
-            self._vary()
+            self._next_s = (
+                self.timers.read() + _MIN_REWRITE_INTERVAL_S * self.rng.uniform(1, 2)
+            )
+            self._randomize_interval()
 
     def _is_due_by_fold(self) -> bool:
         return is_rewrite_due(
             self.stream.fold,
-            self.stream.anchor,
+            self.stream.resume_point,
             self.timers.read(),
-            self._start_s,
-            self._period_s,
+            self._started_s,
+            self._interval_s,
         )
 
-    def _vary(self) -> None:
-        self._period_s = self.period_s * self.rng.uniform(1.0, 1.5)
+    def _randomize_interval(self) -> None:
+        self._interval_s = self.interval_s * self.rng.uniform(1.0, 1.5)
--- a/eelgrassmount/config/stream.py
+++ b/eelgrassmount/config/stream.py
@@ -1,4 +1,4 @@
-"""Reads the configuration stream."""
+"""Reader of the configuration stream."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     Decision,
     Fold,
     FoldResult,
-    anchor_fold,
     fold_records,
-    skip_lost,
+    resume_fold,
+    skip_dropped,
 )
 from eelgrassmount.config.record import (
     PlacedRecord,
@@ -33,16 +33,17 @@
     from eelgrassmount.log_port import Appended, LogPort
 
 CONFIG_STREAM = "config"
-PAGE_RECORDS = 200
+MAX_PAGE_RECORDS = 200
 
-_KEPT_ACCEPTED = 100
+_MAX_STORED_DECISIONS = 100
 
 
 @frozen
-class Anchor:
-    """The newest rewrite seen that a reader may begin at.
+class ResumePoint:
+    """The newest rewrite at which a reader can start.
 
-    ``first`` and ``next`` are the bounds of what the log keeps, as last seen.
+    ``seen_s`` is the time at which it was read. ``first`` and ``next`` are the last
+    known bounds of the offsets on the log.
     """
 
     offset: int = -1
@@ -53,33 +54,35 @@
 
 @define
 class ConfigStream:
-    """Reads the stream, folds it, and keeps what was decided.
+    """Reads and folds the stream, and stores the newest accepted decisions.
 
-    ``changed`` is called after every step of the fold. Several tasks may read at
-    a time: what one has folded, the others pass over. ``lost_s`` is the time since
-    which the fold is not exact, if it is not.
+    ``changed`` is called after each change of the fold. Several tasks may read at
+    a time; records that one has applied are skipped by the others.
+    ``inexact_since_s`` is the time since which the fold is not exact, or ``None``.
     """
 
     log: LogPort
-    board: Blackboard
+    shared_state: Blackboard
     read_clock: Callable[[], float]
     changed: Callable[[], None]
     fold: Fold = field(factory=Fold)
-    anchor: Anchor = field(factory=Anchor)
+    resume_point: ResumePoint = field(factory=ResumePoint)
     counts: ConfigCounts = field(factory=ConfigCounts)
-    lost_s: float | None = None
+    inexact_since_s: float | None = None
     accepted: OrderedDict[int, Decision] = field(factory=OrderedDict)
 
     async def read_page(self, wait_s: float) -> Page | LogFailure:
-        """Read and fold the next records, waiting up to ``wait_s`` for one."""
-        page = await self.log.read(CONFIG_STREAM, self.fold.next, PAGE_RECORDS, wait_s)
-        self._note_reachable(page)
+        """Read and fold the next records, waiting up to ``wait_s`` for a record."""
+        page = await self.log.read(
+            CONFIG_STREAM, self.fold.next, MAX_PAGE_RECORDS, wait_s
+        )
+        self._record_reachability(page)
         if isinstance(page, Page):
-            self._take_page(page)
+            self._apply_page(page)
         return page
 
     async def catch_up(self) -> bool:
-        """Read to the end of the stream; tell whether that worked."""
+        """Read to the end of the stream; return whether the log answered."""
         while True:
             page = await self.read_page(0.0)
             if isinstance(page, LogFailure):
@@ -91,46 +94,48 @@
         """Append one record."""
         self.counts.appends[record.kind.value] += 1
         result = await self.log.append(CONFIG_STREAM, encode_record(record))
-        self._note_reachable(result)
+        self._record_reachability(result)
         return result
 
-    def adopt(self, version: int, text: str, through: int) -> None:
-        """Take the word of another node's exact fold."""
-        self._take_result(anchor_fold(self.fold, version, text, through))
+    def adopt_version(self, version: int, text: str, through: int) -> None:
+        """Apply the version in force at ``through`` of another node's exact fold."""
+        self._apply_result(resume_fold(self.fold, version, text, through))
 
-    def _take_page(self, page: Page) -> None:
-        kept = skip_lost(self.fold, page.first)
-        if kept is not self.fold:
-            self._note_gap()
-        self.fold = kept
+    def _apply_page(self, page: Page) -> None:
+        fold = skip_dropped(self.fold, page.first)
+        if fold is not self.fold:
+            self._record_gap()
+        self.fold = fold
         placed = _decode_page(page)
         self.counts.read_records += len(placed)
-        self._note_anchor(page, placed)
-        self._take_result(fold_records(self.fold, placed))
+        self._update_resume_point(page, placed)
+        self._apply_result(fold_records(self.fold, placed))
 
-    def _take_result(self, result: FoldResult) -> None:
+    def _apply_result(self, result: FoldResult) -> None:
         if result.fold == self.fold and not result.decisions:
             return
         if self.fold.exact and not result.fold.exact:
-            self._note_gap()
+            self._record_gap()
         self.fold = result.fold
         if result.fold.exact:
-            self.lost_s = None
+            self.inexact_since_s = None
         for decision in result.decisions:
-            self._keep(decision)
+            self._store_decision(decision)
         self.changed()
 
-    def _keep(self, decision: Decision) -> None:
+    def _store_decision(self, decision: Decision) -> None:
         if not decision.accepted:
             return
         self.accepted[decision.in_force] = decision
-        if len(self.accepted) > _KEPT_ACCEPTED:
+        if len(self.accepted) > _MAX_STORED_DECISIONS:
             self.accepted.popitem(last=False)
 
-    def _note_anchor(self, page: Page, placed: tuple[PlacedRecord, ...]) -> None:
-        # a rewrite is a lasting place to begin at if no record came between its
-        # author's last reading and itself
-        offset, seen_s = self.anchor.offset, self.anchor.seen_s
+    def _update_resume_point(
+        self, page: Page, placed: tuple[PlacedRecord, ...]
+    ) -> None:
+        # a reader can start at a rewrite if no record was appended between the
+        # author's last read and the rewrite
+        offset, seen_s = self.resume_point.offset, self.resume_point.seen_s
         expected = self.fold.next
         for item in placed:
             record = item.record
@@ -138,41 +143,41 @@
             if is_rewrite and item.offset > offset and record.through == expected:
                 offset, seen_s = item.offset, self.read_clock()
             expected = item.offset + 1
-        self.anchor = Anchor(
+        self.resume_point = ResumePoint(
             offset,
             seen_s,
-            max(page.first, self.anchor.first),
-            max(expected, self.anchor.next),
+            max(page.first, self.resume_point.first),
+            max(expected, self.resume_point.next),
         )
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         self.counts.gaps += 1
-        if self.lost_s is None:
-            self.lost_s = self.read_clock()
+        if self.inexact_since_s is None:
+            self.inexact_since_s = self.read_clock()
         logger.warning("configuration records were dropped before being read")
 
-    def _note_reachable(self, result: object) -> None:
+    def _record_reachability(self, result: object) -> None:
         reachable = not isinstance(result, LogFailure)
         if not reachable:
             self.counts.log_failures += 1
-        if reachable == self.board.log_reachable:
+        if reachable == self.shared_state.log_reachable:
             return
-        self.board.log_reachable = reachable
+        self.shared_state.log_reachable = reachable
         logger.info("the log is {}", "reachable" if reachable else "unreachable")
 
 
 async def read_decisions(log: LogPort, fold: Fold) -> FoldResult | LogFailure:
-    """Read from where ``fold`` stands to the end of the stream.
+    """Read from the next offset of ``fold`` to the end of the stream.
 
-    Return the fold there and what was decided on the way, oldest first. If the
-    log no longer keeps all of these records the fold begins anew.
+    Return the fold at the end and the decisions, oldest first. If the log has
+    dropped some of these records, the fold restarts at its oldest one.
     """
     decisions: list[Decision] = []
     while True:
-        page = await log.read(CONFIG_STREAM, fold.next, PAGE_RECORDS, 0.0)
+        page = await log.read(CONFIG_STREAM, fold.next, MAX_PAGE_RECORDS, 0.0)
         if isinstance(page, LogFailure):
             return page
-        result = fold_records(skip_lost(fold, page.first), _decode_page(page))
+        result = fold_records(skip_dropped(fold, page.first), _decode_page(page))
         fold = result.fold
         decisions += result.decisions
         if not page.records:
--- a/tests/config/fakes.py
+++ b/tests/config/fakes.py
@@ -1,4 +1,4 @@
-"""A log and a network in memory, with faults to switch on."""
+"""An in-memory log and network with injectable faults."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @define
 class FakeLog:
-    """``lose`` answers are lost after the write, ``swallow`` requests before it."""
+    """A log that loses ``lose`` answers after a write and ``swallow`` requests."""
 
     first: int = 0
     bodies: list[bytes] = field(factory=list)
@@ -54,11 +54,11 @@
 class FakeLogClient:
     log: FakeLog
     timers: TimerService
-    cut: bool = False
+    disconnected: bool = False
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
         await anyio.lowlevel.checkpoint()
-        if self.cut or self.log.down:
+        if self.disconnected or self.log.down:
             return LogFailure("down", False)
         if self.log.swallow:
             self.log.swallow -= 1
@@ -76,10 +76,10 @@
         await anyio.lowlevel.checkpoint()
         end_s = self.timers.read() + wait_s
         while self.log.next <= offset and self.timers.read() < end_s:
-            if self.cut or self.log.down:
+            if self.disconnected or self.log.down:
                 break
             await wait_for(self.timers, 0.05)
-        if self.cut or self.log.down:
+        if self.disconnected or self.log.down:
             return LogFailure("down", False)
         start = max(offset, self.log.first)
         chosen = range(start, min(start + limit, self.log.next))
@@ -89,33 +89,33 @@
 
 @define
 class Node:
-    board: Blackboard
+    shared_state: Blackboard
     log: FakeLogClient
     follower: ConfigFollower
     tasks: anyio.abc.TaskGroup
 
     @property
     def address(self) -> str:
-        return self.board.identity.address
+        return self.shared_state.identity.address
 
     @property
     def version(self) -> int:
-        return self.board.configuration.version
+        return self.shared_state.configuration.version
 
 
 @define
 class Cluster:
-    """Nodes ``domain-number``; ``cut`` domains reach no other domain.
+    """Nodes named ``domain-number``; disconnected domains reach no other domain.
 
-    Versions are checked after every step: none may go down at a running node, and
-    one version has one text everywhere.
+    After each step it checks that no running node's version decreased, and that a
+    version has the same text on all nodes.
     """
 
     timers: TimerService
     tasks: anyio.abc.TaskGroup
     log: FakeLog = field(factory=FakeLog)
     nodes: dict[str, Node] = field(factory=dict)
-    cut: set[str] = field(factory=set)
+    disconnected_domains: set[str] = field(factory=set)
     texts: dict[int, str] = field(factory=dict)
     seen: dict[str, int] = field(factory=dict)
 
@@ -124,22 +124,22 @@
     ) -> Message | PeerFailure:
         await anyio.lowlevel.checkpoint()
         domain, other = sender.split("-")[0], address.split("-")[0]
-        apart = domain != other and self.cut & {domain, other}
-        if apart or address not in self.nodes:
+        disconnected = domain != other and self.disconnected_domains & {domain, other}
+        if disconnected or address not in self.nodes:
             return PeerFailure(address, False)
         handler = self.nodes[address].follower.handlers()["config_question"]
         return await handler(Hello(address=sender), message)
 
     async def start(self, address: str, seed: int = 0, **options) -> Node:
         domain = address.split("-")[0]
-        board = Blackboard(Identity(address, domain, "r", address))
+        shared_state = Blackboard(Identity(address, domain, "r", address))
         log = FakeLogClient(self.log, self.timers)
         rng = random.Random(f"{address}{seed}")
         port = FakePeers(self, address)
-        follower = ConfigFollower(board, self.timers, port, log, rng, **options)
+        follower = ConfigFollower(shared_state, self.timers, port, log, rng, **options)
         tasks = anyio.create_task_group()
         self.tasks.start_soon(self._run, tasks, follower)
-        self.nodes[address] = Node(board, log, follower, tasks)
+        self.nodes[address] = Node(shared_state, log, follower, tasks)
         self.seen.pop(address, None)
         self._introduce()
         await self.settle()
@@ -155,17 +155,17 @@
 
     def _introduce(self) -> None:
         for node in self.nodes.values():
-            own = node.board.identity
+            identity = node.shared_state.identity
             members, summaries = {}, {}
             for address, other in self.nodes.items():
-                there = other.board.identity
-                if there.failure_domain == own.failure_domain:
-                    members[address] = Member(there)
+                other_identity = other.shared_state.identity
+                if other_identity.failure_domain == identity.failure_domain:
+                    members[address] = Member(other_identity)
                     continue
-                key = (there.failure_domain, "svc")
+                key = (other_identity.failure_domain, "svc")
                 summaries[key] = ServiceSummary(*key, 1, 1, 1, 1, (address,))
-            node.board.members.members = members
-            node.board.members.summaries = summaries
+            node.shared_state.members.members = members
+            node.shared_state.members.summaries = summaries
 
     async def settle(self) -> None:
         for _ in range(40):
@@ -179,10 +179,10 @@
 
     def check(self) -> None:
         for address, node in self.nodes.items():
-            own = node.board.configuration
-            assert own.version >= self.seen.get(address, 0)
-            self.seen[address] = own.version
-            assert self.texts.setdefault(own.version, own.text) == own.text
+            current = node.shared_state.configuration
+            assert current.version >= self.seen.get(address, 0)
+            self.seen[address] = current.version
+            assert self.texts.setdefault(current.version, current.text) == current.text
 
     async def publish(self, address: str, name: str, base: int, request_id: str = ""):
         done = []
@@ -214,7 +214,7 @@
 
 
 def run_cluster(scenario) -> None:
-    """Run ``scenario(cluster)`` on a clock that only the scenario moves."""
+    """Run ``scenario(cluster)`` on a manual clock."""
 
     async def main() -> None:
         timers = TimerService(ManualClock(), random.Random(1))
--- a/tests/config/test_admin.py
+++ b/tests/config/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' requests that concern the configuration."""
+"""Admin requests that show and publish the configuration."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
         ),
     ],
 )
-def test_outcomes(outcome: object, status: int, content: dict) -> None:
+def test_outcomes_are_described(outcome: object, status: int, content: dict) -> None:
     reply = describe_outcome(outcome, 7)
     assert reply.status == status
     assert json.loads(reply.body) == content
 
 
-def test_publish_show_and_roll_back() -> None:
+def test_versions_are_published_shown_and_rolled_back() -> None:
     async def scenario(cluster: Cluster) -> None:
         node = await cluster.start("a-0")
         for base, body in ((None, b""), ("x", b""), ("0", b"\xff")):
@@ -59,7 +59,7 @@
         for base, text in enumerate([*texts, texts[0]]):
             reply = await publish_config(node.follower, text.encode(), str(base))
             assert json.loads(reply.body) == {"version": base + 1}
-        shown = json.loads(show_config(node.board).body)
+        shown = json.loads(show_config(node.shared_state).body)
         assert shown == {"version": 3, "text": texts[0], "log_reachable": True}
         history = json.loads((await show_history(node.follower)).body)["versions"]
         assert [entry["version"] for entry in history] == [1, 2, 3]
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -1,4 +1,4 @@
-"""Reading the text of a configuration."""
+"""Parsing of configuration texts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from eelgrassmount.config.classes import Document, RoutePattern, WorkClass
 from eelgrassmount.config.document import MAX_TEXT_BYTES, parse_document, read_document
 
-GOOD = """failure_domains = ["bowbazar", "howrah"]
+VALID_TEXT = """failure_domains = ["bowbazar", "howrah"]
 [[class]]
 name = "booking"
 routes = [
@@ -23,13 +23,13 @@
 """
 
 
-def test_good() -> None:
+def test_valid_text_is_parsed() -> None:
     routes = (
         RoutePattern("POST", "/jobdesk/bookings"),
         RoutePattern("PUT", "/jobdesk/bookings"),
     )
     booking = WorkClass("booking", routes, False, True, 1.0, 2000)
-    assert parse_document(GOOD) == Document((booking,), ("bowbazar", "howrah"))
+    assert parse_document(VALID_TEXT) == Document((booking,), ("bowbazar", "howrah"))
 
 
 @pytest.mark.parametrize(
@@ -56,30 +56,32 @@
         ("within_ms = 2000", 'address = "127.0.0.1:80"', 11, "by itself"),
         ("= 2000", "= = 2000", 11, "not TOML"),
         ("= 2000", "= 2000\nwithin_ms = 1", 12, "not TOML"),
-        (GOOD, "x = [1", 1, "not TOML"),
-        (GOOD, "", 1, "no class of work"),
-        (GOOD, "[" * 5000, 1, "not TOML"),
-        (GOOD, "#" * (MAX_TEXT_BYTES + 1), 1, "at most"),
+        (VALID_TEXT, "x = [1", 1, "not TOML"),
+        (VALID_TEXT, "", 1, "no class of work"),
+        (VALID_TEXT, "[" * 5000, 1, "not TOML"),
+        (VALID_TEXT, "#" * (MAX_TEXT_BYTES + 1), 1, "at most"),
     ],
 )
-def test_each_problem_has_its_line(old: str, new: str, line: int, words: str) -> None:
-    problems = parse_document(GOOD.replace(old, new))
+def test_problem_is_reported_with_line(
+    old: str, new: str, line: int, words: str
+) -> None:
+    problems = parse_document(VALID_TEXT.replace(old, new))
     assert isinstance(problems, tuple)
     assert any(p.line == line and words in p.message for p in problems), problems
 
 
-def test_all_problems_at_once() -> None:
-    second = GOOD.partition("\n")[2].replace("= 2000", "= 0")
-    problems = parse_document(GOOD.replace("= 1\n", "= 2\n") + second + "x = =\n")
+def test_all_problems_are_reported_together() -> None:
+    second = VALID_TEXT.partition("\n")[2].replace("= 2000", "= 0")
+    problems = parse_document(VALID_TEXT.replace("= 1\n", "= 2\n") + second + "x = =\n")
     assert [p.line for p in problems] == [10, 13, 15, 16, 21, 22]
 
 
-def test_a_newer_text_is_read_as_far_as_known() -> None:
-    text = GOOD.replace("[[class]]", "color = 1\n[[class]]")
-    assert read_document(text).document == parse_document(GOOD)
+def test_unknown_keys_of_a_newer_release_are_ignored() -> None:
+    text = VALID_TEXT.replace("[[class]]", "color = 1\n[[class]]")
+    assert read_document(text).document == parse_document(VALID_TEXT)
 
 
 @given(st.text(alphabet="[]=\"\n#classrouten_ '{},.0", max_size=80))
-def test_any_text_is_read_or_explained(text: str) -> None:
+def test_any_text_is_parsed_or_reported(text: str) -> None:
     parsed = parse_document(text)
     assert isinstance(parsed, Document) or all(p.line >= 1 for p in parsed)
--- a/tests/config/test_fold.py
+++ b/tests/config/test_fold.py
@@ -1,4 +1,4 @@
-"""The steps of tests/model/config.pml, taken by the code itself."""
+"""The steps of tests/model/config.pml, run with the implementation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from eelgrassmount.blackboard import Blackboard
 from eelgrassmount.config.follower import ConfigFollower
-from eelgrassmount.config.publish import Accepted, Lost, _Publish, make_publish
+from eelgrassmount.config.publish import Accepted, Lost, _PendingPublish, make_publish
 from eelgrassmount.config.record import RecordKind, decode_record, encode_record
 from eelgrassmount.config.rewrite import make_rewrite
 from eelgrassmount.gen.ttypes import ConfigQuestion, Hello, Message
@@ -43,21 +43,21 @@
 
 
 def run(coroutine):
-    """Run a coroutine that never waits."""
+    """Run a coroutine that never blocks."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine blocked")
 
 
 @define
 class SteppedLog:
-    """Gives one record a page, and knows by itself what is in force."""
+    """A log with one record in a page, which computes the version in force itself."""
 
     bodies: list[bytes] = field(factory=list)
     first: int = 0
-    anchor: int = 0
+    resume_point: int = 0
     fault: str = ""
     late: list[bytes] = field(factory=list)
     versions: list[int] = field(factory=lambda: [0])
@@ -69,7 +69,7 @@
             version += 1
             self.texts[version] = record.text
         if record.kind is RecordKind.REWRITE and record.through == len(self.bodies):
-            self.anchor = len(self.bodies)
+            self.resume_point = len(self.bodies)
         self.versions.append(version)
         self.bodies.append(body)
         return len(self.bodies) - 1
@@ -101,19 +101,21 @@
         self.log = SteppedLog()
         self.timers = TimerService(ManualClock(), random.Random(1))
         self.nodes = [self.make_node() for _ in range(NODES)]
-        self.boards = [0] * NODES
-        self.publishes: dict[int, _Publish] = {}
+        self.seen_versions = [0] * NODES
+        self.publishes: dict[int, _PendingPublish] = {}
         self.rewrites: dict[int, bytes] = {}
         self.answers: dict[int, Message] = {}
         self.count = 0
 
     def make_node(self) -> ConfigFollower:
-        board = Blackboard(Identity("a", "d", "r", "i"))
-        return ConfigFollower(board, self.timers, None, self.log, random.Random(1))
+        shared_state = Blackboard(Identity("a", "d", "r", "i"))
+        return ConfigFollower(
+            shared_state, self.timers, None, self.log, random.Random(1)
+        )
 
     @rule(step=STEP, node=NODE, count=st.integers(1, 4), fault=FAULT)
     def take_step(self, step: str, node: int, count: int, fault: str) -> None:
-        # one rule for all steps, so that no run goes without some of them
+        # one rule for all steps: hypothesis disables rules at random in a run
         match step:
             case "read":
                 self.read(node, count)
@@ -141,15 +143,15 @@
             self.count += 1
             text = make_text(f"t{self.count}")
             record = make_publish(fold, str(self.count), fold.version, text)
-            self.publishes[node] = _Publish(record, fold)
+            self.publishes[node] = _PendingPublish(record, fold)
 
     def step_publish(self, node: int, fault: str) -> None:
         if node not in self.publishes:
             return
         publish = self.publishes[node]
         self.log.fault = fault
-        publish_on = self.nodes[node]._publisher._step
-        outcome = run(publish_on(publish))
+        step = self.nodes[node]._publisher._step
+        outcome = run(step(publish))
         self.log.fault = ""
         if outcome is None:
             return
@@ -176,44 +178,44 @@
         if node in self.rewrites:
             self.log.put(self.rewrites.pop(node))
 
-    def answer(self, asker: int, answerer: int) -> None:
-        version = self.nodes[asker].board.configuration.version
+    def answer(self, sender: int, receiver: int) -> None:
+        version = self.nodes[sender].shared_state.configuration.version
         question = Message(config_question=ConfigQuestion(version=version))
-        handler = self.nodes[answerer].handlers()["config_question"]
-        self.answers[asker] = run(handler(Hello(address="b"), question))
+        handler = self.nodes[receiver].handlers()["config_question"]
+        self.answers[sender] = run(handler(Hello(address="b"), question))
 
     def take_answer(self, node: int) -> None:
         if node in self.answers:
             answer = self.answers.pop(node).config_answer
-            self.nodes[node]._exchange._take_answer(answer)
+            self.nodes[node]._exchange._apply_answer(answer)
 
     def is_known_without(self, node: int) -> bool:
-        # steps after which nobody knows the version in force lead nowhere
+        # a state in which no node knows the version in force allows no further steps
         folds = [other.stream.fold for at, other in enumerate(self.nodes) if at != node]
         return any(fold.exact and fold.next >= self.log.first for fold in folds)
 
     def restart(self, node: int) -> None:
-        if self.log.first > self.log.anchor and not self.is_known_without(node):
+        if self.log.first > self.log.resume_point and not self.is_known_without(node):
             return
         self.nodes[node] = self.make_node()
-        self.boards[node] = 0
+        self.seen_versions[node] = 0
         for held in (self.publishes, self.rewrites, self.answers):
             held.pop(node, None)
 
     def drop_oldest(self, count: int) -> None:
-        known = [n.stream.fold.next for n in self.nodes if n.stream.fold.exact]
-        self.log.first = min(self.log.first + count, max([self.log.first, *known]))
+        read = [n.stream.fold.next for n in self.nodes if n.stream.fold.exact]
+        self.log.first = min(self.log.first + count, max([self.log.first, *read]))
 
     def begin_afresh(self) -> None:
-        if self.log.first > self.log.anchor:
+        if self.log.first > self.log.resume_point:
             return
         fresh = self.make_node()
         assert run(fresh.stream.catch_up())
         assert fresh.stream.fold.exact
-        assert fresh.board.configuration.version == self.log.versions[-1]
+        assert fresh.shared_state.configuration.version == self.log.versions[-1]
 
     @invariant()
-    def exact_is_true(self) -> None:
+    def exact_folds_have_the_version_in_force(self) -> None:
         for node in self.nodes:
             fold = node.stream.fold
             if fold.exact:
@@ -221,12 +223,12 @@
                 assert fold.text == self.log.texts[fold.version]
 
     @invariant()
-    def never_down_and_only_accepted(self) -> None:
+    def versions_never_decrease_and_were_accepted(self) -> None:
         for at, node in enumerate(self.nodes):
-            own = node.board.configuration
-            assert own.version >= self.boards[at]
-            assert own.text == self.log.texts[own.version]
-            self.boards[at] = own.version
+            current = node.shared_state.configuration
+            assert current.version >= self.seen_versions[at]
+            assert current.text == self.log.texts[current.version]
+            self.seen_versions[at] = current.version
 
 
 TestConfigMachine = ConfigMachine.TestCase
@@ -235,7 +237,7 @@
 )
 
 
-# what the checker finds when a mistake is seeded in the model, as steps here
+# Counterexamples of the model checker for faults seeded in the model.
 COUNTEREXAMPLES = {
     "trust rewrite": (
         ("publish", 0),
@@ -267,11 +269,11 @@
 
 
 @pytest.mark.parametrize("name", COUNTEREXAMPLES)
-def test_counterexample(name: str) -> None:
+def test_counterexample_of_the_model_holds(name: str) -> None:
     machine = ConfigMachine()
     for step, node in COUNTEREXAMPLES[name]:
         step_name, _, fault = step.partition(" ")
         machine.take_step(step=step_name, node=node, count=2, fault=fault)
-        machine.exact_is_true()
-        machine.never_down_and_only_accepted()
+        machine.exact_folds_have_the_version_in_force()
+        machine.versions_never_decrease_and_were_accepted()
     assert machine.log.versions[-1] > 0
--- a/tests/config/test_follower.py
+++ b/tests/config/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower of the configuration, against a log and nodes in memory."""
+"""Configuration followers of a cluster with an in-memory log and network."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return {node.version for node in cluster.nodes.values()}
 
 
-def test_publish_is_in_force_everywhere_at_once() -> None:
+def test_published_version_is_in_force_on_all_nodes() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         assert await cluster.publish("a-1", "one", 0) == Accepted(1)
@@ -41,7 +41,7 @@
     run_cluster(scenario)
 
 
-def test_of_two_operators_at_once_one_wins() -> None:
+def test_one_of_several_concurrent_publishes_is_accepted() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         done = []
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose", "swallow"])
-def test_lost_answer_is_settled(fault: str) -> None:
+def test_outcome_is_determined_after_lost_answers(fault: str) -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         setattr(cluster.log, fault, 2)
@@ -75,7 +75,7 @@
     run_cluster(scenario)
 
 
-def test_log_out() -> None:
+def test_nodes_follow_and_publishes_fail_while_the_log_is_down() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         await cluster.publish("a-1", "one", 0)
@@ -83,7 +83,7 @@
         cluster.log.down = True
         await cluster.advance(6.0)
         readers = [n for n in cluster.nodes.values() if n.follower.tails_log]
-        assert not any(node.board.log_reachable for node in readers)
+        assert not any(node.shared_state.log_reachable for node in readers)
         assert versions(cluster) == {1}
         outcome = await cluster.publish("a-1", "two", 1)
         assert isinstance(outcome, Unknown)
@@ -99,27 +99,27 @@
     run_cluster(scenario)
 
 
-def test_domain_cut_from_platform_follows_by_peers() -> None:
+def test_domain_without_the_log_gets_versions_from_peers() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         for address, node in cluster.nodes.items():
-            node.log.cut = address.startswith("c")
+            node.log.disconnected = address.startswith("c")
         assert await cluster.publish("a-1", "one", 0) == Accepted(1)
         await cluster.advance(1.0)
         assert versions(cluster) == {1}
-        cluster.cut = {"c"}
+        cluster.disconnected_domains = {"c"}
         assert await cluster.publish("a-1", "two", 1) == Accepted(2)
         await cluster.advance(10.0)
         assert {cluster.nodes[a].version for a in ALL if a[0] == "c"} == {1}
-        assert not cluster.nodes["c-0"].board.log_reachable
-        cluster.cut = set()
+        assert not cluster.nodes["c-0"].shared_state.log_reachable
+        cluster.disconnected_domains = set()
         await cluster.advance(4.0)
         assert versions(cluster) == {2}
 
     run_cluster(scenario)
 
 
-def test_all_restart_at_once_with_old_records_dropped() -> None:
+def test_version_survives_a_restart_of_all_nodes_with_old_records_dropped() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         for number in range(5):
@@ -135,7 +135,7 @@
     run_cluster(scenario)
 
 
-def test_stale_rewrite_does_not_win() -> None:
+def test_stale_rewrite_does_not_restore_an_old_version() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         await cluster.publish("a-1", "one", 0)
@@ -153,13 +153,13 @@
     run_cluster(scenario)
 
 
-def test_history_lost_altogether_is_restored_by_the_next_publish() -> None:
+def test_publish_restores_a_history_that_the_log_lost() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         await cluster.publish("a-1", "one", 0)
         await cluster.advance(1.0)
         cluster.log.down = True
-        # appended by somebody who was never heard of again
+        # malformed records, which every reader skips
         cluster.log.bodies += [b"{}"] * 3
         cluster.log.drop(cluster.log.next)
         cluster.log.down = False
@@ -179,7 +179,7 @@
     run_cluster(scenario)
 
 
-def test_few_rewrites_and_none_at_version_0() -> None:
+def test_rewrites_are_few_and_absent_at_version_0() -> None:
     async def scenario(cluster: Cluster) -> None:
         await start_all(cluster)
         await cluster.advance(200.0)
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_faults_never_revert(seed: int) -> None:
+def test_random_faults_never_revert_a_version(seed: int) -> None:
     rng = random.Random(seed)
 
     async def scenario(cluster: Cluster) -> None:
@@ -202,9 +202,11 @@
             fault = rng.randrange(7)
             cluster.log.down = fault == 0
             cluster.log.lose = rng.randrange(2)
-            cluster.cut = {rng.choice(DOMAINS)} if fault == 1 else set()
+            cluster.disconnected_domains = (
+                {rng.choice(DOMAINS)} if fault == 1 else set()
+            )
             for address, node in cluster.nodes.items():
-                node.log.cut = fault == 2 and address.startswith("b")
+                node.log.disconnected = fault == 2 and address.startswith("b")
             if fault == 3:
                 address = rng.choice(sorted(cluster.nodes))
                 cluster.stop(address)
@@ -218,9 +220,9 @@
                 assert outcome.version > accepted
                 accepted = outcome.version
             await cluster.advance(rng.choice([0.1, 2.0]))
-        cluster.log.down, cluster.cut = False, set()
+        cluster.log.down, cluster.disconnected_domains = False, set()
         for node in cluster.nodes.values():
-            node.log.cut = False
+            node.log.disconnected = False
         await cluster.advance(10.0)
         assert len(versions(cluster)) == 1
         assert versions(cluster).pop() >= accepted > 10
@@ -228,17 +230,17 @@
     run_cluster(scenario)
 
 
-def test_gossip_of_a_newer_version_is_fetched() -> None:
+def test_newer_version_announced_by_gossip_is_fetched() -> None:
     async def scenario(cluster: Cluster) -> None:
         await cluster.start("a-0")
         await cluster.publish("a-0", "one", 0)
         cluster.log.down = True
-        cluster.cut = {"b"}
+        cluster.disconnected_domains = {"b"}
         node = await cluster.start("b-0")
         node.follower.record_announced_version("a-0", 1)
         await cluster.settle()
         assert node.version == 0
-        cluster.cut = set()
+        cluster.disconnected_domains = set()
         node.follower.record_announced_version("a-0", 1)
         await cluster.settle()
         assert node.version == 1
--- a/tests/config/test_readers.py
+++ b/tests/config/test_readers.py
@@ -1,4 +1,4 @@
-"""Who tails the log, and when the version in force is written again."""
+"""Choice of the nodes that tail the log, and rewrites of the version in force."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from eelgrassmount.config.readers import READERS_PER_DOMAIN, is_reader
 from eelgrassmount.config.record import decode_record
 from eelgrassmount.config.rewrite import is_rewrite_due
-from eelgrassmount.config.stream import Anchor
+from eelgrassmount.config.stream import ResumePoint
 
 
 def find_readers(live: list[str], epoch: int) -> set[str]:
     return {address for address in live if is_reader(address, live, epoch)}
 
 
-def test_few_read_and_the_next_in_rank_take_over() -> None:
+def test_few_nodes_read_and_the_next_in_rank_replace_them() -> None:
     live = [f"10.0.0.{number}:1" for number in range(100)]
     lasting = find_readers(live, 0) & find_readers(live, 1) & find_readers(live, 2)
     assert len(lasting) == READERS_PER_DOMAIN
@@ -34,22 +34,24 @@
 
 
 @pytest.mark.parametrize(
-    ("fold", "anchor", "now_s", "due"),
+    ("fold", "resume_point", "now_s", "due"),
     [
-        (FOLD, Anchor(), 59.0, False),
-        (FOLD, Anchor(), 60.0, True),
-        (Fold(), Anchor(), 60.0, False),
-        (Fold(exact=False, version=3), Anchor(), 60.0, False),
-        (FOLD, Anchor(5, 50.0, 0, 100), 60.0, False),
-        (FOLD, Anchor(5, 50.0, 0, 100), 110.0, True),
-        (FOLD, Anchor(5, 50.0, 2, 100), 60.0, True),
-        (FOLD, Anchor(60, 50.0, 2, 100), 60.0, False),
-        (FOLD, Anchor(9, 50.0, 9, 10), 60.0, False),
-        (FOLD, Anchor(-1, 0.0, 2, 10), 1.0, True),
+        (FOLD, ResumePoint(), 59.0, False),
+        (FOLD, ResumePoint(), 60.0, True),
+        (Fold(), ResumePoint(), 60.0, False),
+        (Fold(exact=False, version=3), ResumePoint(), 60.0, False),
+        (FOLD, ResumePoint(5, 50.0, 0, 100), 60.0, False),
+        (FOLD, ResumePoint(5, 50.0, 0, 100), 110.0, True),
+        (FOLD, ResumePoint(5, 50.0, 2, 100), 60.0, True),
+        (FOLD, ResumePoint(60, 50.0, 2, 100), 60.0, False),
+        (FOLD, ResumePoint(9, 50.0, 9, 10), 60.0, False),
+        (FOLD, ResumePoint(-1, 0.0, 2, 10), 1.0, True),
     ],
 )
-def test_rewrite_is_due(fold: Fold, anchor: Anchor, now_s: float, due: bool) -> None:
-    assert is_rewrite_due(fold, anchor, now_s, 0.0, 60.0) is due
+def test_rewrite_is_due_by_time_or_position(
+    fold: Fold, resume_point: ResumePoint, now_s: float, due: bool
+) -> None:
+    assert is_rewrite_due(fold, resume_point, now_s, 0.0, 60.0) is due
 
 
 @pytest.mark.parametrize(
@@ -60,5 +62,5 @@
         for x in (b"-1", b"1.5", b'"1"', b"true", b"null")
     ],
 )
-def test_what_is_no_record_is_passed_over(body: bytes) -> None:
+def test_malformed_records_are_ignored(body: bytes) -> None:
     assert decode_record(body) is None
