--- a/eelgrassmount/config/exchange.py
+++ b/eelgrassmount/config/exchange.py
@@ -63,7 +63,7 @@
             self.tasks.start_soon(self._fetch_announced)
 
     def announce(self, to_other_domains: bool) -> None:
-        """Send the version in force to a few nodes at once."""
+        """Announce the version in force to a few nodes at once."""
         targets = self._choose_members(MAX_ANNOUNCED_PEERS)
         if to_other_domains:
             targets += self._choose_remote()
@@ -123,10 +123,10 @@
         return address
 
     async def _answer(self, sender: Hello, message: Message) -> Message:
-        requested_version = message.config_question.version or 0
-        self.record_announced(sender.address, requested_version)
+        sender_version = message.config_question.version or 0
+        self.record_announced(sender.address, sender_version)
         local = self._configuration
-        body = local.text.encode() if local.version > requested_version else b""
+        body = local.text.encode() if local.version > sender_version else b""
         answer = ConfigAnswer(
             version=local.version, body=body, offset=self._find_offset(local)
         )
--- a/eelgrassmount/config/fold.py
+++ b/eelgrassmount/config/fold.py
@@ -94,10 +94,11 @@
 
 
 def resume_fold(fold: Fold, version: int, text: str, through: int) -> FoldResult:
-    """Make a fold exact with the version in force at ``through``.
+    """Return a fold that resumes from the version in force at ``through``.
 
     The version must come from an exact fold that has applied all records before
-    ``through``. It is ignored if this reader lacks some of the records after it.
+    ``through``. A fold that has read past ``through`` ignores it if it is exact or
+    lacks some of the records from there on.
     """
     if through >= fold.next:
         return FoldResult(Fold(through, through, True, version, text))
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -49,8 +49,8 @@
     """How soon a change must reach the other failure domains.
 
     A change is urgent if a published address no longer serves, or if a service
-    without servers has one again. Other changes of the servers come next,
-    changes of load last.
+    without servers gets one. Other changes of the servers come next, changes of
+    load last.
     """
 
     URGENT = 0
--- a/eelgrassmount/members/detector.py
+++ b/eelgrassmount/members/detector.py
@@ -43,8 +43,8 @@
     since a node whose probes of several members fail may be at fault itself.
     """
     usual_s = round_trip.mean_s + _TIMEOUT_DEVIATIONS * round_trip.deviation_s
-    min_timeout_s = max(timing.min_probe_timeout_s, usual_s) * (1 + health_score)
-    return min(timing.max_probe_timeout_s, min_timeout_s)
+    timeout_s = max(timing.min_probe_timeout_s, usual_s) * (1 + health_score)
+    return min(timing.max_probe_timeout_s, timeout_s)
 
 
 @define
--- a/eelgrassmount/members/roster.py
+++ b/eelgrassmount/members/roster.py
@@ -158,7 +158,7 @@
     def record_contact(self, address: str, now_s: float) -> None:
         """Record that a message came directly from a member.
 
-        This does not change `Member.heard_s`, which is the age of the report.
+        This does not change `Member.heard_s`, the time of the last report.
         """
         if address in self.table.members:
             self.last_contact_s[address] = now_s
@@ -258,8 +258,8 @@
         """Remove silent failure domains' summaries from the table."""
         stale = [
             domain
-            for domain, heard_s in self.domain_last_contact_s.items()
-            if now_s - heard_s > self.timing.domain_timeout_s
+            for domain, contact_s in self.domain_last_contact_s.items()
+            if now_s - contact_s > self.timing.domain_timeout_s
         ]
         for domain in stale:
             del self.domain_last_contact_s[domain]
@@ -274,9 +274,9 @@
         self.domain_digests[key.failure_domain] = digest ^ change
 
     def _record_domain_contact(self, domain: str, now_s: float) -> None:
-        back = domain not in self.domain_last_contact_s
+        was_silent = domain not in self.domain_last_contact_s
         self.domain_last_contact_s[domain] = now_s
-        if not back:
+        if not was_silent:
             return
         for key, summary in self.summaries.items():
             if key.failure_domain == domain:
--- a/eelgrassmount/members/rounds.py
+++ b/eelgrassmount/members/rounds.py
@@ -244,7 +244,7 @@
         return self.roster.last_contact_s.get(address, -math.inf) > started_s
 
     async def _notify_suspect(self, address: str) -> None:
-        """Send a suspect the suspicion, so that it can refute it."""
+        """Send a suspect or dead member the report about it, so that it can refute."""
         gossip = exchange.build_updates(self.roster, [MemberKey(address)])
         gossip.digest = self.roster.digest.total
         await self.request(address, gossip, self.roster.timing.request_timeout_s)
--- a/tests/matrix/node.py
+++ b/tests/matrix/node.py
@@ -127,7 +127,7 @@
 
 def drop_silence() -> None:
     """Never find that a link has gone silent."""
-    Link.watch = lambda self, silence_s: False
+    Link.watch = lambda self, silence_timeout_s: False
 
 
 def drop_budget() -> None:
