--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -1,4 +1,4 @@
-"""Admission of root requests, in front of the dispatcher."""
+"""Admission of root requests before dispatch."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.port import Runner
     from eelgrassmount.load.control import LoadControl
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
 
 
 @define(eq=False)
-class AdmittingRunner:
-    """Refuses a root request at once that would be refused in its chain.
+class AdmissionRunner:
+    """Applies admission control to root requests before they are dispatched.
 
-    It stands at the entry for idempotent requests and at the owner of the key
-    for all others, which runs a key only if it has no outcome yet.
+    The entry node admits idempotent requests. Others are admitted by the owner of their
+    key, which runs a request only if the key has no outcome yet.
     """
 
-    board: Blackboard
+    board: SharedNodeState
     control: LoadControl
     run: Runner
 
@@ -45,11 +45,11 @@
 
 
 @define(eq=False)
-class OwnedRunner:
-    """Runs calls for the owner of their keys, which keeps the outcome.
+class KeyOwnerRunner:
+    """Runs calls for the owner of their keys, which stores the outcome.
 
-    The loads on the outcome serve this node; kept with a key they would be
-    stale when the outcome is given again.
+    Loads are removed from the outcome, since they would be stale when a stored outcome
+    is returned for a retry.
     """
 
     control: LoadControl
@@ -59,6 +59,6 @@
         """Run a call and return its outcome without loads."""
         outcome = await self.run(call)
         if isinstance(outcome.verdict, Answered):
-            touched = {load.service for load in outcome.loads}
-            self.control.exchange.learn(call.context.class_name, touched)
+            used_services = {load.service for load in outcome.loads}
+            self.control.exchange.learn(call.context.class_name, used_services)
         return evolve(outcome, loads=())
--- a/eelgrassmount/calls/dispatch.py
+++ b/eelgrassmount/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Running a call on some node of its service, with bounded retries."""
+"""Dispatch of calls to the nodes of their service, with bounded retries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 from eelgrassmount.calls.request import Call, Outcome
 from eelgrassmount.retry.decisions import choose_retry
-from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason, weaken_verdict
+from eelgrassmount.verdict import (
+    Answered,
+    MayHaveRun,
+    NotRun,
+    Reason,
+    downgrade_verdict,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +23,7 @@
     from eelgrassmount.calls.remote import RemoteRunner
     from eelgrassmount.load.control import LoadControl
     from eelgrassmount.metrics import Metrics, RetryReason
-    from eelgrassmount.retry.budget import RetryRatio
+    from eelgrassmount.retry.budget import RetryBudget
     from eelgrassmount.retry.exchange import QuarantineExchange
     from eelgrassmount.timers import TimerService
 
@@ -28,12 +34,12 @@
 class Dispatcher:
     """Chooses a node for a call and retries within the request's budget."""
 
-    own_address: str
+    local_address: str
     timers: TimerService
     control: LoadControl
     local: LocalRunner
     remote: RemoteRunner
-    ratio: RetryRatio
+    retry_budget: RetryBudget
     quarantine: QuarantineExchange
     metrics: Metrics
     make_id: Callable[[], str]
@@ -41,10 +47,10 @@
     async def run(self, call: Call) -> Outcome:
         """Run a call and return its outcome.
 
-        Every sending has a call id of its own. Once a sending may have run,
-        the final verdict is never *not run*.
+        Every attempt has its own call id. Once an attempt may have run, the final
+        verdict is never *not run*.
         """
-        self.ratio.note_first()
+        self.retry_budget.record_first_attempt()
         excluded: set[str] = set()
         may_have_run = False
         outcome = Outcome(NotRun(Reason.NO_SERVER), call.context.attempts_left)
@@ -55,7 +61,7 @@
         while address is not None:
             outcome = await self._attempt(address, call, outcome.attempts_left)
             may_have_run |= isinstance(outcome.verdict, MayHaveRun)
-            # a connection that went silent says nothing against its server
+            # A silent connection does not mean a faulty server: it may be tried again.
             if outcome.verdict != SERVER_SILENT:
                 excluded.add(address)
             reason = self._find_retry_reason(call, outcome, excluded)
@@ -65,7 +71,7 @@
             if address is not None:
                 self.metrics.retries.labels(reason).inc()
                 outcome = evolve(outcome, attempts_left=outcome.attempts_left - 1)
-        return evolve(outcome, verdict=weaken_verdict(outcome.verdict, may_have_run))
+        return evolve(outcome, verdict=downgrade_verdict(outcome.verdict, may_have_run))
 
     def _check(self, call: Call) -> NotRun | None:
         return self.quarantine.check(call.context.digest)
@@ -81,11 +87,11 @@
         started_s = self.timers.read()
         outcome = Outcome(MayHaveRun(Reason.CANCELLED))
         try:
-            if address == self.own_address:
+            if address == self.local_address:
                 outcome = await self.local.run(attempt)
             else:
                 outcome = await self.remote.run(address, attempt)
-                self._note_fate(attempt, outcome)
+                self._record_outcome(attempt, outcome)
         finally:
             self.control.record_end(
                 address,
@@ -96,27 +102,29 @@
             )
         return outcome
 
-    def _note_fate(self, attempt: Call, outcome: Outcome) -> None:
+    def _record_outcome(self, attempt: Call, outcome: Outcome) -> None:
         context = attempt.context
         match outcome.verdict:
             case Answered():
-                self.quarantine.note_success(context.digest)
+                self.quarantine.record_success(context.digest)
             case MayHaveRun(Reason.SERVER_CRASHED):
-                self.quarantine.note_crash(context.digest, context.call_id)
+                self.quarantine.record_crash(context.digest, context.call_id)
 
     def _find_retry_reason(
         self, call: Call, outcome: Outcome, excluded: set[str]
     ) -> RetryReason | None:
-        """Return why to send once more, ``None`` when that is not allowed."""
+        """Return the reason for a retry, or ``None`` if the call may not be retried."""
         context = call.context
         if outcome.attempts_left < 1:
             return None
-        if context.measure_remaining(self.timers.read()) <= 0:
+        if context.compute_remaining_s(self.timers.read()) <= 0:
             return None
         if self._check(call) is not None:
             return None
-        room_elsewhere = self.control.has_room(context, call.request.service, excluded)
-        reason = choose_retry(outcome.verdict, context, room_elsewhere)
-        if reason is None or not self.ratio.take(self.timers.read()):
+        has_other_server = self.control.has_room(
+            context, call.request.service, excluded
+        )
+        reason = choose_retry(outcome.verdict, context, has_other_server)
+        if reason is None or not self.retry_budget.try_spend(self.timers.read()):
             return None
         return reason
--- a/eelgrassmount/calls/ingress.py
+++ b/eelgrassmount/calls/ingress.py
@@ -1,4 +1,4 @@
-"""Requests of callers."""
+"""Handling of requests from callers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from eelgrassmount.config.classes import WorkClass, find_class
 from eelgrassmount.context import Context, compute_digest
 from eelgrassmount.edge import headers as names
-from eelgrassmount.edge.headers import find_header, read_whole_number
+from eelgrassmount.edge.headers import find_header, parse_positive_integer
 from eelgrassmount.metrics import record_call
-from eelgrassmount.retry.budget import EXTRA_ATTEMPTS
+from eelgrassmount.retry.budget import MAX_EXTRA_ATTEMPTS
 from eelgrassmount.verdict import (
     Answered,
     MayHaveRun,
     NotRun,
     Reason,
     Verdict,
-    name_verdict,
+    get_verdict_name,
 )
 
 if TYPE_CHECKING:
@@ -30,19 +30,19 @@
     from eelgrassmount.keys.port import KeyPort, Runner
     from eelgrassmount.load.control import LoadControl
     from eelgrassmount.metrics import Metrics
-    from eelgrassmount.shared_node_state import Blackboard
+    from eelgrassmount.shared_node_state import SharedNodeState
     from eelgrassmount.timers import TimerService
 
-# unreserved characters of RFC 3986, with an optional failure domain in front
+# Unreserved characters of RFC 3986, after an optional failure domain.
 _KEY_PATTERN = re.compile(r"([A-Za-z0-9._-]{1,63}:)?[A-Za-z0-9._~-]{1,128}")
 MAX_TIMEOUT_MS = 600_000
-# how long after its deadline a caller is answered at the latest
-GRACE_S = 0.1
+# Maximum delay of an answer beyond the request's deadline.
+ANSWER_GRACE_S = 0.1
 
 
 @frozen
 class Reply:
-    """What a caller is told: the verdict and what goes along with it."""
+    """The verdict on a caller's request, its root id and a key for the next request."""
 
     verdict: Verdict
     root_id: str
@@ -50,10 +50,10 @@
 
 
 @define(eq=False)
-class Entry:
-    """Takes requests of callers: class, deadline, admission, key."""
+class Ingress:
+    """Classifies callers' requests, sets their deadlines and runs them."""
 
-    board: Blackboard
+    board: SharedNodeState
     timers: TimerService
     run: Runner
     keys: KeyPort
@@ -62,31 +62,31 @@
     make_id: Callable[[], str]
 
     async def handle(self, request: Request) -> Reply:
-        """Return the final word on a caller's request."""
+        """Run a caller's request and return its reply."""
         root_id = self.make_id()
         started_s = self.timers.read()
         work_class = find_class(
             self.board.configuration.document, request.method, request.path
         )
         if work_class is None:
-            verdict = _refuse(self._explain_no_class(), request)
+            verdict = _refuse(self._find_refusal_reason(), request)
         else:
             outcome = await self._run_class(request, work_class, root_id)
             verdict = outcome.verdict
-            self._note_outcome(work_class, outcome, self.timers.read() - started_s)
+            self._record_outcome(work_class, outcome, self.timers.read() - started_s)
         return Reply(verdict, root_id, self.keys.mint())
 
-    def _note_outcome(
+    def _record_outcome(
         self, work_class: WorkClass, outcome: Outcome, seconds: float
     ) -> None:
         answered = isinstance(outcome.verdict, Answered)
-        complete = answered and seconds * 1000 <= work_class.within_ms
-        touched = {load.service for load in outcome.loads}
-        self.control.record_request(work_class.name, complete, touched)
-        verdict_name = name_verdict(outcome.verdict)
+        in_time = answered and seconds * 1000 <= work_class.within_ms
+        used_services = {load.service for load in outcome.loads}
+        self.control.record_request(work_class.name, in_time, used_services)
+        verdict_name = get_verdict_name(outcome.verdict)
         record_call(self.metrics, work_class.name, verdict_name, seconds)
 
-    def _explain_no_class(self) -> Reason:
+    def _find_refusal_reason(self) -> Reason:
         if self.board.configuration.version == 0:
             return Reason.NO_CONFIGURATION
         return Reason.NO_ROUTE
@@ -105,16 +105,17 @@
         return await self._run_until_deadline(Call(context, request))
 
     async def _run_until_deadline(self, call: Call) -> Outcome:
-        """Run a call; a caller is answered in time whatever is waited for.
+        """Run a call; answer the caller in time even if a component does not respond.
 
-        The parts on the way keep the deadline themselves, and know more of
-        the fate of the call than is known here.
+        Other components enforce the deadline too and know more about the outcome, so
+        they get ``ANSWER_GRACE_S`` to report it first.
         """
-        limit_s = call.context.measure_remaining(self.timers.read()) + GRACE_S
+        timeout_s = (
+            call.context.compute_remaining_s(self.timers.read()) + ANSWER_GRACE_S
+        )
         outcome = Outcome(MayHaveRun(Reason.DEADLINE))
-        with anyio.move_on_after(limit_s):
-            # admission of a keyed call is up to the owner of its key, which
-            # knows whether the answer is there already
+        with anyio.move_on_after(timeout_s):
+            # The owner of a key admits the call, since it may have a stored answer.
             run = self.run if call.context.idempotent else self.keys.run
             outcome = await run(call)
         return outcome
@@ -122,7 +123,7 @@
     def _make_context(
         self, request: Request, work_class: WorkClass, root_id: str, key: str
     ) -> Context:
-        timeout_ms = read_whole_number(request.headers, names.TIMEOUT_MS)
+        timeout_ms = parse_positive_integer(request.headers, names.TIMEOUT_MS)
         if timeout_ms is None:
             timeout_ms = work_class.within_ms
         timeout_ms = min(timeout_ms, MAX_TIMEOUT_MS)
@@ -132,7 +133,7 @@
             parent_id="",
             class_name=work_class.name,
             deadline_s=self.timers.read() + timeout_ms / 1000,
-            attempts_left=EXTRA_ATTEMPTS,
+            attempts_left=MAX_EXTRA_ATTEMPTS,
             tier=work_class.tier,
             priority=self.control.prioritize(work_class, root_id),
             depth=0,
@@ -143,10 +144,10 @@
 
 
 def _refuse(reason: Reason, request: Request) -> NotRun | MayHaveRun:
-    """Refuse a request that this node can't place.
+    """Refuse a request that this node can't classify.
 
-    This sending ran nowhere, but with a key an earlier sending of the same
-    request may have, through a node that could place it.
+    This attempt did not run, but an earlier attempt with the same key may have run
+    through another node.
     """
     if find_header(request.headers, names.IDEMPOTENCY_KEY) is None:
         return NotRun(reason)
--- a/eelgrassmount/metered_log.py
+++ b/eelgrassmount/metered_log.py
@@ -1,4 +1,4 @@
-"""A log that counts what is asked of it."""
+"""Metrics of the calls to the log."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from eelgrassmount.metrics import LogError
 
 if TYPE_CHECKING:
-    from eelgrassmount.log_service import Appended, LogPort, Page
+    from eelgrassmount.log_service import Appended, LogService, Page
     from eelgrassmount.metrics import Metrics
 
 
 @define(eq=False)
 class MeteredLog:
-    """Passes everything on to ``log`` and counts appends and failures."""
+    """Forwards calls to ``log`` and counts appends and failures."""
 
-    log: LogPort
+    log: LogService
     metrics: Metrics
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
         """Append one record."""
         self.metrics.log_appends.labels(stream).inc()
         result = await self.log.append(stream, body)
-        self._note(result)
+        self._count_failure(result)
         return result
 
     async def read(
@@ -33,10 +33,10 @@
     ) -> Page | LogFailure:
         """Read records from ``offset`` on, waiting up to ``wait_s`` for one."""
         result = await self.log.read(stream, offset, limit, wait_s)
-        self._note(result)
+        self._count_failure(result)
         return result
 
-    def _note(self, result: Appended | Page | LogFailure) -> None:
+    def _count_failure(self, result: Appended | Page | LogFailure) -> None:
         if not isinstance(result, LogFailure):
             return
         kind = LogError.TIMEOUT if result.sent else LogError.UNREACHABLE
--- a/eelgrassmount/topics/log_epoch.py
+++ b/eelgrassmount/topics/log_epoch.py
@@ -1,4 +1,4 @@
-"""Which copy of the log an answer or an offset belongs to."""
+"""Tracks the epoch of the log, which tells copies of the log apart."""
 
 from __future__ import annotations
 
@@ -10,61 +10,60 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# stands for an era that is not known
-UNKNOWN_ERA = -1
+UNKNOWN_EPOCH = -1
 
 
 @define(eq=False)
-class EraWatch:
-    """Knows the era of the log: how often it has come back from an older copy.
+class EpochTracker:
+    """Tracks the epoch of the log: the number of restorations from an older copy.
 
-    Records that were written since that copy was made are gone then, and offsets are
-    given out again, so that an offset means something only with its era. ``on_rise``
-    is called when a later one is found, in whatever answer and by whatever node. Eras
-    that are missing or fall change nothing: they come from somebody else's programs.
+    A restoration drops the records written after the copy was made and assigns their
+    offsets again, so an offset is valid only within its epoch. ``on_advance`` callbacks
+    run when an answer or a peer reveals a later epoch. Missing or lower epochs change
+    nothing, since they come from other programs that write to the log.
     """
 
-    current: int = UNKNOWN_ERA
-    on_rise: list[Callable[[], None]] = field(factory=list)
-    _told: set[str] = field(factory=set)
+    current: int = UNKNOWN_EPOCH
+    on_advance: list[Callable[[], None]] = field(factory=list)
+    _warned_causes: set[str] = field(factory=set)
 
-    def note_answer(self, era: int, asked_in: int) -> bool:
-        """Take up the era of an answer; tell whether the answer can be used.
+    def check_answer(self, epoch: int, request_epoch: int) -> bool:
+        """Apply the epoch of an answer, and return whether the answer is valid.
 
-        ``asked_in`` is the era that was known when the question went out.
+        ``request_epoch`` is the epoch that was known when the request was sent.
         """
-        if era == UNKNOWN_ERA:
-            if self.current != UNKNOWN_ERA:
-                self._tell_once("missing", era)
+        if epoch == UNKNOWN_EPOCH:
+            if self.current != UNKNOWN_EPOCH:
+                self._warn_once("missing", epoch)
             return True
-        if era > self.current:
-            return not self.note_heard(era)
-        if era < self.current and asked_in != self.current:
-            # the answer was on its way as the log came back
+        if epoch > self.current:
+            return not self.advance_to(epoch)
+        if epoch < self.current and request_epoch != self.current:
+            # The log was restored while the answer was on its way.
             return False
-        if era < self.current:
-            self._tell_once("fallen", era)
+        if epoch < self.current:
+            self._warn_once("fallen", epoch)
         return True
 
-    def note_heard(self, era: int) -> bool:
-        """Take up the era that another node knows; tell whether it rose for this one.
+    def advance_to(self, epoch: int) -> bool:
+        """Adopt a later epoch from an answer or a peer, and return whether it advanced.
 
-        The first one that is known is no rise: nothing was read in one before.
+        The first known epoch is no advance, as no offsets of an earlier one are in use.
         """
-        if era <= self.current:
+        if epoch <= self.current:
             return False
-        before = self.current
-        self.current = era
-        if before == UNKNOWN_ERA:
+        previous = self.current
+        self.current = epoch
+        if previous == UNKNOWN_EPOCH:
             return False
-        logger.warning("log came back older", era=era, before=before)
-        for notify in self.on_rise:
+        logger.warning("log restored from an older copy", era=epoch, before=previous)
+        for notify in self.on_advance:
             notify()
         return True
 
-    def _tell_once(self, cause: str, era: int) -> None:
-        if cause not in self._told:
-            self._told.add(cause)
+    def _warn_once(self, cause: str, epoch: int) -> None:
+        if cause not in self._warned_causes:
+            self._warned_causes.add(cause)
             logger.warning(
-                "era of the log not taken up", cause=cause, era=era, known=self.current
+                "era of the log ignored", cause=cause, era=epoch, known=self.current
             )
--- a/tests/calls/test_ingress.py
+++ b/tests/calls/test_ingress.py
@@ -1,11 +1,11 @@
-"""What callers are told when a request can't be placed."""
+"""Verdicts on requests that a node can't classify."""
 
 from __future__ import annotations
 
 import pytest
 from attrs import define
 
-from eelgrassmount.calls.ingress import Entry
+from eelgrassmount.calls.ingress import Ingress
 from eelgrassmount.calls.request import Call, Outcome, Request
 from eelgrassmount.config.classes import (
     Configuration,
@@ -28,7 +28,7 @@
 
 @define
 class FakeKeys:
-    """Answers every keyed call at once."""
+    """Answers every keyed call immediately."""
 
     async def run(self, call: Call) -> Outcome:
         return Outcome(ANSWER)
@@ -37,12 +37,12 @@
         return "em1~next"
 
 
-def make_entry(configured: bool = True) -> Entry:
+def make_ingress(configured: bool = True) -> Ingress:
     board = make_board()
     if configured:
         board.configuration = Configuration(1, Document((BOOKING,), ("bowbazar",)))
     timers = make_timers()
-    return Entry(
+    return Ingress(
         board=board,
         timers=timers,
         run=FakeKeys().run,
@@ -66,7 +66,7 @@
         ),
         (True, "/jobdesk/other", (), NotRun(Reason.NO_ROUTE)),
         (False, "/jobdesk/bookings", (), NotRun(Reason.NO_CONFIGURATION)),
-        # an earlier sending of the key may have run through another node
+        # An earlier attempt with the key may have run through another node.
         (True, "/jobdesk/other", (KEY,), MayHaveRun(Reason.NO_ROUTE)),
         (False, "/jobdesk/bookings", (KEY,), MayHaveRun(Reason.NO_CONFIGURATION)),
         (
@@ -77,10 +77,10 @@
         ),
     ],
 )
-async def test_refusals_speak_for_the_key(
+async def test_refusals_cover_earlier_attempts_with_the_key(
     configured: bool, path: str, headers: tuple[Header, ...], expected: Verdict
 ) -> None:
     request = Request("jobdesk", "POST", path, headers, b"{}")
-    reply = await make_entry(configured).handle(request)
+    reply = await make_ingress(configured).handle(request)
     assert reply.verdict == expected
     assert reply.next_key == "em1~next"
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -1,4 +1,4 @@
-"""Records of the log by other writers, through a node and its followers."""
+"""Invalid records of other writers on the log, applied by a node and its followers."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     return [(one.name, one.address, one.service) for one in found]
 
 
-BAD_NODES = [
+INVALID_NODES = [
     StoredRecord("n2", b"\xff\xfe"),
     StoredRecord("n2", b"{}"),
     StoredRecord("n2", b"\x00"),
@@ -64,16 +64,15 @@
     make_record(service_name="x" * 70_000),
     make_record(failure_domain=None),
     make_record(name="", key="n2"),
-    # a record under the key of another node is not that node's
+    # A record under the key of another node is invalid.
     make_record(name="n3", key="n2"),
     make_record(name="n2", key="n3"),
 ]
 
 
-# Another writer's record of a node came without a name or an address, and the node
-# entered a member called None; a link to an address that is none ended a timer's step.
-@pytest.mark.parametrize("record", BAD_NODES, ids=lambda one: repr(one)[:60])
-def test_bad_record_of_a_node_leaves_the_others_and_what_was_known(node, record):
+# Guards against members without a name or address, which would break timers and links.
+@pytest.mark.parametrize("record", INVALID_NODES, ids=lambda one: repr(one)[:60])
+def test_invalid_node_record_changes_no_other_member(node, record):
     node.take_nodes((make_record(),))
     before = list_members(node)
     node.take_nodes((record, make_record("n4")))
@@ -83,9 +82,8 @@
     assert node.found_nodes
 
 
-# A record with an empty value drops a key; one for the node's own name made it forget
-# itself, so that it no longer gave its own server any work.
-def test_nobody_drops_the_node_itself(node):
+# Guards against a node that deletes itself and gives its backend server no more work.
+def test_no_record_removes_the_local_node(node):
     before = list_members(node)
     node.take_nodes((StoredRecord(SETTINGS.name, b""),))
     node.take_nodes((make_record(SETTINGS.name, address="127.0.0.9:1"),))
@@ -99,7 +97,7 @@
     node.take_nodes(tuple(records))
     assert len(node.beliefs.members.by_name) == members.MAX_MEMBERS
     assert node.refused.totals == {"node-record": 51}
-    # those that are known may still change and leave
+    # Known members may still change and leave.
     node.take_nodes((make_record("n1", address="127.0.0.3:7620"),))
     assert node.beliefs.members.by_name["n1"].address == "127.0.0.3:7620"
     node.take_nodes((StoredRecord("n1", b""), make_record("n-late")))
@@ -121,7 +119,7 @@
     ],
     ids=lambda one: repr(one.value)[:60],
 )
-def test_bad_record_of_learned_calls_changes_nothing(node, record):
+def test_invalid_record_of_learned_calls_changes_nothing(node, record):
     node.take_nodes((make_learned(("shop/a/", "shop/b/", 2.0)),))
     assert node.beliefs.graph.calls_per_run == CALLS
     node.take_nodes((record, make_record()))
@@ -166,7 +164,7 @@
     ],
     ids=lambda one: repr(one[:20]) + repr(one[-40:]),
 )
-def test_bad_configuration_leaves_the_one_in_force(node, document):
+def test_invalid_configuration_leaves_the_present_one(node, document):
     node.take_configuration((StoredRecord(CONFIGURATION_KEY, make_document(3, LIST)),))
     table = node.beliefs.table
     assert table.version == 3
@@ -178,7 +176,7 @@
 
 
 class ScriptedLog:
-    """A log that gives batches and then stays silent."""
+    """A log that returns batches of records and then blocks."""
 
     def __init__(self, *batches: tuple[StoredRecord, ...]):
         self.batches = list(batches)
@@ -192,34 +190,34 @@
         return Batch(self.batches.pop(0), offset + 1)
 
 
-# An exception for one record ended the follower, and with it the node.
-def test_follower_goes_on_after_a_record_that_cannot_be_taken():
-    taken = []
+# Guards against an exception for one record that stops the follower and the node.
+def test_follower_continues_after_a_record_that_cannot_be_applied():
+    applied = []
 
-    def take(records: tuple[StoredRecord, ...]) -> None:
+    def apply(records: tuple[StoredRecord, ...]) -> None:
         if any(one.key == "poison" for one in records):
             raise ValueError("poison")
-        taken.extend(one.key for one in records)
+        applied.extend(one.key for one in records)
 
     first = tuple(StoredRecord(key, b"") for key in ("a", "poison", "b"))
     log = ScriptedLog(first, (StoredRecord("c", b""),))
-    follower = TopicFollower(log, "keyed.x", take, random.Random(1))
+    follower = TopicFollower(log, "keyed.x", apply, random.Random(1))
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(follower.run)
             with anyio.fail_after(10):
-                while "c" not in taken:
+                while "c" not in applied:
                     await anyio.sleep(0.01)
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    assert taken == ["a", "b", "c"]
+    assert applied == ["a", "b", "c"]
     assert follower.reachable
 
 
-class OwnRecordLog(ScriptedLog):
-    """A log in which the record of a node stands under the key of another."""
+class MisplacedRecordLog(ScriptedLog):
+    """A log that stores the record of a node under the key of another one."""
 
     def __init__(self, record: StoredRecord):
         super().__init__()
@@ -234,13 +232,12 @@
         return 1
 
 
-# A copy of a node's record under another key kept the node from writing its own, and
-# the others from finding it.
-def test_node_writes_its_record_unless_it_stands_under_its_key(node):
+# Guards against a misplaced copy that keeps a node from writing its own record.
+def test_node_writes_its_record_unless_it_is_stored_under_its_key(node):
     own = make_record(
         SETTINGS.name, address=str(SETTINGS.peer_address), service_name="desk"
     )
-    log = OwnRecordLog(StoredRecord("n9", own.value))
+    log = MisplacedRecordLog(StoredRecord("n9", own.value))
     node.store = log
 
     async def main() -> None:
