--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -209,7 +209,7 @@
 
     def hear(self, load: ServiceLoad) -> None:
         """Take in the load at the entry."""
-        self.heard = evolve(load, heard_s=self.timers.read())
+        self.heard = evolve(load, received_s=self.timers.read())
         self.second().threshold = load.threshold
         self.second().limit = self.gate.limiter.limit
 
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -9,7 +9,7 @@
 
 from eelgrassmount.compose.relay_node import RelayNode
 from eelgrassmount.http1.server import HttpListener
-from eelgrassmount.platform.headers import DIALECT
+from eelgrassmount.platform.headers import HEADER_CODEC
 from eelgrassmount.platform.store import StoreClient
 from eelgrassmount.platform.topics import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
@@ -98,13 +98,13 @@
 
     pool = BackendPool(
         clock,
-        lambda answer: DIALECT.read_idle_limit(answer.headers),
+        lambda answer: HEADER_CODEC.read_idle_limit(answer.headers),
         metrics.connections.inc,
     )
     dispatcher = Dispatcher(
         server,
         pool,
-        DIALECT,
+        HEADER_CODEC,
         quarantine,
         clock,
         RetryBudget(
@@ -191,7 +191,7 @@
         links.open_link,
     )
     answers = Responder(
-        DIALECT,
+        HEADER_CODEC,
         sender,
         admission,
         decisions,
@@ -204,7 +204,7 @@
     sender.answers = answers
     ingress = Ingress(
         lambda: server.service,
-        DIALECT,
+        HEADER_CODEC,
         answers,
         admission,
         quarantine,
@@ -239,6 +239,6 @@
         readers,
         quotas,
         rng,
-        RejectedMessages(clock, metrics.count_refused),
+        RejectedMessages(clock, metrics.count_rejected),
     )
     return node
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -238,7 +238,9 @@
         state.labels("limit").set(self.beliefs.server.compute_concurrency_limit())
         state.labels("demand").set(self.dispatcher.measures.load.demand)
         for service, control in self.beliefs.admission_controllers.items():
-            self.metrics.levels.labels(service).set(control.admitted_fraction)
+            self.metrics.admitted_fractions.labels(service).set(
+                control.admitted_fraction
+            )
         state.labels("members").set(len(self.beliefs.members.by_name))
         state.labels("reads_log").set(self.readers.reading)
         state.labels("log_subscribers").set(len(self.readers.subscribers))
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -45,7 +45,7 @@
     timers: TimerService
     exchange: LoadExchange = field(init=False)
     routing: RoutingState = field(init=False)
-    entry: EntryMeters = field(factory=EntryMeters)
+    entry_meters: EntryMeters = field(factory=EntryMeters)
     shares: ShareTable = field(factory=ShareTable)
 
     def __attrs_post_init__(self) -> None:
@@ -77,7 +77,7 @@
         """Decide on a request at its entry node; ``None`` means admitted."""
         return admit_at_entry(
             self.board,
-            self.entry,
+            self.entry_meters,
             work_class,
             service,
             priority,
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -317,5 +317,5 @@
             threshold=threshold,
             headroom=max(0, headroom),
             retry_after_s=compute_retry_after(self.admission_meter, now_s),
-            heard_s=now_s,
+            received_s=now_s,
         )
--- a/eelgrassmount/load/exchange.py
+++ b/eelgrassmount/load/exchange.py
@@ -46,7 +46,7 @@
         ``service`` is the called service; loads of other services were relayed.
         """
         for load in loads:
-            received = evolve(load, heard_s=now_s)
+            received = evolve(load, received_s=now_s)
             if load.service == service:
                 self.table.by_node[address] = received
             else:
@@ -101,12 +101,12 @@
 
 def is_expired(load: ServiceLoad, now_s: float) -> bool:
     """Return whether a load is too old to be used."""
-    return now_s - load.heard_s >= EXPIRY_AGE_S
+    return now_s - load.received_s >= EXPIRY_AGE_S
 
 
 def compute_effective_threshold(load: ServiceLoad, now_s: float) -> float:
     """Return the threshold of a load, raised with its age."""
-    age_s = now_s - load.heard_s
+    age_s = now_s - load.received_s
     threshold = float(load.threshold)
     if age_s <= MAX_FRESH_AGE_S:
         return threshold
@@ -139,11 +139,11 @@
     direct = [load for load in table.by_node.values() if load.service == service]
     relayed = list(table.relayed.get(service, {}).values())
     for loads in (direct, relayed):
-        fresh = [load for load in loads if now_s - load.heard_s <= MAX_FRESH_AGE_S]
+        fresh = [load for load in loads if now_s - load.received_s <= MAX_FRESH_AGE_S]
         if fresh:
             return combine_loads(service, fresh, now_s)
-    newest = max(direct + relayed, key=lambda load: load.heard_s, default=None)
-    if newest is None or now_s - newest.heard_s >= within_s:
+    newest = max(direct + relayed, key=lambda load: load.received_s, default=None)
+    if newest is None or now_s - newest.received_s >= within_s:
         return None
     return combine_loads(service, [newest], now_s)
 
@@ -163,5 +163,5 @@
         threshold=round(threshold),
         headroom=sum(load.headroom for load in loads),
         retry_after_s=sum(load.retry_after_s for load in loads) / len(loads),
-        heard_s=max(load.heard_s for load in loads),
+        received_s=max(load.received_s for load in loads),
     )
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -121,7 +121,7 @@
         if member is None or not member.serves or address in excluded:
             continue
         reported[address] = ServiceLoad(
-            service, member.threshold, member.headroom, heard_s=member.heard_s
+            service, member.threshold, member.headroom, received_s=member.heard_s
         )
     return _make_candidates(board, state, reported, now_s)
 
@@ -153,7 +153,7 @@
         for address in summary.addresses:
             if address not in excluded:
                 reported[address] = ServiceLoad(
-                    service, summary.threshold, each, heard_s=summary.heard_s
+                    service, summary.threshold, each, received_s=summary.heard_s
                 )
     chosen = choose_subset(board.identity.address, list(reported))
     reported = {address: reported[address] for address in chosen}
@@ -185,7 +185,10 @@
     direct = board.loads.by_node.get(address)
     if direct is None or direct.service != reported.service:
         return reported
-    if now_s - direct.heard_s > MAX_FRESH_AGE_S and reported.heard_s > direct.heard_s:
+    if (
+        now_s - direct.received_s > MAX_FRESH_AGE_S
+        and reported.received_s > direct.received_s
+    ):
         return reported
     return direct
 
@@ -193,8 +196,8 @@
 def _make_candidate(
     address: str, record: ServerRecord, load: ServiceLoad, now_s: float
 ) -> Candidate:
-    if load.heard_s != record.load_received_s:
-        record.load_received_s = load.heard_s
+    if load.received_s != record.load_received_s:
+        record.load_received_s = load.received_s
         record.sent_since_report = 0
     headroom = max(0, load.headroom - record.sent_since_report)
     threshold = compute_effective_threshold(load, now_s)
--- a/eelgrassmount/load/state.py
+++ b/eelgrassmount/load/state.py
@@ -17,15 +17,15 @@
 
     A call is admitted if ``rank_call`` of its tier and priority is below
     ``threshold``. ``headroom`` is the number of further calls that would start at
-    once, ``retry_after_s`` the delay sent to refused callers, and ``heard_s`` the time
-    at which the report was received.
+    once, ``retry_after_s`` the delay sent to refused callers, and ``received_s`` the
+    time at which the report arrived.
     """
 
     service: str
     threshold: int = FULL_THRESHOLD
     headroom: int = 0
     retry_after_s: float = 0.0
-    heard_s: float = 0.0
+    received_s: float = 0.0
 
 
 def rank_call(tier: int, priority: int) -> int:
--- a/eelgrassmount/platform/headers.py
+++ b/eelgrassmount/platform/headers.py
@@ -179,7 +179,7 @@
     return None
 
 
-DIALECT = HeaderCodec(
+HEADER_CODEC = HeaderCodec(
     read_request,
     write_team,
     write_request,
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -21,11 +21,11 @@
 
     from eelgrassmount.relay.routes import Route, RouteTable
 
-# decay factor of request counts per step
-DEMAND_DECAY = 0.9
-# demands with fewer requests are ignored
+# Decay factor of request counts per control step.
+REQUEST_COUNT_DECAY_FACTOR = 0.9
+# Request classes with fewer requests are ignored.
 MIN_REQUEST_COUNT = 0.5
-# smoothing of request rates; lower rates are removed
+# Smoothing factor of request rates. Lower rates are removed.
 RATE_SMOOTHING = 0.3
 MIN_RATE_PER_S = 0.01
 MAX_CHAIN_DEPTH = 6
@@ -182,7 +182,7 @@
         return found
 
     def has_learned_calls(self) -> bool:
-        """Return whether downstream calls can be told from client requests."""
+        """Return whether downstream calls can be distinguished from client requests."""
         return bool(self.calls_per_run)
 
     def may_call(self, route_name: str, called_name: str) -> bool:
@@ -212,9 +212,9 @@
 class Admission:
     """Decides which client requests a node admits while services are overloaded.
 
-    For each overloaded service, demands are ordered by urgency and weighted by the
-    calls that their requests make to it. The most urgent demands are admitted until
-    their calls reach the admitted fraction of the service; the demand at the limit is
+    For each overloaded service, request classes are ordered by urgency and weighted by
+    the calls that their requests make to it. The most urgent classes are admitted until
+    their calls reach the admitted fraction of the service; the class at the limit is
     admitted in part. If a request needs several services, the smallest fraction
     applies.
 
@@ -237,26 +237,28 @@
     _credits: dict[RequestClass, float] = field(factory=dict)
     _new_requests: dict[RequestClass, int] = field(factory=dict)
 
-    def try_admit(self, demand: RequestClass) -> bool:
+    def try_admit(self, request_class: RequestClass) -> bool:
         """Return whether to admit one request; admissions are spread evenly."""
-        self.request_counts[demand] = self.request_counts.get(demand, 0.0) + 1.0
-        self._new_requests[demand] = self._new_requests.get(demand, 0) + 1
-        share = self.admitted_fractions.get(demand, 1.0)
+        self.request_counts[request_class] = (
+            self.request_counts.get(request_class, 0.0) + 1.0
+        )
+        self._new_requests[request_class] = self._new_requests.get(request_class, 0) + 1
+        share = self.admitted_fractions.get(request_class, 1.0)
         # Refusing an unrecognized downstream call would waste the work already done
         # for its request.
-        if share >= 1.0 or not self.is_client_route(demand.route_name):
+        if share >= 1.0 or not self.is_client_route(request_class.route_name):
             return True
         # A random start keeps nodes from all refusing their first request.
-        credit = self._credits.get(demand)
+        credit = self._credits.get(request_class)
         credit = share + (self.rng.random() if credit is None else credit)
         if credit >= 1.0:
-            self._credits[demand] = credit - 1.0
+            self._credits[request_class] = credit - 1.0
             return True
-        self._credits[demand] = credit
+        self._credits[request_class] = credit
         return False
 
     def update(self, table: RouteTable) -> None:
-        """Recompute the admitted fractions of all demands.
+        """Recompute the admitted fractions of all request classes.
 
         Must be called once each `CONTROL_INTERVAL_S`.
         """
@@ -267,50 +269,52 @@
             name: fraction for name, fraction in fractions.items() if fraction < 1.0
         }
         if overloaded and (self.graph.has_learned_calls() or table.teams.is_required):
-            for service, service_calls in self._estimate_demands(
+            for service, required in self._list_required_calls(
                 table, overloaded
             ).items():
                 if service in overloaded:
                     self._apply_limits(
-                        compute_admitted_shares(service_calls, overloaded[service])
+                        compute_admitted_shares(required, overloaded[service])
                     )
         self.request_counts = {
-            demand: count * DEMAND_DECAY
-            for demand, count in self.request_counts.items()
-            if demand.route_name in table.routes
+            request_class: count * REQUEST_COUNT_DECAY_FACTOR
+            for request_class, count in self.request_counts.items()
+            if request_class.route_name in table.routes
         }
         self._credits = {
-            demand: credit
-            for demand, credit in self._credits.items()
-            if demand.route_name in table.routes
+            request_class: credit
+            for request_class, credit in self._credits.items()
+            if request_class.route_name in table.routes
         }
 
     def _update_rates(self, table: RouteTable) -> None:
-        for demand in self.request_rates.keys() | self._new_requests.keys():
-            rate = self.request_rates.get(demand, 0.0)
-            counted = self._new_requests.get(demand, 0) / CONTROL_INTERVAL_S
+        for request_class in self.request_rates.keys() | self._new_requests.keys():
+            rate = self.request_rates.get(request_class, 0.0)
+            counted = self._new_requests.get(request_class, 0) / CONTROL_INTERVAL_S
             rate += RATE_SMOOTHING * (counted - rate)
-            self.request_rates[demand] = rate
-            if rate < MIN_RATE_PER_S or demand.route_name not in table.routes:
-                del self.request_rates[demand]
+            self.request_rates[request_class] = rate
+            if rate < MIN_RATE_PER_S or request_class.route_name not in table.routes:
+                del self.request_rates[request_class]
         self._new_requests.clear()
 
-    def _get_demands(self) -> dict[RequestClass, float]:
-        """Return the offered amount of each demand, for all nodes if known."""
+    def _get_offered_load(self) -> dict[RequestClass, float]:
+        """Return the offered load by request class, of all nodes if known."""
         return self.find_offered_rates() or {
-            demand: count
-            for demand, count in self.request_counts.items()
+            request_class: count
+            for request_class, count in self.request_counts.items()
             if count >= MIN_REQUEST_COUNT
         }
 
-    def _estimate_demands(
+    def _list_required_calls(
         self, table: RouteTable, overloaded: dict[str, float]
     ) -> dict[str, list[RequiredCalls]]:
-        """Return the calls that each demand makes to each service."""
-        demands_by_service: dict[str, list[RequiredCalls]] = {}
-        for demand, count in self._get_demands().items():
-            route = table.routes.get(demand.route_name)
-            if route is None or self.graph.is_called_by_servers(demand.route_name):
+        """Return the calls that each request class requires of each service."""
+        required_calls: dict[str, list[RequiredCalls]] = {}
+        for request_class, count in self._get_offered_load().items():
+            route = table.routes.get(request_class.route_name)
+            if route is None or self.graph.is_called_by_servers(
+                request_class.route_name
+            ):
                 continue
             calls_by_service = self.graph.count_calls_by_service(route, table)
             if self._has_unknown_calls(route, table):
@@ -319,9 +323,9 @@
                     **calls_by_service,
                 }
             for service, calls in calls_by_service.items():
-                service_calls = RequiredCalls(demand, count * calls)
-                demands_by_service.setdefault(service, []).append(service_calls)
-        return demands_by_service
+                required = RequiredCalls(request_class, count * calls)
+                required_calls.setdefault(service, []).append(required)
+        return required_calls
 
     def _has_unknown_calls(self, route: Route, table: RouteTable) -> bool:
         """Return whether the calls of a client route are not known yet."""
@@ -332,7 +336,7 @@
         return table.teams.is_required and route.needs_key and not known
 
     def _apply_limits(self, shares: dict[RequestClass, float]) -> None:
-        for demand, share in shares.items():
-            self.admitted_fractions[demand] = min(
-                self.admitted_fractions.get(demand, 1.0), share
+        for request_class, share in shares.items():
+            self.admitted_fractions[request_class] = min(
+                self.admitted_fractions.get(request_class, 1.0), share
             )
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -56,18 +56,20 @@
     ) -> None:
         state = self.state
         oldest_s = state.clock() - MAX_REPORT_AGE_S
-        control = state.admission_controllers.setdefault(service, AdmissionController())
-        previous = control.admitted_fraction
+        controller = state.admission_controllers.setdefault(
+            service, AdmissionController()
+        )
+        previous = controller.admitted_fraction
         load = DispatcherLoad()
         recent = self._list_recent_loads(members, oldest_s)
         if recent:
             load = combine_server_loads(recent)
             forecast = forecast_demand(required, recent, self._count_usable(members))
             age = self._compute_report_age(recent)
-            control.update(load.demand, load.wait, age, forecast)
+            controller.update(load.demand, load.wait, age, forecast)
         else:
-            control.increase_without_reports()
-        log_overload_change(service, previous, control.admitted_fraction, load)
+            controller.increase_without_reports()
+        log_overload_change(service, previous, controller.admitted_fraction, load)
         self._update_reachability(service, members)
         if state.get_admitted_fraction(service) < 1.0:
             self._request_reports(members, oldest_s)
@@ -123,9 +125,11 @@
         if state.cluster_counts.nodes < 2 or not state.graph.has_learned_calls():
             return required
         routes = state.table.routes
-        for demand, rate in state.cluster_counts.offered.items():
-            route = routes.get(demand.route_name)
-            if route is None or state.graph.is_called_by_servers(demand.route_name):
+        for request_class, rate in state.cluster_counts.offered.items():
+            route = routes.get(request_class.route_name)
+            if route is None or state.graph.is_called_by_servers(
+                request_class.route_name
+            ):
                 continue
             for run, runs in state.graph.count_runs_by_route(
                 route, state.table
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -34,7 +34,7 @@
     read: Callable[[str, str, bytes], Heartbeat | None]
     check: Callable[[Heartbeat], None]
     on_change: Callable[[], None]
-    refused: RejectedMessages
+    rejected_messages: RejectedMessages
 
     def handle(self, exchange: Exchange) -> None:
         """Handle one request of the server."""
@@ -65,7 +65,7 @@
 
     def _refuse(self, exchange: Exchange, status: int, cause: str, detail: str) -> None:
         source = exchange.find_peer()
-        self.refused.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
+        self.rejected_messages.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
         exchange.respond(status, b"", detail.encode())
 
 
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -47,7 +47,7 @@
 
     state: SharedState
     dispatcher: Dispatcher
-    inbound: InboundLinks
+    inbound_links: InboundLinks
     update_admission: Callable[[], None]
     update_shares: Callable[[RouteTable], None]
     _steps: int = 0
@@ -70,14 +70,16 @@
                 self._last_rows_step = self._steps
             report = self.make_report(with_rows)
             only_active = not self._is_loaded()
-            self.inbound.broadcast(FrameKind.REPORT, report, only_active=only_active)
+            self.inbound_links.broadcast(
+                FrameKind.REPORT, report, only_active=only_active
+            )
 
     def _compute_report_period(self) -> int:
         """Return the number of steps between two reports."""
         if self._is_loaded():
-            connections = len(self.inbound.connections)
+            connections = len(self.inbound_links.connections)
             return max(1, math.ceil(connections / MAX_REPORTS_PER_STEP_LOADED))
-        callers = self.inbound.count_active_senders()
+        callers = self.inbound_links.count_active_senders()
         return max(1, math.ceil(callers / MAX_REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
@@ -88,7 +90,7 @@
         """Report to all connected nodes at once, for example when the server stops."""
         self._update_local_load()
         report = self.make_report(False)
-        self.inbound.broadcast(FrameKind.REPORT, report, only_active=False)
+        self.inbound_links.broadcast(FrameKind.REPORT, report, only_active=False)
 
     def make_report(self, with_rows: bool) -> ttypes.RelayReport:
         """Return the report on the local server."""
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -91,7 +91,7 @@
 
     server: LocalServer
     pool: BackendPool
-    dialect: HeaderCodec
+    header_codec: HeaderCodec
     quarantine: Quarantine
     clock: Callable[[], float]
     budget: RetryBudget
@@ -189,14 +189,14 @@
 
         def on_answer(answer: ClientAnswer | Break) -> None:
             if isinstance(answer, ClientAnswer) and answer.status == 200:
-                head = self.dialect.read_answer(answer.headers)
+                head = self.header_codec.read_answer(answer.headers)
                 if self.server.incarnation is None:
                     self.server.apply_answer_identity(head.instance)
                     incarnation = str(self.server.incarnation)
                     logger.info("server identified", incarnation=incarnation)
                     self.on_change()
 
-        data = self.dialect.write_probe(health_path)
+        data = self.header_codec.write_probe(health_path)
         self.pool.send(self.server.address, data, True, lambda answer: True, on_answer)
 
     def cancel(self, job: Job) -> None:
@@ -328,7 +328,7 @@
         timeout_ms = max(1, int(remaining_s * 1000))
         job.timeout_s = timeout_ms / 1000
         self.on_run_start(job)
-        data = self.dialect.write_request(
+        data = self.header_codec.write_request(
             call.method,
             call.target,
             call.head,
@@ -340,7 +340,7 @@
         request_id = call.request_id.encode("latin-1")
 
         def accepts(answer: ClientAnswer) -> bool:
-            found = self.dialect.find_request_id(answer.headers)
+            found = self.header_codec.find_request_id(answer.headers)
             return not found or found == request_id
 
         job.sending = self.pool.send(
@@ -384,7 +384,7 @@
         return Reply(outcome, reason)
 
     def _create_answer_reply(self, answer: ClientAnswer) -> Reply:
-        head = self.dialect.read_answer(answer.headers)
+        head = self.header_codec.read_answer(answer.headers)
         if answer.status == 421:
             self.server.apply_answer_identity(head.instance)
             return Reply(Outcome.NOT_RUN, Reason.NO_SERVER)
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -153,7 +153,7 @@
 
     def __init__(self, inbound: InboundLinks):
         super().__init__()
-        self.inbound = inbound
+        self.inbound_links = inbound
         self.jobs: dict[int, Job] = {}
         self.sender = ""
         self.last_received_s = inbound.clock()
@@ -161,13 +161,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send a hello (called by the event loop)."""
         super().connection_made(transport)
-        self.inbound.connections.add(self)
-        self.send(FrameKind.HELLO, self.inbound.make_hello())
+        self.inbound_links.connections.add(self)
+        self.send(FrameKind.HELLO, self.inbound_links.make_hello())
 
     def handle_connection_lost(self) -> None:
         """Cancel idempotent runs unless the sender resumes them in time."""
         if self.jobs:
-            self._schedule_drop(self.inbound.clock())
+            self._schedule_drop(self.inbound_links.clock())
         else:
             self._drop()
 
@@ -177,14 +177,14 @@
 
     def _drop_unless_paused(self, waiting_since_s: float) -> None:
         """Drop the remaining jobs, or wait again if this process was paused."""
-        now_s = self.inbound.clock()
+        now_s = self.inbound_links.clock()
         if now_s - waiting_since_s > 2 * REJOIN_TIMEOUT_S:
             self._schedule_drop(now_s)
         else:
             self._drop()
 
     def _drop(self) -> None:
-        self.inbound.connections.discard(self)
+        self.inbound_links.connections.discard(self)
         for sequence, job in list(self.jobs.items()):
             if job.call.route.idempotent:
                 self._cancel(sequence)
@@ -196,19 +196,19 @@
 
     def handle_frame(self, kind: FrameKind, struct: Any) -> None:
         """Handle a frame from the peer."""
-        self.last_received_s = self.inbound.clock()
+        self.last_received_s = self.inbound_links.clock()
         if kind is FrameKind.CALL:
             self._handle_call(struct)
         elif kind is FrameKind.CANCEL:
             self._cancel(struct.sequence)
         elif kind is FrameKind.HELLO:
             self.sender = f"{struct.node_name}/{struct.incarnation}"
-            if self.inbound.register_caller(struct):
+            if self.inbound_links.register_caller(struct):
                 self.send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(0))
         elif kind is FrameKind.PING:
             self.send(FrameKind.PING, struct)
         else:
-            self.inbound.handle_frame(kind, struct, self.send)
+            self.inbound_links.handle_frame(kind, struct, self.send)
 
     def _handle_call(self, frame: ttypes.RelayCall) -> None:
         if self._resume_call(frame):
@@ -217,18 +217,18 @@
         received = ReceivedCall((self.sender, sequence), self)
         job = Job(self._read_call(frame), lambda reply: self._finish(received, reply))
         received.job = job
-        self.inbound.received_calls[received.key] = received
-        self.inbound.record_sequence(self.sender, sequence)
+        self.inbound_links.received_calls[received.key] = received
+        self.inbound_links.record_sequence(self.sender, sequence)
         self.jobs[sequence] = job
-        if self.inbound.accepting:
-            self.inbound.dispatcher.submit(job)
+        if self.inbound_links.accepting:
+            self.inbound_links.dispatcher.submit(job)
         else:
             job.ended = True
             job.done(Reply(Outcome.NOT_RUN, Reason.DRAINING))
 
     def _resume_call(self, frame: ttypes.RelayCall) -> bool:
         """Match a call with an earlier one; return whether it needs no new run."""
-        received = self.inbound.received_calls.get((self.sender, frame.sequence))
+        received = self.inbound_links.received_calls.get((self.sender, frame.sequence))
         if received is not None:
             self._reattach(received, frame)
             return True
@@ -254,15 +254,15 @@
         numbers its calls in increasing order, so that a call whose reply has expired is
         recognized by its sequence.
         """
-        if frame.resumed and frame.incarnation != self.inbound.incarnation:
+        if frame.resumed and frame.incarnation != self.inbound_links.incarnation:
             return True
-        return frame.sequence <= self.inbound.find_latest_sequence(self.sender)
+        return frame.sequence <= self.inbound_links.find_latest_sequence(self.sender)
 
     def _read_call(self, frame: ttypes.RelayCall) -> Call:
-        now_s = self.inbound.clock()
+        now_s = self.inbound_links.clock()
         return Call(
             frame.request_id,
-            self.inbound.find_route(frame.route_name, frame.idempotent),
+            self.inbound_links.find_route(frame.route_name, frame.idempotent),
             frame.service_name,
             frame.caller_service,
             frame.method,
@@ -284,10 +284,10 @@
         connection = received.connection
         awaited = connection.jobs.pop(sequence, None) is not None
         if idempotent and not (awaited and connection.closed):
-            self.inbound.received_calls.pop(received.key, None)
+            self.inbound_links.received_calls.pop(received.key, None)
         else:
             received.reply = reply
-            received.finished_s = self.inbound.clock()
+            received.finished_s = self.inbound_links.clock()
         if awaited:
             connection._send_reply(sequence, reply)
 
@@ -295,15 +295,15 @@
         job = self.jobs.pop(sequence, None)
         if job is None:
             return
-        self.inbound.dispatcher.cancel(job)
-        received = self.inbound.received_calls.get((self.sender, sequence))
+        self.inbound_links.dispatcher.cancel(job)
+        received = self.inbound_links.received_calls.get((self.sender, sequence))
         if received is not None and received.job is job and job.ended:
             # The dispatcher does not call back for a job cancelled in its queue.
             received.job = None
-            del self.inbound.received_calls[received.key]
+            del self.inbound_links.received_calls[received.key]
 
     def _send_reply(self, sequence: int, reply: Reply) -> None:
-        dispatcher = self.inbound.dispatcher
+        dispatcher = self.inbound_links.dispatcher
         self.send(
             FrameKind.REPLY,
             ttypes.RelayReply(
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -42,7 +42,7 @@
     """
 
     get_local_service: Callable[[], str]
-    dialect: HeaderCodec
+    header_codec: HeaderCodec
     answers: Responder
     admission: Admission
     quarantine: Quarantine
@@ -52,7 +52,7 @@
     is_client_route: Callable[[str], bool]
     record_request: Callable[[str], None]
     record_client_request: Callable[[str], None]
-    lineage: CallAttributor
+    call_attributor: CallAttributor
     is_current: Callable[[], bool]
     quotas: QuotaTaker
     table: RouteTable = field(factory=RouteTable)
@@ -60,7 +60,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Handle a new request."""
-        head = self.dialect.read_request(exchange.headers)
+        head = self.header_codec.read_request(exchange.headers)
         table = self.table
         if table.version == 0:
             reason = Reason.NO_CONFIGURATION
@@ -120,7 +120,7 @@
         call = self._create_call(exchange, head, route, team, deadline_s, origin)
         quota_team = team if team is not None and team.has_quota() else None
         pending = PendingRequest(exchange, call, made_call, quota_team)
-        if not origin.downstream and not self.admission.try_admit(call.demand):
+        if not origin.downstream and not self.admission.try_admit(call.request_class):
             self.answers.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
@@ -134,7 +134,7 @@
         """Return the client request that a call belongs to, or a new origin."""
         if made_call is not None:
             return made_call.make_origin()
-        remaining_runs = self.lineage.count_runs(route.name)
+        remaining_runs = self.call_attributor.count_runs(route.name)
         if team is None and self.is_called_by_servers(route.name):
             # unattributed downstream calls get the highest priority
             return Origin(0, downstream=True, remaining_runs=remaining_runs)
@@ -155,7 +155,7 @@
         if remaining_ms is None:
             remaining_ms = DEFAULT_REMAINING_MS
         deadline_s = exchange.arrived_s + remaining_ms / 1000
-        return self.lineage.find_caller(
+        return self.call_attributor.find_caller(
             exchange.connection, route.name, deadline_s, route.timeout_s
         )
 
@@ -178,7 +178,7 @@
     ) -> Call:
         head_lines = head.forwarded_headers
         if team is not None:
-            head_lines += self.dialect.write_team(team.name)
+            head_lines += self.header_codec.write_team(team.name)
         return Call(
             head.request_id,
             route,
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -81,8 +81,8 @@
     _digest: str = ""
 
     @property
-    def demand(self) -> RequestClass:
-        """Return the demand of a client request."""
+    def request_class(self) -> RequestClass:
+        """Return the class by which a client request is admitted."""
         return RequestClass(self.route.name, self.origin.priority)
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
--- a/eelgrassmount/relay/metrics.py
+++ b/eelgrassmount/relay/metrics.py
@@ -31,11 +31,11 @@
     retries: Counter = field(init=False)
     abandoned: Counter = field(init=False)
     connections: Counter = field(init=False)
-    refused: Counter = field(init=False)
+    rejected_messages: Counter = field(init=False)
     quotas: Counter = field(init=False)
     stalls: Counter = field(init=False)
     state: Gauge = field(init=False)
-    levels: Gauge = field(init=False)
+    admitted_fractions: Gauge = field(init=False)
     _children: dict[tuple[Any, ...], Any] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -83,7 +83,7 @@
             "Connections opened to the backend server of this VM.",
             registry=registry,
         )
-        self.refused = Counter(
+        self.rejected_messages = Counter(
             f"{PREFIX}_relay_refused",
             "Received messages that were rejected, by kind.",
             ["kind"],
@@ -107,7 +107,7 @@
             registry=registry,
         )
 
-        self.levels = Gauge(
+        self.admitted_fractions = Gauge(
             f"{PREFIX}_relay_level",
             "Admitted fraction of the offered work, by service.",
             ["service"],
@@ -150,9 +150,9 @@
             child = self._children[key] = metric.labels(route, *labels)
         return child
 
-    def count_refused(self, kind: str, messages: int = 1) -> None:
+    def count_rejected(self, kind: str, messages: int = 1) -> None:
         """Count rejected messages."""
-        self.refused.labels(kind).inc(messages)
+        self.rejected_messages.labels(kind).inc(messages)
 
     def count_quota(self, event: str, requests: float) -> None:
         """Count requests for a quota that this node allocates."""
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -36,9 +36,9 @@
     Each source and cause is logged once per `LOG_INTERVAL_S`, so that a faulty writer
     cannot flood the logs. ``count`` increments the metric of a kind.
 
-        >>> refused = RejectedMessages(clock=lambda: 0.0)
-        >>> refused.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
-        >>> refused.totals["node-record"]
+        >>> rejected = RejectedMessages(clock=lambda: 0.0)
+        >>> rejected.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
+        >>> rejected.totals["node-record"]
         1
     """
 
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -56,7 +56,7 @@
     metrics: RelayMetrics
     clock: Callable[[], float]
     rng: random.Random
-    call_attribution: CallAttributor
+    call_attributor: CallAttributor
     return_quota: Callable[[Team], None] = lambda team: None
     open_flows: int = field(default=0, init=False)
 
@@ -121,7 +121,7 @@
             MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE
         )
         self.metrics.count_refusal(call.route.name, str(reason))
-        share = self.admission.admitted_fractions.get(call.demand, 1.0)
+        share = self.admission.admitted_fractions.get(call.request_class, 1.0)
         self.decisions.record(
             "refused",
             call.request_id,
@@ -233,5 +233,5 @@
     ) -> None:
         if pending.made_call is not None:
             # Recorded before the answer is sent, as the next call may follow at once.
-            self.call_attribution.record_answer(pending.made_call, status < 300)
+            self.call_attributor.record_answer(pending.made_call, status < 300)
         pending.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/shared_state.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -103,8 +103,8 @@
         """Return the admitted fraction of a service, from 0 to 1."""
         if service in self.unreachable:
             return 0.0
-        control = self.admission_controllers.get(service)
-        return 1.0 if control is None else control.admitted_fraction
+        controller = self.admission_controllers.get(service)
+        return 1.0 if controller is None else controller.admitted_fraction
 
     def record_configured_routes(self) -> None:
         """Record when the configured routes were last seen; called once a second."""
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -31,7 +31,7 @@
 
     node_state: SharedState
     callers: HttpListener
-    inbound: InboundLinks
+    inbound_links: InboundLinks
     grace_s: float
     report_now: Callable[[], None]
     count_open: Callable[[], int]
@@ -47,7 +47,7 @@
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
         self.node_state.closing = True
-        self.inbound.accepting = False
+        self.inbound_links.accepting = False
         self.report_now()
         await asyncio.sleep(min(drain_s, PEER_DRAIN_S))
         self.callers.stop_listening()
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -195,8 +195,10 @@
             for name, controller in state.admission_controllers.items()
         },
         [
-            ShareStatus(demand.route_name, demand.rank, round(share, 3))
-            for demand, share in sorted(node.admission.admitted_fractions.items())
+            ShareStatus(request_class.route_name, request_class.rank, round(share, 3))
+            for request_class, share in sorted(
+                node.admission.admitted_fractions.items()
+            )
         ],
         {
             name: {called: round(count, 2) for called, count in calls.items()}
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -85,8 +85,8 @@
     return ttypes.RelayTally(
         tally.nodes,
         [
-            ttypes.OfferedRate(demand.route_name, demand.rank, rate)
-            for demand, rate in _list_largest(tally.offered)
+            ttypes.OfferedRate(request_class.route_name, request_class.rank, rate)
+            for request_class, rate in _list_largest(tally.offered)
         ],
         [
             ttypes.ServiceCounts(service, one.nodes, _write_counts(one.counts))
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -91,7 +91,7 @@
 def test_load_of_a_service_combines_the_thresholds_of_its_servers(
     thresholds: tuple[int, ...], combined: int
 ) -> None:
-    loads = [ServiceLoad("a", threshold, heard_s=NOW_S) for threshold in thresholds]
+    loads = [ServiceLoad("a", threshold, received_s=NOW_S) for threshold in thresholds]
     assert combine_loads("a", loads, NOW_S).threshold == combined
 
 
--- a/tests/policy/test_admission_controller.py
+++ b/tests/policy/test_admission_controller.py
@@ -17,37 +17,37 @@
 
 
 def test_admitted_fraction_falls_with_demand_and_recovers():
-    control = AdmissionController()
+    controller = AdmissionController()
     for _ in range(200):
-        control.update(3.0, 2.0)
-    assert control.admitted_fraction == MIN_ADMITTED_FRACTION
+        controller.update(3.0, 2.0)
+    assert controller.admitted_fraction == MIN_ADMITTED_FRACTION
     for _ in range(100):
-        control.update(0.3, 0.0)
-    assert control.admitted_fraction == 1.0
+        controller.update(0.3, 0.0)
+    assert controller.admitted_fraction == 1.0
 
 
 def test_demand_settles_at_its_target_despite_delayed_effect():
-    control = AdmissionController()
+    controller = AdmissionController()
     delayed = [2.0, 2.0, 2.0]
     fractions = []
     for _ in range(100):
-        delayed.append(2.0 * control.admitted_fraction)
-        fractions.append(control.update(delayed.pop(0), 0.0))
+        delayed.append(2.0 * controller.admitted_fraction)
+        fractions.append(controller.update(delayed.pop(0), 0.0))
     assert fractions[-1] * 2.0 == pytest.approx(TARGET_DEMAND, abs=0.02)
     assert min(fractions) * 2.0 > 0.7
 
 
 def test_backlog_lowers_the_fraction_by_less_than_a_quarter_in_a_second():
-    control = AdmissionController(0.5)
+    controller = AdmissionController(0.5)
     for _ in range(5):
-        control.update(0.95, 2.0)
-    assert 0.375 < control.admitted_fraction < 0.5
+        controller.update(0.95, 2.0)
+    assert 0.375 < controller.admitted_fraction < 0.5
 
 
 def test_long_wait_lowers_the_fraction_despite_low_measured_demand():
-    control = AdmissionController()
-    control.update(0.73, 1.51)
-    assert control.admitted_fraction < 1.0
+    controller = AdmissionController()
+    controller.update(0.73, 1.51)
+    assert controller.admitted_fraction < 1.0
 
 
 def test_old_report_is_not_applied_again_at_each_step():
@@ -61,12 +61,12 @@
 
 
 def test_fraction_rises_slowly_without_reports():
-    control = AdmissionController(0.5)
-    control.increase_without_reports()
-    assert 0.5 < control.admitted_fraction < 0.6
+    controller = AdmissionController(0.5)
+    controller.increase_without_reports()
+    assert 0.5 < controller.admitted_fraction < 0.6
     for _ in range(10):
-        control.increase_without_reports()
-    assert control.admitted_fraction == 1.0
+        controller.increase_without_reports()
+    assert controller.admitted_fraction == 1.0
 
 
 @define(eq=False)
@@ -79,7 +79,7 @@
 
     report_steps: int
     rng: random.Random
-    control: AdmissionController = field(factory=AdmissionController)
+    controller: AdmissionController = field(factory=AdmissionController)
     admitted: list[float] = field(factory=lambda: [0.8] * 6)
     backlog: float = 0.0
     demand: float = 0.8
@@ -98,7 +98,7 @@
             self.reported = (self.demand, self.backlog / 0.041)
             self.age = 0
         self.steps += 1
-        fraction = self.control.update(*self.reported, self.age)
+        fraction = self.controller.update(*self.reported, self.age)
         self.admitted.append(offered * fraction)
         return fraction
 
--- a/tests/policy/test_forecast.py
+++ b/tests/policy/test_forecast.py
@@ -37,10 +37,10 @@
 
 
 def test_forecast_does_not_limit_a_service_with_free_capacity():
-    control = AdmissionController()
+    controller = AdmissionController()
     for _ in range(50):
-        control.update(0.5, 0.0, forecast=3.0)
-    assert control.admitted_fraction == 1.0
+        controller.update(0.5, 0.0, forecast=3.0)
+    assert controller.admitted_fraction == 1.0
 
 
 @pytest.mark.parametrize("arriving", [0.0, 0.7, 0.95, 2.0])
@@ -62,14 +62,14 @@
 
     capacity: float
     uses_forecast: bool
-    control: AdmissionController = field(factory=AdmissionController)
+    controller: AdmissionController = field(factory=AdmissionController)
     open_calls: list[float] = field(factory=lambda: [0.0] * CALLS)
     demand: float = 0.0
     finished: float = 0.0
 
     def step(self, offered: float) -> None:
         """Simulate one step in which clients send ``offered`` requests."""
-        fraction = self.control.admitted_fraction
+        fraction = self.controller.admitted_fraction
         self.open_calls = [offered * fraction, *self.open_calls[: CALLS - 1]]
         arriving = sum(self.open_calls)
         accepted = min(1.0, self.capacity / max(arriving, 1e-9))
@@ -78,7 +78,7 @@
         self.demand += 0.4 * (arriving / self.capacity - self.demand)
         wait = 2.0 if arriving > self.capacity else 0.0
         forecast = offered * CALLS / self.capacity if self.uses_forecast else 0.0
-        self.control.update(self.demand, wait, forecast=forecast)
+        self.controller.update(self.demand, wait, forecast=forecast)
 
 
 def simulate(
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -25,7 +25,7 @@
 TABLE = make_table(BOOK, STATUS, PRICE, PART)
 
 
-def demand(route: Route) -> RequestClass:
+def classify(route: Route) -> RequestClass:
     return RequestClass(route.name, route.priority)
 
 
@@ -37,7 +37,7 @@
     admission = Admission(graph, lambda service: fractions.get(service, 1.0))
     for route, count in ((BOOK, book), (STATUS, status), (PRICE, price)):
         for _ in range(count):
-            admission.try_admit(demand(route))
+            admission.try_admit(classify(route))
     # the shared service gets 20 calls of bookings, 10 of status checks, 20 of prices
     admission.update(TABLE)
     return admission
@@ -45,7 +45,7 @@
 
 def test_everything_is_admitted_while_no_service_is_overloaded():
     admission = make_admission(1.0)
-    assert all(admission.try_admit(demand(route)) for route in (BOOK, STATUS, PRICE))
+    assert all(admission.try_admit(classify(route)) for route in (BOOK, STATUS, PRICE))
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
     fraction, book, status, price
 ):
     shares = make_admission(fraction).admitted_fractions
-    assert shares[demand(BOOK)] == pytest.approx(book)
-    assert shares[demand(STATUS)] == pytest.approx(status)
-    assert shares[demand(PRICE)] == pytest.approx(price)
+    assert shares[classify(BOOK)] == pytest.approx(book)
+    assert shares[classify(STATUS)] == pytest.approx(status)
+    assert shares[classify(PRICE)] == pytest.approx(price)
 
 
 def test_admissions_are_spread_evenly():
     admission = make_admission(0.8)
-    assert sum(admission.try_admit(demand(PRICE)) for _ in range(100)) == 50
+    assert sum(admission.try_admit(classify(PRICE)) for _ in range(100)) == 50
 
 
 def test_most_overloaded_service_limits_the_requests():
@@ -79,14 +79,14 @@
         "desk": 1.0,
     }.__getitem__
     admission.update(TABLE)
-    assert admission.admitted_fractions[demand(PRICE)] == pytest.approx(0.25)
+    assert admission.admitted_fractions[classify(PRICE)] == pytest.approx(0.25)
 
 
 def test_nothing_is_refused_before_downstream_calls_are_known():
     admission = Admission(CallGraph(), lambda service: 0.1)
-    admission.try_admit(demand(PRICE))
+    admission.try_admit(classify(PRICE))
     admission.update(TABLE)
-    assert admission.try_admit(demand(PRICE))
+    assert admission.try_admit(classify(PRICE))
 
 
 def test_calls_are_counted_along_the_whole_chain():
@@ -196,11 +196,11 @@
 def test_requests_of_removed_routes_are_forgotten():
     admission = make_admission(0.5)
     for route in (STATUS, PRICE):
-        admission.try_admit(demand(route))
-    assert admission._credits.keys() == {demand(STATUS), demand(PRICE)}
+        admission.try_admit(classify(route))
+    assert admission._credits.keys() == {classify(STATUS), classify(PRICE)}
     admission.update(make_table(BOOK, STATUS))
-    assert admission.request_counts.keys() == {demand(BOOK), demand(STATUS)}
-    assert admission._credits.keys() == {demand(STATUS)}
+    assert admission.request_counts.keys() == {classify(BOOK), classify(STATUS)}
+    assert admission._credits.keys() == {classify(STATUS)}
 
 
 # Guards against learned calls whose chains take exponential time to count.
@@ -233,22 +233,22 @@
     """Guards against refusing downstream calls as if they were client requests."""
     admission = make_admission(0.6)
     admission.is_client_route = lambda name: name == STATUS.name
-    assert not all(make_admission(0.6).try_admit(demand(PRICE)) for _ in range(10))
-    assert all(admission.try_admit(demand(PRICE)) for _ in range(10))
+    assert not all(make_admission(0.6).try_admit(classify(PRICE)) for _ in range(10))
+    assert all(admission.try_admit(classify(PRICE)) for _ in range(10))
 
 
 def test_admitted_fractions_follow_the_load_offered_to_all_nodes():
     """A single node sees too few requests to estimate the mix of all nodes."""
     admission = make_admission(0.6, book=1, status=0, price=3)
     admission.find_offered_rates = lambda: {
-        demand(BOOK): 10.0,
-        demand(STATUS): 10.0,
-        demand(PRICE): 20.0,
+        classify(BOOK): 10.0,
+        classify(STATUS): 10.0,
+        classify(PRICE): 20.0,
     }
     admission.update(TABLE)
-    assert admission.admitted_fractions[demand(BOOK)] == 1.0
-    assert admission.admitted_fractions[demand(STATUS)] == pytest.approx(1.0)
-    assert admission.admitted_fractions[demand(PRICE)] == 0.0
+    assert admission.admitted_fractions[classify(BOOK)] == 1.0
+    assert admission.admitted_fractions[classify(STATUS)] == pytest.approx(1.0)
+    assert admission.admitted_fractions[classify(PRICE)] == 0.0
 
 
 def test_requests_of_a_more_urgent_team_are_refused_after_all_others():
@@ -280,12 +280,15 @@
     for seed in range(1000):
         admission = make_admission(0.8, price=0)
         admission.rng = random.Random(seed)
-        admission.find_offered_rates = lambda: {demand(BOOK): 10.0, demand(PRICE): 20.0}
+        admission.find_offered_rates = lambda: {
+            classify(BOOK): 10.0,
+            classify(PRICE): 20.0,
+        }
         admission.find_admitted_fraction = lambda service: (
             0.7 if service == "proof" else 1.0
         )
         admission.update(TABLE)
-        admitted += admission.try_admit(demand(PRICE))
+        admitted += admission.try_admit(classify(PRICE))
     # bookings and price lists each make half of the calls
     assert 0.9 * 400 < admitted < 1.1 * 400
 
@@ -310,7 +313,7 @@
     admission = Admission(CallGraph(), lambda name: 0.5 if name == "proof" else 1.0)
     for route, count in ((BOOK, 20), (STATUS, 10), (PRICE, 20)):
         for _ in range(count):
-            admission.try_admit(demand(route))
+            admission.try_admit(classify(route))
     admission.update(table)
     return admission
 
@@ -319,9 +322,9 @@
 # before any calls are learned.
 def test_least_urgent_requests_are_refused_before_calls_are_known():
     shares = offer_unlearned_routes(make_keyed_table()).admitted_fractions
-    assert shares[demand(BOOK)] == 1.0
-    assert shares[demand(STATUS)] == pytest.approx(0.5)
-    assert shares[demand(PRICE)] == 0.0
+    assert shares[classify(BOOK)] == 1.0
+    assert shares[classify(STATUS)] == pytest.approx(0.5)
+    assert shares[classify(PRICE)] == 0.0
 
 
 def test_route_known_to_make_no_calls_is_not_limited():
@@ -329,7 +332,7 @@
     admission = offer_unlearned_routes(table)
     admission.graph.learned_routes.add(PRICE.name)
     admission.update(table)
-    assert demand(PRICE) not in admission.admitted_fractions
+    assert classify(PRICE) not in admission.admitted_fractions
 
 
 def test_without_keys_calls_cannot_be_told_from_requests():
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eelgrassmount.http1.client import Break, ClientAnswer
-from eelgrassmount.platform.headers import DIALECT
+from eelgrassmount.platform.headers import HEADER_CODEC
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.dispatcher import CRASH_WINDOW_S, Dispatcher, Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
@@ -77,7 +77,7 @@
         self.dispatcher = Dispatcher(
             self.server,
             self.pool,
-            DIALECT,
+            HEADER_CODEC,
             Quarantine(),
             lambda: self.now_s,
             RetryBudget(lambda: self.now_s, 0.0, 10.0, slack, lambda: 1),
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -157,10 +157,10 @@
 
 
 def test_routes_that_only_other_nodes_know_are_not_stored(setup):
-    beliefs = setup.node.beliefs
-    route = weakref.ref(beliefs.find_route("shop/new/", True))
+    state = setup.node.beliefs
+    route = weakref.ref(state.find_route("shop/new/", True))
     assert route() is None
-    assert beliefs.find_route("shop/new/", False).name == "shop/new/"
+    assert state.find_route("shop/new/", False).name == "shop/new/"
 
 
 def test_metrics_of_removed_routes_are_dropped(setup):
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -409,9 +409,9 @@
             await send_invalid_request(line)
         assert lone.read_server_view() == before
         assert (await lone.announce(sequence=2)).status == 200
-        refused = lone.node.refused
-        assert refused.totals["announcement"] == len(calls)
-        assert len(refused._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
+        rejected = lone.node.refused
+        assert rejected.totals["announcement"] == len(calls)
+        assert len(rejected._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
 
     run(scenario)
 
