--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -35,8 +35,8 @@
 
 
 @define(eq=False)
-class PendingRequest:
-    """A request to the server whose outcome has not been reported yet."""
+class ServerExchange:
+    """A request to the server and its answer or failure, which is reported once."""
 
     on_done: Callable[[ClientAnswer | Break], None]
     connection: ClientConnection | None = None
@@ -44,7 +44,7 @@
     head_only: bool = False
 
     def cancel(self) -> None:
-        """Cancel the request; ``on_done`` is called unless it has been."""
+        """Cancel the exchange; ``on_done`` is called unless it has been."""
         if self.completed:
             return
         if self.connection is not None:
@@ -82,22 +82,22 @@
         accepts: Callable[[ClientAnswer], bool],
         done: Callable[[ClientAnswer | Break], None],
         head_only: bool = False,
-    ) -> PendingRequest:
+    ) -> ServerExchange:
         """Send a whole request; ``fresh`` requires a recently used connection.
 
         With ``head_only`` the answer has no body, whatever length it announces.
         """
-        request = PendingRequest(done, head_only=head_only)
+        exchange = ServerExchange(done, head_only=head_only)
         connection = self._take_idle(fresh)
         if connection is not None:
-            self._send_on(connection, request, data, accepts)
-            return request
+            self._send_on(connection, exchange, data, accepts)
+            return exchange
         task = asyncio.get_running_loop().create_task(
-            self._connect_and_send(address, request, data, accepts)
+            self._connect_and_send(address, exchange, data, accepts)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return request
+        return exchange
 
     def close_idle_connections(self) -> None:
         """Close the idle connections."""
@@ -142,11 +142,11 @@
     def _send_on(
         self,
         connection: ClientConnection,
-        request: PendingRequest,
+        exchange: ServerExchange,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
-        request.connection = connection
+        exchange.connection = connection
         sent_s = self.clock()
         idle_s = sent_s - connection.idle_since_s
 
@@ -158,14 +158,14 @@
                 limit_s = self.read_idle_limit(outcome)
                 if limit_s is not None:
                     connection.idle_limit_s = limit_s
-            request.complete(outcome)
+            exchange.complete(outcome)
 
-        connection.send(data, complete, accepts, request.head_only)
+        connection.send(data, complete, accepts, exchange.head_only)
 
     async def _connect_and_send(
         self,
         address: Address,
-        request: PendingRequest,
+        exchange: ServerExchange,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
@@ -175,15 +175,15 @@
             )
         except OSError:
             # the caller counts this as an unreachable server
-            request.complete(Break.REFUSED)
+            exchange.complete(Break.REFUSED)
             return
         self.on_open()
         if connection.closed:
-            request.complete(Break.REFUSED)
-        elif request.completed:
+            exchange.complete(Break.REFUSED)
+        elif exchange.completed:
             self._add_idle(connection)
         else:
-            self._send_on(connection, request, data, accepts)
+            self._send_on(connection, exchange, data, accepts)
 
     def _reduce_trusted_idle(self, idle_s: float) -> None:
         """Reuse idle connections for less time after the server dropped one."""
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from eelgrassmount.relay.backend import BackendPool, PendingRequest
+    from eelgrassmount.relay.backend import BackendPool, ServerExchange
     from eelgrassmount.relay.budget import RetryBudget
     from eelgrassmount.relay.header_codec import HeaderCodec
     from eelgrassmount.relay.heartbeats import ServerIncarnation
@@ -64,7 +64,7 @@
 
     call: Call
     done: Callable[[Reply], None]
-    sending: PendingRequest | None = None
+    exchange: ServerExchange | None = None
     started_s: float = 0.0
     timeout_s: float = 0.0
     ended: bool = False
@@ -74,7 +74,7 @@
 
     def was_sent_before(self, now_s: float) -> bool:
         """Return whether the server could have read the call before a time."""
-        written = self.sending is not None and self.sending.is_written()
+        written = self.exchange is not None and self.exchange.is_written()
         return written and self.started_s < now_s
 
 
@@ -161,7 +161,7 @@
         The caller then learns in time that the call has not run, and may retry it even
         if it is not idempotent.
         """
-        if job.ended or job.sending is not None or job in self.running:
+        if job.ended or job.exchange is not None or job in self.running:
             return
         self._update_queue_time(self.clock())
         self._change_waiting(job, -1)
@@ -203,13 +203,13 @@
         """Cancel a job; calls that have started run on if not idempotent."""
         if job.ended:
             return
-        if job.sending is None:
+        if job.exchange is None:
             self._update_queue_time(self.clock())
             job.ended = True
             self._change_waiting(job, -1)
         elif job.call.route.idempotent:
             self._count_if_silent(job, self.clock())
-            job.sending.cancel()
+            job.exchange.cancel()
 
     def sweep(self) -> None:
         """Cancel overdue jobs, and count silent ones as failures."""
@@ -221,10 +221,10 @@
             self._count_if_silent(job, now_s)
             if (
                 now_s > job.call.deadline_s + DEADLINE_GRACE_S
-                and job.sending is not None
+                and job.exchange is not None
             ):
                 job.overdue = True
-                job.sending.cancel()
+                job.exchange.cancel()
         self._start_queued()
 
     def handle_restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
@@ -253,8 +253,8 @@
         for job in running:
             job.server_restarted = True
             # cancelling one call may have ended another
-            if job.sending is not None:
-                job.sending.cancel()
+            if job.exchange is not None:
+                job.exchange.cancel()
         self._start_queued()
 
     def update_load(self) -> None:
@@ -343,7 +343,7 @@
             found = self.header_codec.find_request_id(answer.headers)
             return not found or found == request_id
 
-        job.sending = self.pool.send(
+        job.exchange = self.pool.send(
             self.server.address,
             data,
             not call.route.idempotent,
@@ -362,7 +362,7 @@
         self.on_run_end(job, not failed)
         job.ended = True
         # breaks a reference cycle that would keep jobs and their bodies in memory
-        job.sending = None
+        job.exchange = None
         self._update_measures(job, reply, now_s, failed, lost)
         self._start_queued()
         job.done(reply)
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -151,12 +151,12 @@
 class InboundConnection(FrameConnection):
     """A connection that another node has opened."""
 
-    def __init__(self, inbound: InboundLinks):
+    def __init__(self, inbound_links: InboundLinks):
         super().__init__()
-        self.inbound_links = inbound
+        self.inbound_links = inbound_links
         self.jobs: dict[int, Job] = {}
         self.sender = ""
-        self.last_received_s = inbound.clock()
+        self.last_received_s = inbound_links.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send a hello (called by the event loop)."""
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -112,14 +112,14 @@
         else:
             self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
-        made_call = None
+        downstream_call = None
         # downstream calls carry no API key
         if team is None and self._may_be_downstream_call(route):
-            made_call = self._find_caller(exchange, head, route)
-        origin = self._find_origin(route, team, made_call)
+            downstream_call = self._find_caller(exchange, head, route)
+        origin = self._find_origin(route, team, downstream_call)
         call = self._create_call(exchange, head, route, team, deadline_s, origin)
         quota_team = team if team is not None and team.has_quota() else None
-        pending = PendingRequest(exchange, call, made_call, quota_team)
+        pending = PendingRequest(exchange, call, downstream_call, quota_team)
         if not origin.downstream and not self.admission.try_admit(call.request_class):
             self.answers.refuse(pending, Reason.OVERLOAD)
             return
@@ -129,11 +129,11 @@
         self.answers.start(pending)
 
     def _find_origin(
-        self, route: Route, team: Team | None, made_call: DownstreamCall | None
+        self, route: Route, team: Team | None, downstream_call: DownstreamCall | None
     ) -> Origin:
         """Return the client request that a call belongs to, or a new origin."""
-        if made_call is not None:
-            return made_call.make_origin()
+        if downstream_call is not None:
+            return downstream_call.make_origin()
         remaining_runs = self.call_attributor.count_runs(route.name)
         if team is None and self.is_called_by_servers(route.name):
             # unattributed downstream calls get the highest priority
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -231,7 +231,7 @@
     def _respond(
         self, pending: PendingRequest, status: int, head: bytes, body: bytes = b""
     ) -> None:
-        if pending.made_call is not None:
+        if pending.downstream_call is not None:
             # Recorded before the answer is sent, as the next call may follow at once.
-            self.call_attributor.record_answer(pending.made_call, status < 300)
+            self.call_attributor.record_answer(pending.downstream_call, status < 300)
         pending.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -55,7 +55,7 @@
 class PendingRequest:
     """A request that has not been answered yet.
 
-    ``made_call`` identifies the run that made the request if it is a downstream call.
+    ``downstream_call`` identifies the run that made the request, if a run made it.
     ``team`` is set if the request counts against a quota. ``last_reply`` is the latest
     reply, from the node ``server``.
 
@@ -71,7 +71,7 @@
 
     exchange: Exchange
     call: Call
-    made_call: DownstreamCall | None = None
+    downstream_call: DownstreamCall | None = None
     team: Team | None = None
     timer: asyncio.TimerHandle | None = None
     current_attempt: Attempt | None = None
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -32,7 +32,7 @@
 SIGNED = [(b"eelgrassmount-response-signature", b"s")]
 
 
-class FakeSending:
+class FakeExchange:
     def __init__(self, pool, done):
         self.pool = pool
         self.done = done
@@ -50,18 +50,18 @@
 
 class FakePool:
     def __init__(self):
-        self.open: list[FakeSending] = []
+        self.open: list[FakeExchange] = []
         self.sent: list[bytes] = []
         self.fresh: list[bool] = []
-        self.connecting: set[FakeSending] = set()
+        self.connecting: set[FakeExchange] = set()
         self.forgotten: list[int] = []
 
     def send(self, address, data, fresh, accepts, done, head_only=False):
-        sending = FakeSending(self, done)
-        self.open.append(sending)
+        exchange = FakeExchange(self, done)
+        self.open.append(exchange)
         self.sent.append(data)
         self.fresh.append(fresh)
-        return sending
+        return exchange
 
     def reset(self):
         self.forgotten.append(len(self.sent))
