--- a/eelgrassmount/policy/retries.py
+++ b/eelgrassmount/policy/retries.py
@@ -11,7 +11,7 @@
 # Share of the retry ratio that all nodes use together. The rest covers load that moves
 # between nodes within a window.
 RETRY_RATIO_SHARE = 0.75
-# Share of that for calls whose runs make calls: retrying one repeats all of them.
+# Share of that for calls whose runs make calls, all of which a retry repeats.
 NON_LEAF_RATIO_SHARE = 0.11
 # Share of the slack that the nodes divide among them.
 RETRY_SLACK_SHARE = 0.4
@@ -27,7 +27,7 @@
 BURST_SHARE = 0.3
 REFILL_SHARE = 0.8
 # If even the best server of a service fails a larger share of its runs, the cause lies
-# in the services that it calls, and retries only repeat their calls.
+# in the services that it calls, and retries only repeat the calls to these.
 FUTILE_FAILURE_SHARE = 0.15
 
 
@@ -44,7 +44,7 @@
 ) -> RetryAllowance:
     """Return the retries that a dispatcher on one of ``nodes`` may send.
 
-    ``requests`` counts its first attempts in the window. ``is_leaf`` says that a run
+    ``requests`` counts its first attempts in the window. ``is_leaf`` is set if a run
     makes no downstream calls.
 
         >>> compute_retry_allowance(1000, 0.2, 0.0, 14, is_leaf=True)
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -83,7 +83,7 @@
             for one in members
             if one.load.reported_s > oldest_s
             and one.load.limit
-            # the slots of a draining server are not usable
+            # The slots of a draining server are not usable.
             and one.load.accepting
         ]
 
@@ -148,7 +148,7 @@
         """Request load reports from nodes of an overloaded service.
 
         Nodes report to their callers. A node that refuses all requests for a service
-        makes no calls to it, and without new reports would never admit them again.
+        makes no calls to it, and without new reports would continue to refuse them.
         """
         for member in members:
             if member.is_connected() and member.load.reported_s <= oldest_s:
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -17,9 +17,9 @@
     from eelgrassmount.util.addresses import Address
 
 CONNECT_TIMEOUT_S = 1.0
-# idle timeout of connections if the server announces none
+# Idle timeout of connections if the server announces none.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# subtracted from the server's idle timeout, which starts earlier than the node's
+# Subtracted from the server's idle timeout, which starts earlier than the node's.
 IDLE_TIMEOUT_MARGIN_S = 1.0
 # A non-idempotent request is sent only on a connection that was idle for less: if the
 # server has dropped the connection, nothing shows whether the request ran.
@@ -28,9 +28,9 @@
 # the next request was dropped by the server as idle, not closed by a crash.
 MIN_DROPPED_IDLE_S = 0.05
 MAX_DROP_DETECTION_S = 0.05
-# after such a drop, connections are reused for this share of that idle time
+# After such a drop, connections are reused for this share of that idle time.
 TRUSTED_IDLE_SHARE = 0.6
-# factor by which the trusted idle time recovers at each sweep
+# Factor by which the trusted idle time recovers at each sweep.
 TRUSTED_IDLE_GROWTH = 1.1
 
 
@@ -174,7 +174,7 @@
                 address, CONNECT_TIMEOUT_S, self._add_idle, self._remove_idle
             )
         except OSError:
-            # the caller counts this as an unreachable server
+            # The caller counts this as an unreachable server.
             exchange.complete(Break.REFUSED)
             return
         self.on_open()
--- a/eelgrassmount/relay/budget.py
+++ b/eelgrassmount/relay/budget.py
@@ -23,7 +23,7 @@
     from eelgrassmount.relay.messages import Origin
 
 BUCKETS_PER_WINDOW = 20
-# oldest requests that are counted for the budget of a window
+# Windows whose requests count for the retry budget.
 MAX_PAST_WINDOWS = 2
 # Discount for requests of earlier windows. Nodes have their peaks in different
 # windows, and the sum of the peaks exceeds the requests of any single window.
@@ -160,7 +160,7 @@
         reserved = allowed.burst * compute_reserved_share(
             origin.remaining_runs, origin.priority
         )
-        # nodes with few requests may send less than one retry at once
+        # Nodes with few requests may send less than one retry at once.
         if budget.tokens < max(reserved, min(1.0, allowed.burst)):
             return False
         budget.spend(now_s)
--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -17,7 +17,7 @@
 
     from eelgrassmount.relay.messages import Call
 
-# longest time between an answer on a connection and the same run's next call on it
+# Longest time between an answer on a connection and the same run's next call on it.
 MAX_CONTINUATION_DELAY_S = 0.0005
 # A call with the deadline of its run may state it earlier, as each hop truncates it to
 # milliseconds, or later, by the time that the call took to get here.
@@ -32,11 +32,11 @@
 # With more runs in flight, runs are not compared by age: the comparison would find few
 # callers, at a cost that grows with each run.
 MAX_COMPARED_RUNS = 24
-# how long a failed call without a known run can explain the failure of a run
+# How long a failed call without a known run can explain the failure of a run.
 FAILURE_MATCH_WINDOW_S = 1.0
-# time from the start of a run to its first call, and the share by which each first call
+# Time from the start of a run to its first call, and the share by which each first call
 # moves the estimate towards the median; a mean would follow the few calls that are
-# attributed to a wrong run
+# attributed to a wrong run.
 DEFAULT_FIRST_CALL_DELAY_S = 0.01
 FIRST_CALL_DELAY_STEP_SHARE = 0.02
 MIN_RUN_AGE_S = 0.0001
--- a/eelgrassmount/relay/completed.py
+++ b/eelgrassmount/relay/completed.py
@@ -9,9 +9,9 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# factor by which the counts decay each second
+# Factor by which the counts decay each second.
 DECAY_FACTOR = 0.97
-# counts below this are dropped
+# Counts below this are dropped.
 MIN_COUNT = 0.5
 
 
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -21,9 +21,9 @@
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.shared_state import SharedState
 
-# rows of each kind in one report
+# Rows of each kind in one report.
 MAX_ROWS = 200
-# steps between two reports with rows
+# Steps between two reports with rows.
 ROWS_PERIOD_STEPS = 5
 # Limit on the mean number of reports per step. With more receivers, each gets reports
 # less often; their number would otherwise grow with the square of the number of nodes.
@@ -31,11 +31,11 @@
 # The same while the local server is loaded. Reports then go to all connected nodes, as
 # requests of nodes that don't call this one may lead to it through other services.
 MAX_REPORTS_PER_STEP_LOADED = 40
-# demand (fraction of capacity) and wait (fraction of the maximum mean wait) above which
-# the local server counts as loaded
+# Demand (fraction of capacity) and wait (fraction of the maximum mean wait) above which
+# the local server counts as loaded.
 MIN_LOADED_DEMAND = 0.7
 MIN_LOADED_WAIT = 0.3
-# units of the integers in reports
+# Units of the integers in reports.
 PER_MILLE = 1000
 PPM = 1_000_000
 MS_PER_S = 1000.0
@@ -60,7 +60,7 @@
         self._update_local_load()
         self.update_admission()
         self.update_shares(self.state.table)
-        # in parts, so as not to block the event loop
+        # In parts, so as not to block the event loop.
         self.state.learner.continue_solving()
         self._steps += 1
         if self._steps - self._last_report_step >= self._compute_report_period():
--- a/eelgrassmount/relay/decisions.py
+++ b/eelgrassmount/relay/decisions.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# failures and retries; the burst is two seconds of lines
+# Failures and retries; the burst is two seconds of lines.
 MAX_LINES_PER_S = 10.0
 MAX_BURST_LINES = 20.0
-# successful requests
+# Successful requests.
 MAX_SAMPLES_PER_S = 0.2
 
 
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -35,13 +35,15 @@
     from eelgrassmount.retry.quarantine import Quarantine
 
 CallLater = Callable[[float, Callable[[], None]], object]
-# shortest time before the deadline in which a call is still run
+# Calls with less time before their deadline are not run.
 MIN_RUN_TIME_S = 0.005
-# queued calls are refused so long before their deadline, for the reply to arrive
+# Queued calls are refused this long before their deadline, so that the reply arrives
+# in time.
 EXPIRY_MARGIN_S = 0.012
-# overdue calls are cancelled so long after their deadline
+# Overdue calls are cancelled this long after their deadline.
 DEADLINE_GRACE_S = 0.3
-# connections that break so long before the server is gone count as crashed
+# Calls on connections that break this long before the server becomes unreachable are
+# suspected of crashing it.
 CRASH_WINDOW_S = 1.0
 REJECTION_LOG_INTERVAL_S = 1.0
 
@@ -126,7 +128,7 @@
         if reason is not None:
             self._refuse(job, reason)
             return
-        # calls that several servers refuse count as demand only once
+        # Calls that several servers refuse count as demand only once.
         if not job.call.counted_as_demand:
             self.measures.arrivals += 1
             self.budget.count_request(job.call.service)
@@ -231,7 +233,7 @@
         """Finish the calls that were lost in a restart of the server.
 
         Calls sent before ``restarted_s`` may have run at the incarnation ``ended`` or
-        at the new one, so that they are neither reported as *not run* nor sent again.
+        at the new one, so that they are neither reported as *not run* nor retried.
         Later calls have reached the new incarnation and continue; queued calls are sent
         to it.
         """
@@ -247,12 +249,12 @@
         )
         if suspects:
             self.on_crash(ended, suspects)
-        # must precede the cancellations, which start queued calls
+        # Must precede the cancellations, which start queued calls.
         self.pool.reset()
         self.measures.reset()
         for job in running:
             job.server_restarted = True
-            # cancelling one call may have ended another
+            # Cancelling one call may have ended another.
             if job.exchange is not None:
                 job.exchange.cancel()
         self._start_queued()
@@ -361,7 +363,7 @@
         lost = failed and self.claim_loss(job)
         self.on_run_end(job, not failed)
         job.ended = True
-        # breaks a reference cycle that would keep jobs and their bodies in memory
+        # Breaks a reference cycle that would keep jobs and their bodies in memory.
         job.exchange = None
         self._update_measures(job, reply, now_s, failed, lost)
         self._start_queued()
@@ -432,7 +434,7 @@
         if job.server_restarted:
             return
         if reply.reason is Reason.SERVER_SHED:
-            # the server rejects calls although it has free slots
+            # The server rejects calls although it has free slots.
             self.measures.record_outcome(True)
         if reply.outcome is Outcome.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
--- a/eelgrassmount/relay/estimates.py
+++ b/eelgrassmount/relay/estimates.py
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from eelgrassmount.relay.states import StateTable
 
-# expectation-maximization steps of a first estimate
+# Expectation-maximization steps of a first estimate.
 FIRST_ESTIMATE_STEPS = 25
-# steps of a further estimate, which starts from the previous one
+# Steps of a further estimate, which starts from the previous one.
 FURTHER_ESTIMATE_STEPS = 5
-# exponent of the correction in all steps but the last: over-relaxation, which speeds up
-# convergence
+# Exponent of the correction in all steps but the last: over-relaxation, which speeds up
+# convergence.
 RELAXATION_EXPONENT = 1.8
-# limit on the work of a first estimate, so as not to block the event loop
+# Limit on the work of a first estimate, so as not to block the event loop.
 MAX_FIRST_ESTIMATE_TERMS = 100_000
-# initial rates are at least this share of the mean, as a rate of zero would never grow
+# Initial rates are at least this share of the mean, as a rate of zero would never grow.
 MIN_START_SHARE = 0.05
-# smaller pivots count as zero
+# Smaller pivots count as zero.
 MIN_PIVOT = 1e-9
 
 
@@ -79,7 +79,7 @@
             rate * factor**RELAXATION_EXPONENT
             for rate, factor in zip(rates, factors, strict=True)
         ]
-    # without over-relaxation, the last step is exact for identifiable rates
+    # Without over-relaxation, the last step is exact for identifiable rates.
     factors = _compute_corrections(calls, exposures, rates)
     return [rate * factor for rate, factor in zip(rates, factors, strict=True)]
 
@@ -141,7 +141,7 @@
             expected = call_rate * duration
             excess += (calls.get(state, 0.0) - expected) ** 2 / (expected + 1.0)
     dispersion = math.sqrt(max(1.0, excess / max(1, len(call_rates) - len(rates))))
-    # states without a positive rate carry no information
+    # States without a positive rate carry no information.
     divisors = [call_rate if call_rate > 0 else math.inf for call_rate in call_rates]
     weights = list(map(truediv, durations.amounts, divisors))
     variances = invert_diagonal(_sum_products(durations.columns, weights))
--- a/eelgrassmount/relay/heartbeats.py
+++ b/eelgrassmount/relay/heartbeats.py
@@ -4,9 +4,9 @@
 
 from attrs import frozen
 
-# start time of a server that is known only from its answers
+# Start time of a server that is known only from its answers.
 UNKNOWN_START = 0
-# sequence before the first heartbeat, and of a leave message
+# Sequence before the first heartbeat, and of a leave message.
 NO_SEQUENCE = -1
 MS_PER_S = 1000.0
 
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -57,10 +57,10 @@
     """Accepts links from other nodes.
 
     A call is identified by its sender, including the sender's incarnation, and its
-    sequence. A call that is received again, over any connection, is therefore matched
-    with the first one. Replies are stored for calls that are not idempotent, and for
-    calls that finished while their sender was disconnected. ``senders`` holds the
-    highest sequence of each sender.
+    sequence, so that a call that arrives twice, over any connections, is recognized.
+    Replies are stored for calls that are not idempotent, and for calls that finished
+    while their sender was disconnected. ``senders`` holds the highest sequence of each
+    sender.
     """
 
     incarnation: str
@@ -176,7 +176,7 @@
         loop.call_later(REJOIN_TIMEOUT_S, self._drop_unless_paused, waiting_since_s)
 
     def _drop_unless_paused(self, waiting_since_s: float) -> None:
-        """Drop the remaining jobs, or wait again if this process was paused."""
+        """Drop the remaining jobs, or wait longer if this process was paused."""
         now_s = self.inbound_links.clock()
         if now_s - waiting_since_s > 2 * REJOIN_TIMEOUT_S:
             self._schedule_drop(now_s)
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -26,7 +26,7 @@
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.taker import QuotaTaker, QuotaVerdict
 
-# used for requests without a deadline
+# Used for requests without a deadline.
 DEFAULT_REMAINING_MS = 60_000
 
 
@@ -113,7 +113,7 @@
             self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
         downstream_call = None
-        # downstream calls carry no API key
+        # Downstream calls carry no API key.
         if team is None and self._may_be_downstream_call(route):
             downstream_call = self._find_caller(exchange, head, route)
         origin = self._find_origin(route, team, downstream_call)
@@ -136,7 +136,7 @@
             return downstream_call.make_origin()
         remaining_runs = self.call_attributor.count_runs(route.name)
         if team is None and self.is_called_by_servers(route.name):
-            # unattributed downstream calls get the highest priority
+            # Unattributed downstream calls get the highest priority.
             return Origin(0, downstream=True, remaining_runs=remaining_runs)
         return Origin(self.table.find_rank(route, team), remaining_runs=remaining_runs)
 
--- a/eelgrassmount/relay/internal_routes.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -9,15 +9,15 @@
 
     from eelgrassmount.relay.tallies import ServiceCounts
 
-# factor by which request counts decay at each interval
+# Factor by which request counts decay at each interval.
 COUNT_DECAY_FACTOR = 0.972
-# count below which a route that has left the configuration is dropped
+# Count below which a route that has left the configuration is dropped.
 MIN_COUNT = 0.01
-# a route counts as missing on the VMs of a service only if at least this many requests
-# are expected there
+# A route counts as missing on the VMs of a service only if at least this many requests
+# are expected there.
 MIN_REQUESTS = 15.0
-# on the VMs of each service, clients request a route at least at this share of its
-# highest rate on those of any service
+# On the VMs of each service, clients request a route at least at this share of its
+# highest rate on those of any service.
 MIN_CLIENT_SHARE = 0.05
 
 
--- a/eelgrassmount/relay/learning.py
+++ b/eelgrassmount/relay/learning.py
@@ -16,10 +16,10 @@
     from eelgrassmount.policy.shedding import RequestClass
     from eelgrassmount.relay.shared_state import SharedState
 
-# how long after its start a node relies on call vectors of others, if there are any:
-# its first counts would suggest that routes make no calls
+# Time after its start in which a node uses only the call vectors of other nodes, if
+# there are any: its first counts would suggest that routes make no calls.
 LEARNING_PERIOD_S = 4.0
-# runs of all nodes after which a route without observed calls is taken to make none
+# Runs of all nodes after which a route without observed calls is taken to make none.
 MIN_SETTLED_RUNS = 200.0
 
 
@@ -64,7 +64,7 @@
 
 
 def _is_learning(state: SharedState) -> bool:
-    """Return whether the node has just started and can use vectors of others."""
+    """Return whether the node has just started and can use vectors of other nodes."""
     has_just_started = state.clock() - state.started_s < LEARNING_PERIOD_S
     return has_just_started and bool(state.graph.calls_per_run)
 
--- a/eelgrassmount/relay/link.py
+++ b/eelgrassmount/relay/link.py
@@ -39,7 +39,7 @@
 # A longer time between two checks means that this process was paused, so that silence
 # of its peers says nothing.
 LOCAL_PAUSE_S = 0.25
-# How often a call is sent again over a new connection before it fails.
+# Number of times that a call is resent over a new connection before it fails.
 MAX_RESUMES = 5
 # Minimum time between log lines on the silence of one peer.
 SILENCE_LOG_INTERVAL_S = 5.0
@@ -78,8 +78,8 @@
     A broken connection is replaced. A silent connection stays open, since the peer may
     only be paused, and a second connection is opened beside it. If the second receives
     a frame and the first stays silent, the link switches to the second. Pending calls
-    are then sent again, marked as resumed, so that the same incarnation of the peer
-    can match them with the calls it already has. They fail when the peer accepts no
+    are then resent, marked as resumed, so that the same incarnation of the peer can
+    match them with the calls it already has. They fail when the peer accepts no
     connection.
     """
 
@@ -136,7 +136,7 @@
         return sequence
 
     def cancel(self, sequence: int) -> None:
-        """Drop a pending call and ask the peer to cancel it."""
+        """Drop a pending call and request its cancellation by the peer."""
         pending = self.pending_calls.pop(sequence, None)
         if pending is not None and pending.written and self._connection is not None:
             self._connection.send(FrameKind.CANCEL, ttypes.RelayCancel(sequence))
--- a/eelgrassmount/relay/measures.py
+++ b/eelgrassmount/relay/measures.py
@@ -11,18 +11,18 @@
 
     from eelgrassmount.relay.routes import Route
 
-# maximum mean wait: its share of the shortest time limit for calls, and its bounds
+# Maximum mean wait: its share of the shortest time limit for calls, and its bounds.
 MEAN_WAIT_SHARE = 0.3
 MIN_MEAN_WAIT_S = 0.01
 MAX_MEAN_WAIT_S = 0.1
 MIN_LOAD_SPAN_S = 0.01
-# smoothing factor of durations and failures
+# Smoothing factor of durations and failures.
 SAMPLE_WEIGHT = 0.05
 # Weight, relative to a finished run, with which a run that failed by a lost call counts
 # as a success of the server. Without it, a few wrongly attributed failures would make
 # the server seem to fail where nearly all runs lose a call.
 LOST_RUN_WEIGHT = 0.5
-# smoothing factor of demand
+# Smoothing factor of demand.
 DEMAND_WEIGHT = 0.4
 # A run counts as silent, and as failed, once it exceeds both this multiple of its usual
 # duration and this share of its objective. Callers cancel runs at their deadline, so a
@@ -102,7 +102,7 @@
         that call an overloaded one seem overloaded too.
         """
         self.lost_share += SAMPLE_WEIGHT * (1.0 - self.lost_share)
-        # the server itself did not fail the run
+        # The server itself did not fail the run.
         self.failure_share -= LOST_RUN_WEIGHT * SAMPLE_WEIGHT * self.failure_share
 
     def compute_silence_timeout_s(self, route: Route) -> float:
@@ -118,7 +118,7 @@
         return DEFAULT_RUN_S if stats is None else stats.run_s
 
     def record_queue_length(self, queued: int, now_s: float) -> None:
-        """Record the number of calls that have waited since the last record."""
+        """Record the number of calls that have waited since the last recording."""
         self._queued_call_seconds += (now_s - self._last_queue_sample_s) * queued
         self._last_queue_sample_s = now_s
 
--- a/eelgrassmount/relay/members.py
+++ b/eelgrassmount/relay/members.py
@@ -11,11 +11,11 @@
 
     from eelgrassmount.relay.link import PeerLink
 
-# delay before an unreachable node is tried again; doubles with each failure
+# Delay before the next connection to an unreachable node; doubles with each failure.
 MIN_RETRY_DELAY_S = 0.25
 MAX_RETRY_DELAY_S = 3.0
 MAX_MEMBERS = 10_000
-# an older report says nothing about the current load
+# Older reports are ignored.
 MAX_REPORT_AGE_S = 1.5
 
 
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -44,7 +44,7 @@
 class Reply:
     """The result of one attempt of a call.
 
-    ``head`` holds whole header lines of the server's answer. ``reason`` says why there
+    ``head`` holds whole header lines of the server's answer. ``reason`` is set if there
     is no answer.
     """
 
@@ -87,7 +87,7 @@
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
         """Return whether this content is quarantined for crashing servers."""
-        # the digest is only needed if there are suspects
+        # The digest is only needed if there are suspects.
         if not quarantine.suspects:
             return False
         return quarantine.check(self.find_digest(), now_s) is not None
--- a/eelgrassmount/relay/persistent_connections.py
+++ b/eelgrassmount/relay/persistent_connections.py
@@ -53,7 +53,7 @@
                 FailureKind.UNANSWERED, f"no answer within {timeout_s} s"
             )
         finally:
-            # a connection with an unanswered request cannot be reused
+            # A connection with an unanswered request cannot be reused.
             if not outcome.done() or outcome.cancelled():
                 connection.cancel()
         if isinstance(answer, Break):
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# minimum time between lines on the same source and cause
+# Minimum time between two log lines on the same source and cause.
 LOG_INTERVAL_S = 60.0
-# causes beyond this are counted but not logged
+# Causes beyond this are counted but not logged.
 MAX_TRACKED_CAUSES = 256
-# longest source or detail in a line
+# Maximum length of a source or detail in a log line.
 MAX_SHOWN_CHARS = 200
 
 
@@ -63,7 +63,7 @@
         self.totals[kind] = self.totals.get(kind, 0) + messages
         self.count(kind, messages)
         if self._may_log((kind, source[:MAX_SHOWN_CHARS], cause)):
-            # configurations come from the operator and concern all nodes
+            # Configurations come from the operator and concern all nodes.
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
--- a/eelgrassmount/relay/reload.py
+++ b/eelgrassmount/relay/reload.py
@@ -15,7 +15,7 @@
 
     from eelgrassmount.relay.settings import RelaySettings
 
-# interval of checks for changes of the file that no signal announces
+# Interval of checks for changes of the file that no signal announces.
 RELOAD_CHECK_INTERVAL_S = 2.0
 
 
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -14,7 +14,7 @@
 
     from eelgrassmount.teams.directory import Team
 
-# rank of the least urgent requests
+# Rank of the least urgent requests.
 MAX_RANK = 1_000_000
 
 
@@ -112,7 +112,7 @@
         found = self._by_host.get(host)
         if found is None:
             return None
-        # a host has few distinct prefix lengths
+        # A host has few distinct prefix lengths.
         for length in self._lengths[host]:
             route = found.get(path[:length])
             if route is not None:
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -22,11 +22,12 @@
     from eelgrassmount.relay.members import Member, MemberTable
     from eelgrassmount.relay.routes import Route
 
-# relative noise on scores, so that nodes with equal information choose differently
+# Relative noise on scores, so that nodes with equal information choose differently.
 SCORE_NOISE_SHARE = 0.05
-# one choice in so many goes to the least recently used node, to refresh its load
+# Number of choices of which one goes to the least recently used node, to refresh its
+# load.
 EXPLORATION_INTERVAL = 100
-# nodes compared per choice
+# Nodes compared per choice.
 MAX_CANDIDATES = 12
 
 
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -27,18 +27,18 @@
     from eelgrassmount.relay.routing import Router
     from eelgrassmount.teams.directory import Team
 
-# refusals by nodes before a call is given up
+# Refusals by nodes after which a call gets no further attempt.
 MAX_REFUSALS = 4
-# refusals for lack of retry budget before a call is given up
+# Refusals for lack of retry budget after which a call gets no further attempt.
 MAX_BUDGET_REFUSALS = 2
-# rejections by servers and attempts before a call is given up
+# Rejections by servers and attempts after which a call gets no further attempt.
 MAX_REJECTIONS = 8
 GATEWAY_TIMEOUT = 504
-# shortest time before the deadline in which a retry may succeed
+# Calls with less time before their deadline are not retried.
 MIN_RETRY_TIME_S = 0.02
 
 
-# other nodes would refuse the call for the same reason
+# Other nodes would refuse the call for the same reason.
 _FINAL_REASONS = (Reason.QUARANTINED, Reason.DEADLINE)
 
 
@@ -161,7 +161,7 @@
             call.service, {*pending.excluded, member.name}
         ):
             return
-        # the silent attempt counts, as it may have reached its server
+        # The silent attempt counts, as it may have reached its server.
         attempts = pending.attempts + 1
         if attempts >= call.route.max_attempts or not self._has_time_to_retry(call):
             return
@@ -242,7 +242,7 @@
         pending.attempts += 1
         if reply.status >= 500:
             pending.may_have_run = True
-            # a server that ran out of time would do so again
+            # A server that ran out of time would probably do so on a retry.
             futile = reply.status == GATEWAY_TIMEOUT or self._is_retry_futile(
                 pending.call
             )
@@ -261,7 +261,7 @@
         pending.refusals += 1
         pending.excluded.add(member.name)
         if reply.reason in (Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING):
-            # until the next load report of the node
+            # Until the next load report of the node.
             member.load.accepting = False
             member.load.reported_s = self.clock()
         if reply.reason is Reason.SERVER_SHED:
@@ -289,8 +289,8 @@
         """Retry a call that a server has read but not run.
 
         The limit of servers per request applies, but servers that rejected the call may
-        be tried again: while all servers reject many calls, a request with several
-        calls would otherwise rarely succeed.
+        get further attempts: while all servers reject many calls, a request with
+        several calls would otherwise rarely succeed.
         """
         pending.rejections += 1
         pending.rejecting_nodes.add(member.name)
--- a/eelgrassmount/relay/server.py
+++ b/eelgrassmount/relay/server.py
@@ -16,14 +16,14 @@
     from eelgrassmount.relay.heartbeats import Heartbeat
     from eelgrassmount.util.addresses import Address
 
-# share of the server's slots that the node fills: a nearly full server slows down
+# Share of the server's slots that the node fills: a nearly full server slows down.
 MAX_SLOT_SHARE = 0.93
 DEFAULT_SLOTS = 16
-# delay before the next connection attempt after a refused one
+# Delay before the next connection attempt after a refused one.
 RECONNECT_DELAY_S = 0.25
-# ended identities whose late heartbeats are still recognized; the oldest are dropped
+# Ended identities whose late heartbeats are still recognized; the oldest are dropped.
 MAX_ENDED_IDENTITIES = 50
-# later than any start: marks all starts of an identity as ended
+# Later than any start: marks all starts of an identity as ended.
 ANY_START = math.inf
 
 
@@ -81,7 +81,7 @@
             return
         if current is not None:
             self._mark_ended(current)
-        # an answer proves that the identity is running, even if it was marked as ended
+        # An answer proves that the identity is running, even if it was marked as ended.
         self._ended.pop(identity, None)
         self.incarnation = ServerIncarnation(identity)
         self.sequence = NO_SEQUENCE
@@ -119,7 +119,7 @@
         changed = heartbeat.draining and not self.draining
         self.draining = self.draining or heartbeat.draining
         self.slots = heartbeat.slots or self.slots
-        # the server is alive: a connection may be tried at once
+        # The server is alive: a connection may be tried at once.
         self.unreachable_until_s = 0.0
         return changed or learned
 
@@ -144,7 +144,7 @@
     def _start_incarnation(self, heartbeat: Heartbeat) -> None:
         """Replace the current incarnation and discard all state of the old one."""
         self.incarnation = heartbeat.incarnation
-        # later messages are compared with the start of the current incarnation
+        # Later messages are compared with the start of the current incarnation.
         self._ended.pop(heartbeat.incarnation.identity, None)
         self.sequence = heartbeat.sequence
         self.draining = heartbeat.draining
--- a/eelgrassmount/relay/settings.py
+++ b/eelgrassmount/relay/settings.py
@@ -10,7 +10,7 @@
 from eelgrassmount.policy.quotas import QuotaBounds
 from eelgrassmount.util.addresses import Address
 
-# smallest and largest value of each optional setting; times are at most a day
+# Smallest and largest value of each optional setting; times are at most a day.
 OPTIONAL_SETTING_RANGES = {
     "retry_ratio": (0.0, 100.0),
     "retry_window_s": (0.1, 86400.0),
--- a/eelgrassmount/relay/shared_state.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -21,9 +21,9 @@
     from eelgrassmount.relay.members import MemberTable
     from eelgrassmount.relay.server import LocalServer
 
-# objective and timeout of a route that only another node has in its configuration
+# Objective and timeout of a route that only another node has in its configuration.
 UNKNOWN_ROUTE_TIMEOUT_S = 5.0
-# a removed route stays known until its runs, which may still make calls, have ended
+# A removed route stays known until its runs, which may still make calls, have ended.
 REMOVED_ROUTE_RETENTION_S = 30.0
 
 
--- a/eelgrassmount/relay/stalls.py
+++ b/eelgrassmount/relay/stalls.py
@@ -12,9 +12,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# shorter stalls are ignored; below the time after which other nodes avoid a silent node
+# Shorter stalls are ignored. Below the time after which other nodes avoid a silent
+# node.
 MIN_STALL_S = 0.2
-# limits log lines, not the counter
+# Limits log lines, not the counter.
 MIN_LOG_INTERVAL_S = 1.0
 
 
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# rows of each kind in a message; the largest counts come first
+# Rows of each kind in a message; the largest counts come first.
 MAX_ROWS = 200
 
 
--- a/eelgrassmount/relay/vectors.py
+++ b/eelgrassmount/relay/vectors.py
@@ -24,39 +24,39 @@
     from collections.abc import Callable
 
 
-# interval over which requests are counted
+# Interval over which requests are counted.
 REQUEST_COUNT_INTERVAL_S = 0.25
-# factor by which counts decay at each solution, once a second
+# Factor by which counts decay at each solution, once a second.
 DECAY_FACTOR = 0.97
-# fewer calls per run count as coincidence
+# Fewer calls per run are not significant.
 MIN_CALLS_PER_RUN = 0.3
-# routes with fewer calls per run are not considered as callers
+# Routes with fewer calls per run never count as callers.
 MIN_CANDIDATE_CALLS_PER_RUN = 0.1
-# multiple of its standard error that a rate must reach
+# Multiple of its standard error that a rate must reach.
 MIN_SIGNIFICANCE = 4.0
-# runs that a route must have had before its vector is used
+# Runs of a route from which on its vector is used.
 MIN_RUNS = 20.0
-# routes with a place in the states; the time of a solution grows with their square
+# Routes with a place in the states; the time of a solution grows with their square.
 MAX_TRACKED_ROUTES = 16
 # Decaying runs from which on a route is tracked, and below which it no longer is. Calls
-# of untracked routes may be attributed to tracked ones, so a route is tracked well
-# before MIN_RUNS.
+# of untracked routes may be attributed to tracked ones, so a route is tracked long
+# before it reaches MIN_RUNS.
 MIN_RUNS_TO_TRACK = 4.0
 MIN_RUNS_TO_STAY_TRACKED = 2.0
-# factor by which the runs of a route must exceed those of a tracked one to replace it
+# Factor by which the runs of a route must exceed those of a tracked one to replace it.
 DISPLACEMENT_FACTOR = 2.0
-# states in a table, the most frequent ones; more are more exact, but take more time
+# States in a table; only the most frequent ones are stored.
 MAX_STATES = 1000
-# limit on the work of one step, so as not to block the event loop; the remaining called
-# routes are estimated in later steps
+# Limit on the work of one step, so as not to block the event loop; the remaining called
+# routes are estimated in later steps.
 MAX_TERMS_PER_STEP = 4000
-# decaying counts below this are dropped
+# Decaying counts below this are dropped.
 MIN_COUNT = 0.5
-# called routes with a table of calls by state
+# Called routes with a table of calls by state.
 MAX_CALLED_ROUTES = 16
-# smallest count of calls that is reported to other nodes
+# Smallest count of calls that is reported to other nodes.
 MIN_REPORTED_CALLS = 0.1
-# calls in the counts of all nodes from which on a route counts as their caller
+# Calls in the counts of all nodes from which on a route counts as the caller.
 MIN_POOLED_CALLS = 16.0
 
 
@@ -151,7 +151,7 @@
         self._callers = {
             name: callers for name, callers in self._callers.items() if name in called
         }
-        # the last is estimated first: it has waited longest
+        # Estimated from the end of the list: the last route has waited longest.
         self._pending = [
             *reversed(self._callers),
             *sorted(called - self._callers.keys(), reverse=True),
@@ -196,7 +196,7 @@
         while self._pending and terms < MAX_TERMS_PER_STEP:
             called = self._pending.pop()
             table = self._read_table(self._calls[called])
-            # move the route to the end, as the latest
+            # Moves the route to the end, as the latest one.
             self._callers.pop(called, None)
             self._callers[called] = self._find_callers(called, table, durations)
             terms += (len(durations.states) + len(table)) * len(self._places)
@@ -250,7 +250,7 @@
         running = self._running.get(route_name, 0)
         self._places[route_name] = len(self._places)
         self._in_flight.append(running)
-        # on average, runs in flight have made half of their calls
+        # On average, runs in flight have half of their calls ahead of them.
         self._run_counts.append(running / 2)
 
     def _update_state(self) -> None:
@@ -273,7 +273,7 @@
         self._run_counts = [self._run_counts[place] for place in places]
         self._places = {name: place for place, name in enumerate(kept)}
         for name in sorted(selected - self._places.keys()):
-            # an index beyond those in use: no state has runs of this route
+            # An index beyond those in use: no state has runs of this route.
             places.append(len(previous) + len(places))
             self._track_route(name)
         if list(self._places) != self._table_routes:
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-# depends on the process, so that concurrent test runs use different addresses
+# Depends on the process, so that concurrent test runs use different addresses.
 LOOPBACK_PREFIX = f"127.{64 + os.getpid() % 128}"
 LOG = Address(f"{LOOPBACK_PREFIX}.0.1", 8309)
 HOST = "shop.example"
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -21,7 +21,7 @@
     from eelgrassmount.compose.relay_node import RelayNode
     from eelgrassmount.http1.client import Break, ClientAnswer
 
-# depends on the process, so that concurrent test runs use different addresses
+# Depends on the process, so that concurrent test runs use different addresses.
 HOST = f"127.78.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
 SETTINGS = RelaySettings(
     name="node-1",
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -38,7 +38,7 @@
     for route, count in ((BOOK, book), (STATUS, status), (PRICE, price)):
         for _ in range(count):
             admission.try_admit(classify(route))
-    # the shared service gets 20 calls of bookings, 10 of status checks, 20 of prices
+    # The shared service gets 20 calls of bookings, 10 of status checks, 20 of prices.
     admission.update(TABLE)
     return admission
 
@@ -159,7 +159,7 @@
         graph.set_calls(route.name, called)
     graph.calls_per_run.lookups = 0
     counts = graph.count_calls_by_service(routes[0], table)
-    # directly, and over longer paths that return to the route
+    # Directly, and over longer paths that return to the route.
     assert counts["s1"] == pytest.approx(
         sum(compute_expected_calls(depth) for depth in range(7))
     )
@@ -213,7 +213,7 @@
         graph.calls_per_run[route.name] = dict.fromkeys(others, 1.0)
     chains = sum(39.0**depth for depth in range(MAX_CHAIN_DEPTH + 1))
     assert graph.count_calls_by_service(routes[0], table) == {"desk": chains}
-    # all chains are equally long, so that none is part of another
+    # All chains are equally long, so that none is part of another.
     assert graph.find_time_allowance(routes[0], table) == routes[0].objective_s
 
 
@@ -224,7 +224,7 @@
     graph.set_calls(PRICE.name, {BOOK.name: 0.0})
     found = graph.count_calls_by_service(BOOK, TABLE)
     assert found == {"desk": 1.0, "proof": 2.0, "rate": 6.0}
-    # 0.4 s are divided among 1 booking, 5 unknown calls, and 2 parts of 4 runs each
+    # 0.4 s are divided among 1 booking, 5 unknown calls, and 2 parts of 4 runs each.
     share = 4.0 / (1.0 + 5.0 + 2.0 * (1.0 + 3.0))
     assert graph.find_time_allowance(PART, TABLE) == pytest.approx(0.4 * share)
 
@@ -270,7 +270,7 @@
         admission.admitted_fractions[one]
         for one in sorted(offered, key=lambda d: d.rank)
     ]
-    # 30 of the 60 calls are of the first team, 20 of the bookings of the second
+    # 30 of the 60 calls are of the first team, 20 of the bookings of the second.
     assert shares == pytest.approx([1.0, 1.0, 0.75, 0.0])
 
 
@@ -289,7 +289,7 @@
         )
         admission.update(TABLE)
         admitted += admission.try_admit(classify(PRICE))
-    # bookings and price lists each make half of the calls
+    # Bookings and price lists each make half of the calls.
     assert 0.9 * 400 < admitted < 1.1 * 400
 
 
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -104,7 +104,7 @@
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
         lone.change_settings(service="ledger")
-        # the settings alone change nothing: the earlier server may still run
+        # The settings alone change nothing: the earlier server may still run.
         assert lone.node.beliefs.server.service == "desk"
         assert (await lone.announce(sequence=2)).status == 421
         assert (await lone.announce("i-2", service="ledger")).status == 200
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -15,7 +15,7 @@
 HOST = f"{LOOPBACK_PREFIX}.3.1"
 REQUEST = b"GET /list/1 HTTP/1.1\r\ncontent-length: 0\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
-# idle timeout of the server in these tests
+# Idle timeout of the server in these tests.
 SERVER_IDLE_TIMEOUT_S = 0.1
 
 
@@ -142,7 +142,7 @@
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
         setup.now_s += 0.01
-        # the server crashes
+        # The server crashes.
         await setup.send(False)
         for transport in list(setup.pool._idle):
             transport.transport.abort()
@@ -187,7 +187,7 @@
         setup.pool.reset()
         await setup.send(False)
         assert setup.server.opened == opened + 1
-        # the shorter idle time learned from the earlier start no longer applies
+        # The shorter idle time learned from the earlier start no longer applies.
         setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         assert isinstance(await setup.send(False), ClientAnswer)
         assert setup.server.opened == opened + 1
--- a/tests/relay/test_call_attribution.py
+++ b/tests/relay/test_call_attribution.py
@@ -175,7 +175,7 @@
     setup.start_run("j1", BOOK)
     assert not setup.attributor.has_lost_call("j1")
     call = setup.find_caller()
-    # the call is still open
+    # The call is still open.
     assert setup.attributor.has_lost_call("j1")
     setup.attributor.record_answer(call, succeeded=True)
     assert not setup.attributor.has_lost_call("j1")
@@ -203,7 +203,7 @@
 def test_deadline_identifies_one_run_among_many(setup):
     start_many_runs(setup)
     setup.start_run("j1", BROWSE, 0.5)
-    # a longer remaining time, which sets the known timeout of the route
+    # A longer remaining time, which sets the known timeout of the route.
     setup.find_caller("c0", remaining_s=0.7)
     setup.now_s += 0.1
     assert setup.find_caller("c1", remaining_s=0.4).make_origin().priority == 2
--- a/tests/relay/test_checks.py
+++ b/tests/relay/test_checks.py
@@ -219,14 +219,14 @@
         b"{}",
         b"\xff" * 100,
         b"\x00garbage",
-        # lists with a declared length of 2^31 - 1 entries, and deeply nested structs
+        # Lists with a declared length of 2^31 - 1 entries, and deeply nested structs.
         b"\x0f\x00\x01\x0c" + struct.pack(">i", 2**31 - 1),
         b"\x0f\x00\x63\x02" + struct.pack(">i", 2**31 - 1),
         b"\x0c\x00\x63" * 100_000,
-        # strings with a declared length of 2^31 - 1 and of -5 bytes
+        # Strings with a declared length of 2^31 - 1 and of -5 bytes.
         b"\x0b\x00\x01" + struct.pack(">i", 2**31 - 1),
         b"\x0b\x00\x01" + struct.pack(">i", -5),
-        # an integer in place of a string
+        # An integer in place of a string.
         b"\x08\x00\x01" + struct.pack(">i", 7) + b"\x00",
     ],
     ids=lambda payload: repr(payload[:8]),
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -79,7 +79,7 @@
         assert b"content-length" not in dict(answer.headers)
         assert answer.body == b""
         assert back.server.runs == ["h1"]
-        # the next answer on the pooled connection is complete
+        # The next answer on the pooled connection is complete.
         assert (await send_as_client(front, "/list/2")).body
 
     run(scenario, LIST)
@@ -148,7 +148,7 @@
         group = deployment.group
 
         async def heal() -> None:
-            # the server that has not received the request answers again
+            # The server that has not received the request answers again.
             while not first.server.runs and not second.server.runs:
                 await anyio.sleep(0.01)
             idle = second if first.server.runs else first
@@ -369,7 +369,7 @@
         front = await deployment.add("front")
         back = await deployment.add("list")
         await deployment.wait_until_connected()
-        # neither start answers: without the restart, the request would end with 504
+        # Neither start answers: without the restart, the request would end with 504.
         back.server.answer = lambda exchange: None
         async with anyio.create_task_group() as group:
 
@@ -438,7 +438,7 @@
         await start_relay(back.node, deployment.group)
         server = back.node.beliefs.server
         with anyio.fail_after(3):
-            # the health check names the identity without the start
+            # The health check names the identity without the start.
             while server.incarnation is None:
                 await anyio.sleep(0.01)
         assert server.incarnation.started_ms == UNKNOWN_START
@@ -549,7 +549,7 @@
             await anyio.sleep(0.05)
         assert CLIENT_DRAIN_S - 2 * PEER_DRAIN_S < served_s < CLIENT_DRAIN_S
         await anyio.sleep(0.1)
-        # the node accepts no more calls, and other nodes know this before sending any
+        # The node accepts no more calls, and other nodes know this before sending any.
         runs = len(back.server.runs)
         assert (await send_as_client(front, "/list/1")).status == 503
         assert len(back.server.runs) == runs
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -340,7 +340,7 @@
     assert setup.dispatcher.measures.load.demand == pytest.approx(
         DEMAND_WEIGHT * 3 * run_s / 2
     )
-    # two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed
+    # Two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed.
     setup.dispatcher.measures.routes["r"] = RouteStats(call_time_limit_s=0.2)
     setup.dispatcher.measures.routes["s"] = RouteStats(call_time_limit_s=0.4)
     assert setup.dispatcher.measures.compute_max_mean_wait_s() == pytest.approx(0.06)
@@ -434,7 +434,7 @@
     assert setup.dispatcher.queued == 1
     setup.now_s += 0.1
     setup.restart()
-    # before the next call, which would use an idle connection
+    # Before the next call, which would use an idle connection.
     assert setup.pool.forgotten == [1]
     assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
     assert (setup.dispatcher.queued, setup.dispatcher.in_flight) == (0, 1)
@@ -615,7 +615,7 @@
     assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.DEADLINE)
     assert waiting.ended
     assert setup.dispatcher.queued == 0
-    # the refused call is skipped once a slot is free
+    # The refused call is skipped once a slot is free.
     setup.answer()
     assert len(setup.pool.sent) == 1
 
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -28,7 +28,7 @@
 from tests.relay.test_dispatcher import SIGNED, FakePool
 
 LIST = make_rule("/list/", "list")
-# calls of this route may take a tenth of the time of others
+# Calls of this route may take a tenth of the time of others.
 PART = make_rule("/part/", "list", targetLatencyMs=30)
 
 
@@ -145,7 +145,7 @@
     setup.wait(1.0)
     assert graph.is_called_by_servers(setup.list_name)
     setup.configure(2, LIST)
-    # runs that were started earlier still make calls
+    # Runs that were started earlier still make calls.
     setup.wait(2.0)
     assert graph.is_called_by_servers(setup.list_name)
     setup.wait(60.0)
@@ -175,14 +175,14 @@
     setup.wait(2.0)
     setup.configure(2, LIST)
     setup.wait(2.0)
-    # the metrics stay long enough for a last scrape
+    # The metrics stay long enough for a last scrape.
     assert setup.part_name in metrics.render().decode()
     setup.wait(60.0)
     text = metrics.render().decode()
     assert setup.part_name not in text
     assert text.count(f'route="{setup.list_name}"') > 20
     assert 'reason="no-route",route=""' in text
-    # a route that returns starts from zero
+    # A route that returns starts from zero.
     metrics.count_abandoned(setup.part_name)
     assert (
         f'abandoned_total{{route="{setup.part_name}"}} 1.0' in metrics.render().decode()
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -291,7 +291,7 @@
     state.record_client_request("shop/book/")
     assert "shop/book/" in state.client_routes
     assert state.new_requests == {"shop/book/": 1}
-    # nor as calls of the runs in flight
+    # Nor as calls of the runs in flight.
     assert not state.learner._calls
 
 
--- a/tests/relay/test_program.py
+++ b/tests/relay/test_program.py
@@ -129,7 +129,7 @@
         with anyio.fail_after(2):
             while await read_ready_status() != 503:
                 await anyio.sleep(0.01)
-        # clients keep using their connections until an answer closes them
+        # Clients keep using their connections until an answer closes them.
         answer = await send(connection, make_request("GET", "/list/2"))
         assert answer.status in (200, 503)
         assert dict(answer.headers)[b"connection"] == b"close"
--- a/tests/relay/test_rejections.py
+++ b/tests/relay/test_rejections.py
@@ -99,7 +99,7 @@
     async def scenario(front: Vm, backs: list[Vm]) -> None:
         for _ in range(10):
             assert (await send_as_client(front, "/book/1", "POST")).status == 503
-        # both dispatchers share the budget of the service
+        # Both dispatchers share the budget of the service.
         allowed = 0.2 * 10 + RETRY_SLACK_SHARE * 10.0
         assert 10 < sum(count_arrivals(backs)) <= 10 + allowed
 
--- a/tests/relay/test_routes.py
+++ b/tests/relay/test_routes.py
@@ -20,7 +20,7 @@
     table = make_table(make_route("shop/a/"))
     assert table.find("shop", "/b/") is None
     assert table.find("elsewhere", "/a/") is None
-    # a prefix ends with a slash
+    # A prefix ends with a slash.
     assert table.find("shop", "/a") is None
 
 
--- a/tests/relay/test_routing.py
+++ b/tests/relay/test_routing.py
@@ -93,7 +93,7 @@
 def test_server_that_accepts_no_calls_is_excluded(setup):
     setup.add("a", accepting=False)
     assert setup.router.choose("list", ROUTE, ()) is None
-    # old reports are ignored
+    # Old reports are ignored.
     setup.now_s += 10
     assert setup.router.choose("list", ROUTE, ()).name == "a"
 
--- a/tests/relay/test_server.py
+++ b/tests/relay/test_server.py
@@ -163,7 +163,7 @@
     server.apply_heartbeat(make_heartbeat())
     assert server.apply_heartbeat(make_leave("i1", started_ms))
     assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
-    # a late heartbeat from before the leave must not undo it
+    # A late heartbeat from before the leave must not undo it.
     server.apply_heartbeat(make_heartbeat(sequence=2))
     assert server.find_refusal_reason(NOW_S) is Reason.NO_SERVER
 
@@ -238,7 +238,7 @@
 
 def test_identity_wrongly_marked_as_ended_is_accepted_after_its_answer(server):
     server.apply_heartbeat(make_heartbeat("i2", 3, SECOND_MS))
-    # a late heartbeat of an earlier server at this address
+    # A late heartbeat of an earlier server at this address.
     server.apply_heartbeat(make_heartbeat("i1", 9))
     server.apply_answer_identity("i2")
     assert server.apply_heartbeat(make_heartbeat("i2", 4, SECOND_MS, draining=True))
@@ -278,7 +278,7 @@
 def test_identity_that_ended_with_an_unknown_start_returns_with_its_answer(server):
     server.apply_answer_identity("i1")
     server.apply_heartbeat(make_heartbeat("i2", started_ms=SECOND_MS))
-    # without a known start, the heartbeat may be a late one
+    # Without a known start, the heartbeat may be a late one.
     assert not server.apply_heartbeat(make_heartbeat("i1", started_ms=THIRD_MS))
     server.apply_answer_identity("i1")
     assert server.apply_heartbeat(make_heartbeat("i1", started_ms=THIRD_MS))
--- a/tests/relay/test_vectors.py
+++ b/tests/relay/test_vectors.py
@@ -81,7 +81,7 @@
         vectors = load.learner.solve({"list"})
     assert vectors["book"]["list"] == pytest.approx(1.0, abs=0.3)
     assert "list" not in vectors["ledger"]
-    # from now on, the other route makes the calls
+    # From now on, the other route makes the calls.
     load.due.clear()
     load.add("book", 60.0, 0.2, [])
     load.add("ledger", 90.0, 0.1, ["list", "list"])
@@ -162,7 +162,7 @@
         "desk": ServiceCounts(66, {"price": 220.0, "new": 9.0}),
         "proof": ServiceCounts(15, {"price": 50.0}),
     }
-    # the new route has too few requests, and only one service requests the ledger
+    # The new route has too few requests, and only one service requests the ledger.
     assert find_client_routes(request_counts) == {"price"}
     assert find_client_routes({"rate": request_counts["rate"]}) == set()
 
@@ -291,7 +291,7 @@
     assert load.learner.solve(set(called))["book"].keys() == {"part-0"}
     load.learner.continue_solving()
     load.run(0.2)
-    # the route that has waited longest is next
+    # The route that has waited longest is next.
     assert load.learner.solve(set(called))["book"].keys() == set(called)
     load.learner.continue_solving()
     load.learner.continue_solving()
--- a/tests/relay/virtual.py
+++ b/tests/relay/virtual.py
@@ -22,10 +22,10 @@
     from collections.abc import Awaitable, Callable
 
 LATENCY_S = 0.001
-# time of one loop iteration; without it, time would never advance while callbacks
-# schedule each other for the next iteration
+# Time of one loop iteration; without it, time would never advance while callbacks
+# schedule each other for the next iteration.
 ITERATION_S = 0.00001
-# TCP keep-alive: a connection without traffic is reset after this time
+# TCP keep-alive: a connection without traffic is reset after this time.
 KEEP_ALIVE_TIMEOUT_S = 4.0
 CLOSED = b""
 
