--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -116,8 +116,8 @@
             rng,
         ),
         is_leaf=lambda name: not graph.calls_per_run.get(name),
-        find_time_allowance=beliefs.find_allowance,
-        find_call_timeout=beliefs.find_call_limit,
+        find_time_allowance=beliefs.find_time_allowance,
+        find_call_timeout=beliefs.find_call_timeout,
         on_run_start=note_begin,
         on_run_end=note_end,
         has_lost_call=lineage.has_lost_call,
@@ -132,7 +132,7 @@
         clock,
         beliefs.find_route,
         beliefs.make_hello,
-        lambda hello: news.register_caller(hello),
+        lambda hello: news.register_peer(hello),
         lambda kind, struct, send: news.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
@@ -182,7 +182,9 @@
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
-        Router(members, settings.failure_domain, clock, rng, beliefs.find_allowance),
+        Router(
+            members, settings.failure_domain, clock, rng, beliefs.find_time_allowance
+        ),
         dispatcher,
         admission,
         decisions,
@@ -201,7 +203,7 @@
         lineage,
         quotas.taker.give_back,
     )
-    sender.answers = answers
+    sender.responder = answers
     ingress = Ingress(
         lambda: server.service,
         HEADER_CODEC,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -247,7 +247,7 @@
         state.labels("log_era").set(self.readers.eras.current)
         state.labels("log_next_offset").set(self.readers.book.next_offset)
         state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
-        state.labels("open_requests").set(self.ingress.answers.open_flows)
+        state.labels("open_requests").set(self.ingress.responder.open_flows)
         state.labels("lines_left_out").set(self.decisions.failures.dropped)
 
     def forget_routes(self) -> None:
@@ -259,7 +259,7 @@
         beliefs.record_configured_routes()
         beliefs.graph.keep_routes(beliefs.knows_route)
         self.metrics.keep_routes(beliefs.knows_route)
-        self.ingress.answers.sender.router.keep_routes(beliefs.knows_route)
+        self.ingress.responder.sender.router.keep_routes(beliefs.knows_route)
         # without a configuration, none is known to have left
         if beliefs.table.version:
             self.dispatcher.forget_routes(beliefs.table.routes)
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -102,7 +102,7 @@
 
     The others would go on counting it, and keep its part of the quotas for it.
     """
-    if not node.beliefs.server.left:
+    if not node.beliefs.server.has_left:
         return
     offset = await node.store.append(NODES_TOPIC, node.settings.name, b"")
     if isinstance(offset, StoreFailure):
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -302,7 +302,7 @@
         self.limiter.adjust(now_s)
         period, self._period_counts = self._period_counts, PeriodCounts()
         self._stop_idle_sweeping(period)
-        observation = period.summarise(self.limiter.limit)
+        observation = period.summarize(self.limiter.limit)
         adjust_threshold(self.threshold, observation, now_s)
         if now_s < self.threshold.hold_until_s:
             self._refuse_tier(Tier.REFUSED_FIRST, now_s)
--- a/eelgrassmount/load/threshold.py
+++ b/eelgrassmount/load/threshold.py
@@ -76,7 +76,7 @@
         self.in_flight += in_flight
         self.samples += 1
 
-    def summarise(self, limit: int) -> Observation:
+    def summarize(self, limit: int) -> Observation:
         """Return the summary of the period."""
         samples = max(self.samples, 1)
         return Observation(
--- a/eelgrassmount/policy/admission_controller.py
+++ b/eelgrassmount/policy/admission_controller.py
@@ -12,11 +12,11 @@
 
 from eelgrassmount.policy.forecast import estimate_offered_load
 
-# Target demand, and the target while calls wait longer than allowed.
+# Target demand, and the target while the mean wait exceeds its maximum.
 TARGET_DEMAND = 0.97
 TARGET_DEMAND_WITH_DELAY = 0.87
-# Demand assumed while calls wait longer than allowed. Measured demand is too low when
-# servers slow down, and would raise the admitted fraction while requests fail.
+# Demand assumed while the mean wait exceeds its maximum. Measured demand is too low
+# when servers slow down, and would raise the admitted fraction while requests fail.
 MIN_DEMAND_WITH_DELAY = 0.95
 DEMAND_PER_WAIT = 0.05
 MAX_DEMAND_WITH_DELAY = 1.1
@@ -39,7 +39,7 @@
 def adjust_for_wait(demand: float, wait: float) -> tuple[float, float]:
     """Return the target demand and the demand to compare with it.
 
-    Both are fractions of capacity; ``wait`` is relative to the allowed wait.
+    Both are fractions of capacity; ``wait`` is relative to the maximum mean wait.
     """
     if wait <= 1.0:
         return TARGET_DEMAND, demand
@@ -99,8 +99,9 @@
     ) -> float:
         """Run one control step and return the admitted fraction.
 
-        ``demand`` is relative to capacity and ``wait`` to the allowed wait, as reported
-        ``age_steps`` ago. ``forecast`` is the demand forecast from current requests.
+        ``demand`` is relative to capacity and ``wait`` to the maximum mean wait, as
+        reported ``age_steps`` ago. ``forecast`` is the demand forecast from current
+        requests.
         """
         age = min(MAX_REPORT_AGE_STEPS, age_steps)
         history = list(self._history)
--- a/eelgrassmount/policy/placement.py
+++ b/eelgrassmount/policy/placement.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-# Cost of crossing failure domains for a call of typical size, as a share of the allowed
-# time.
+# Cost of crossing failure domains for a call of typical size, as a share of the time
+# allowance.
 CROSS_DOMAIN_SHARE = 0.12
 # Size of a call with its answer, and the bounds of the cost for other sizes.
 TYPICAL_CALL_BYTES = 4000.0
@@ -18,7 +18,7 @@
 
 
 def compute_cross_domain_share(size_bytes: float) -> float:
-    """Return the cost of crossing failure domains, as a share of the allowed time.
+    """Return the cost of crossing failure domains, as a share of the time allowance.
 
     >>> compute_cross_domain_share(4000.0)
     0.12
@@ -42,14 +42,14 @@
 
 
 def compute_cost(
-    expected_s: float, allowed_s: float, failure_share: float, objective_s: float
+    expected_s: float, allowance_s: float, failure_share: float, objective_s: float
 ) -> float:
     """Return the cost of a call at a server, in seconds.
 
     The cost of time is quadratic: the closer the mean comes to the objective, the more
     calls miss it. A failed call costs the objective, since its whole request fails.
 
-        >>> compute_cost(0.2, allowed_s=0.4, failure_share=0.0, objective_s=0.4)
+        >>> compute_cost(0.2, allowance_s=0.4, failure_share=0.0, objective_s=0.4)
         0.1
     """
-    return expected_s * expected_s / allowed_s + failure_share * objective_s
+    return expected_s * expected_s / allowance_s + failure_share * objective_s
--- a/eelgrassmount/policy/scheduling.py
+++ b/eelgrassmount/policy/scheduling.py
@@ -26,13 +26,13 @@
 # longer, since refusing one wastes the work done for its request.
 MAX_CLIENT_WAIT_SHARE = 0.5
 MAX_DOWNSTREAM_WAIT_SHARE = 1.0
-# Multiple of the usual run time that must remain after the wait.
+# Multiple of the mean run time that must remain after the wait.
 RUN_TIME_MARGIN_FACTOR = 1.3
 # If less than this share of the objective remains for the wait, the request is late on
 # any server.
 MIN_WAIT_SHARE = 0.1
-# Timeout of a run, as a share of the time allowed for its calls. It applies only to
-# runs that usually take less than the timeout divided by the factor.
+# Timeout of a run, as a share of the shortest timeout of its calls. It applies only to
+# routes whose mean run time is less than the timeout divided by the factor.
 RUN_TIMEOUT_SHARE = 0.85
 RUN_TIMEOUT_FACTOR = 2.5
 # Share of its slack that a call retains if its run takes as long as the slack.
@@ -42,36 +42,36 @@
 def compute_max_wait_s(objective_s: float, run_s: float, is_downstream: bool) -> float:
     """Return the longest expected wait, in seconds, with which a server accepts a call.
 
-    ``run_s`` is the usual duration of a run of the route on this server.
+    ``run_s`` is the mean duration of a run of the route on this server.
 
         >>> compute_max_wait_s(0.6, run_s=0.4, is_downstream=False)
         0.08
     """
     if is_downstream:
         return MAX_DOWNSTREAM_WAIT_SHARE * objective_s
-    usual_s = MAX_CLIENT_WAIT_SHARE * objective_s
+    max_wait_s = MAX_CLIENT_WAIT_SHARE * objective_s
     remaining_s = round(objective_s - RUN_TIME_MARGIN_FACTOR * run_s, 6)
     # Accept a request that is late on any server: a late answer is better than none.
     if remaining_s < MIN_WAIT_SHARE * objective_s:
-        return usual_s
-    return min(usual_s, remaining_s)
+        return max_wait_s
+    return min(max_wait_s, remaining_s)
 
 
 def compute_run_timeout_s(
-    remaining_s: float, call_limit_s: float, usual_s: float
+    remaining_s: float, call_timeout_s: float, mean_run_s: float
 ) -> float:
     """Return the timeout of a run whose request has ``remaining_s`` left.
 
-    ``call_limit_s`` is the longest time allowed for calls of such runs. A timeout below
-    it gives the calls of a run a distinct deadline, by which they are attributed to it.
+    ``call_timeout_s`` is the shortest timeout of the calls of such runs. A timeout
+    below it gives the calls of a run a distinct deadline, which identifies the run.
 
-        >>> compute_run_timeout_s(1.0, call_limit_s=0.8, usual_s=0.2)
+        >>> compute_run_timeout_s(1.0, call_timeout_s=0.8, mean_run_s=0.2)
         0.68
-        >>> compute_run_timeout_s(1.0, call_limit_s=0.8, usual_s=0.3)
+        >>> compute_run_timeout_s(1.0, call_timeout_s=0.8, mean_run_s=0.3)
         1.0
     """
-    limited_s = RUN_TIMEOUT_SHARE * call_limit_s
-    if RUN_TIMEOUT_FACTOR * usual_s > limited_s:
+    limited_s = RUN_TIMEOUT_SHARE * call_timeout_s
+    if RUN_TIMEOUT_FACTOR * mean_run_s > limited_s:
         return remaining_s
     return min(remaining_s, limited_s)
 
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -110,7 +110,7 @@
         else:
             state.unreachable.add(service)
         logger.warning(
-            "service reached again" if reachable else "service unreachable",
+            "service reachable again" if reachable else "service unreachable",
             service=service,
             servers=len(members),
         )
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -57,7 +57,7 @@
                 incarnation=str(heartbeat.incarnation),
                 sequence=heartbeat.sequence,
                 draining=self.server.draining,
-                left=self.server.left,
+                left=self.server.has_left,
                 slots=self.server.slots,
             )
             self.on_change()
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -190,7 +190,7 @@
         if MIN_DROPPED_IDLE_S <= idle_s < self._trusted_idle_s:
             self._trusted_idle_s = TRUSTED_IDLE_SHARE * idle_s
             logger.info(
-                "server forgets idle connections",
+                "server drops idle connections",
                 idle_s=round(idle_s, 3),
                 trusted_s=round(self._trusted_idle_s, 3),
             )
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -79,8 +79,8 @@
         if self._is_loaded():
             connections = len(self.inbound_links.connections)
             return max(1, math.ceil(connections / MAX_REPORTS_PER_STEP_LOADED))
-        callers = self.inbound_links.count_active_senders()
-        return max(1, math.ceil(callers / MAX_REPORTS_PER_STEP))
+        senders = self.inbound_links.count_active_senders()
+        return max(1, math.ceil(senders / MAX_REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
         load = self.dispatcher.measures.load
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -149,7 +149,7 @@
         slack_s = compute_slack_s(
             route.objective_s,
             self.find_time_allowance(route),
-            self.measures.get_usual_run_s(route.name),
+            self.measures.get_mean_run_s(route.name),
         )
         due_s = now_s + slack_s * compute_due_factor(job.call.origin)
         heapq.heappush(self._queue, (due_s, next(self._numbers), job))
@@ -310,7 +310,7 @@
         )
 
     def _find_max_wait(self, call: Call) -> float:
-        run_s = self.measures.get_usual_run_s(call.route.name)
+        run_s = self.measures.get_mean_run_s(call.route.name)
         return compute_max_wait_s(call.route.objective_s, run_s, call.origin.downstream)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
@@ -325,7 +325,7 @@
         remaining_s = compute_run_timeout_s(
             call.deadline_s - now_s,
             self.find_call_timeout(call.route.name),
-            self.measures.get_usual_run_s(call.route.name),
+            self.measures.get_mean_run_s(call.route.name),
         )
         timeout_ms = max(1, int(remaining_s * 1000))
         job.timeout_s = timeout_ms / 1000
@@ -447,8 +447,8 @@
         route_name = job.call.route.name
         if failed and not job.overdue:
             return
-        allowed_s = self.find_time_allowance(job.call.route)
-        self.measures.add_run(route_name, now_s - job.started_s, allowed_s)
+        allowance_s = self.find_time_allowance(job.call.route)
+        self.measures.add_run(route_name, now_s - job.started_s, allowance_s)
 
     def _start_queued(self) -> None:
         """Start or refuse queued jobs while slots are free."""
--- a/eelgrassmount/relay/inbound.py
+++ b/eelgrassmount/relay/inbound.py
@@ -68,7 +68,7 @@
     clock: Callable[[], float]
     find_route: Callable[[str, bool], Route]
     make_hello: Callable[[], ttypes.RelayHello]
-    register_caller: Callable[[ttypes.RelayHello], bool]
+    register_peer: Callable[[ttypes.RelayHello], bool]
     handle_frame: FrameHandler
     accepting: bool = True
     connections: set[InboundConnection] = field(factory=set)
@@ -203,7 +203,7 @@
             self._cancel(struct.sequence)
         elif kind is FrameKind.HELLO:
             self.sender = f"{struct.node_name}/{struct.incarnation}"
-            if self.inbound_links.register_caller(struct):
+            if self.inbound_links.register_peer(struct):
                 self.send(FrameKind.CONFIG_REQUEST, ttypes.RelayConfigRequest(0))
         elif kind is FrameKind.PING:
             self.send(FrameKind.PING, struct)
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -43,7 +43,7 @@
 
     get_local_service: Callable[[], str]
     header_codec: HeaderCodec
-    answers: Responder
+    responder: Responder
     admission: Admission
     quarantine: Quarantine
     clock: Callable[[], float]
@@ -64,12 +64,12 @@
         table = self.table
         if table.version == 0:
             reason = Reason.NO_CONFIGURATION
-            self.answers.refuse_uninformed(exchange, head, "", reason)
+            self.responder.refuse_uninformed(exchange, head, "", reason)
             return
         path = exchange.target.partition("?")[0]
         route = table.find(head.host, path)
         if route is None:
-            self.answers.answer_unknown_route(exchange, head)
+            self.responder.answer_unknown_route(exchange, head)
             return
         access = judge_key(table.teams, route.needs_key, head.api_key, self.is_current)
         team = access.team
@@ -79,9 +79,11 @@
             self._admit(exchange, head, route, team)
         elif access.refusal is Reason.API_KEY_UNJUDGED:
             reason = access.refusal
-            self.answers.refuse_uninformed(exchange, head, route.name, reason)
+            self.responder.refuse_uninformed(exchange, head, route.name, reason)
         else:
-            self.answers.refuse_unauthorized(exchange, head, route.name, access.refusal)
+            self.responder.refuse_unauthorized(
+                exchange, head, route.name, access.refusal
+            )
 
     def _request_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
@@ -97,7 +99,7 @@
             if verdict.refusal is None:
                 self._admit(exchange, head, route, team)
             else:
-                self.answers.refuse_quota(exchange, head, route.name, verdict)
+                self.responder.refuse_quota(exchange, head, route.name, verdict)
 
         waiting = self.quotas.take(team, decide)
         if not waiting.ended:
@@ -121,12 +123,12 @@
         quota_team = team if team is not None and team.has_quota() else None
         pending = PendingRequest(exchange, call, downstream_call, quota_team)
         if not origin.downstream and not self.admission.try_admit(call.request_class):
-            self.answers.refuse(pending, Reason.OVERLOAD)
+            self.responder.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
-            self.answers.refuse(pending, Reason.QUARANTINED)
+            self.responder.refuse(pending, Reason.QUARANTINED)
             return
-        self.answers.start(pending)
+        self.responder.start(pending)
 
     def _find_origin(
         self, route: Route, team: Team | None, downstream_call: DownstreamCall | None
--- a/eelgrassmount/relay/internal_routes.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -79,7 +79,7 @@
 def _compare_services(name: str, known: list[ServiceCounts]) -> list[bool]:
     """Return for each service whether a route is requested there as by clients.
 
-    Services at which too few requests are expected are left out.
+    Services at which too few requests are expected are omitted.
     """
     highest = max(service.counts.get(name, 0.0) / service.nodes for service in known)
     return [
--- a/eelgrassmount/relay/measures.py
+++ b/eelgrassmount/relay/measures.py
@@ -11,20 +11,20 @@
 
     from eelgrassmount.relay.routes import Route
 
-# Maximum mean wait: its share of the shortest time limit for calls, and its bounds.
+# Maximum mean wait: its share of the shortest time allowance, and its bounds.
 MEAN_WAIT_SHARE = 0.3
 MIN_MEAN_WAIT_S = 0.01
 MAX_MEAN_WAIT_S = 0.1
 MIN_LOAD_SPAN_S = 0.01
-# Smoothing factor of durations and failures.
-SAMPLE_WEIGHT = 0.05
+# Smoothing factor of run times and failures.
+RUN_SMOOTHING = 0.05
 # Weight, relative to a finished run, with which a run that failed by a lost call counts
 # as a success of the server. Without it, a few wrongly attributed failures would make
 # the server seem to fail where nearly all runs lose a call.
 LOST_RUN_WEIGHT = 0.5
 # Smoothing factor of demand.
-DEMAND_WEIGHT = 0.4
-# A run counts as silent, and as failed, once it exceeds both this multiple of its usual
+DEMAND_SMOOTHING = 0.4
+# A run counts as silent, and as failed, once it exceeds both this multiple of the mean
 # duration and this share of its objective. Callers cancel runs at their deadline, so a
 # server that answers nothing would otherwise show no failures.
 SILENCE_RUN_FACTOR = 4.0
@@ -34,16 +34,16 @@
 
 @define(eq=False)
 class RouteStats:
-    """Mean duration and number of the runs of a route, and the limit for its calls."""
+    """Mean duration and number of a route's runs, and its time allowance."""
 
     run_s: float = DEFAULT_RUN_S
     runs: int = 0
-    call_time_limit_s: float = 0.0
+    time_allowance_s: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Add the duration of a run."""
         self.runs += 1
-        weight = max(SAMPLE_WEIGHT, 1.0 / self.runs)
+        weight = max(RUN_SMOOTHING, 1.0 / self.runs)
         self.run_s += weight * (seconds - self.run_s)
 
 
@@ -79,21 +79,19 @@
     _last_queue_sample_s: float = 0.0
     _last_update_s: float = 0.0
 
-    def add_run(
-        self, route_name: str, seconds: float, call_time_limit_s: float
-    ) -> None:
-        """Record the duration of a run, and the time limit for calls of its route."""
-        self.mean_run_s += SAMPLE_WEIGHT * (seconds - self.mean_run_s)
+    def add_run(self, route_name: str, seconds: float, time_allowance_s: float) -> None:
+        """Record the duration of a run, and the time allowance of its route."""
+        self.mean_run_s += RUN_SMOOTHING * (seconds - self.mean_run_s)
         stats = self.routes.get(route_name)
         if stats is None:
             stats = self.routes[route_name] = RouteStats()
-        stats.call_time_limit_s = call_time_limit_s
+        stats.time_allowance_s = time_allowance_s
         stats.add(seconds)
 
     def record_outcome(self, failed: bool) -> None:
         """Record whether a run failed."""
-        self.failure_share += SAMPLE_WEIGHT * (failed - self.failure_share)
-        self.lost_share -= SAMPLE_WEIGHT * self.lost_share
+        self.failure_share += RUN_SMOOTHING * (failed - self.failure_share)
+        self.lost_share -= RUN_SMOOTHING * self.lost_share
 
     def record_lost_run(self) -> None:
         """Record a run that failed because one of its calls failed.
@@ -101,18 +99,18 @@
         This is no failure of the server. Counting it as one would make the services
         that call an overloaded one seem overloaded too.
         """
-        self.lost_share += SAMPLE_WEIGHT * (1.0 - self.lost_share)
+        self.lost_share += RUN_SMOOTHING * (1.0 - self.lost_share)
         # The server itself did not fail the run.
-        self.failure_share -= LOST_RUN_WEIGHT * SAMPLE_WEIGHT * self.failure_share
+        self.failure_share -= LOST_RUN_WEIGHT * RUN_SMOOTHING * self.failure_share
 
     def compute_silence_timeout_s(self, route: Route) -> float:
         """Return the time in seconds after which a run of a route counts as silent."""
-        usual_s = self.get_usual_run_s(route.name)
+        mean_run_s = self.get_mean_run_s(route.name)
         return max(
-            SILENCE_OBJECTIVE_SHARE * route.objective_s, SILENCE_RUN_FACTOR * usual_s
+            SILENCE_OBJECTIVE_SHARE * route.objective_s, SILENCE_RUN_FACTOR * mean_run_s
         )
 
-    def get_usual_run_s(self, route_name: str) -> float:
+    def get_mean_run_s(self, route_name: str) -> float:
         """Return the mean duration in seconds of a run of a route."""
         stats = self.routes.get(route_name)
         return DEFAULT_RUN_S if stats is None else stats.run_s
@@ -126,7 +124,7 @@
         """Update the load from the arrivals and waits since the last update."""
         span_s = max(now_s - self._last_update_s, MIN_LOAD_SPAN_S)
         demand = self.arrivals * self.mean_run_s / span_s / limit
-        self.load.demand += DEMAND_WEIGHT * (demand - self.load.demand)
+        self.load.demand += DEMAND_SMOOTHING * (demand - self.load.demand)
         wait_s = self._queued_call_seconds / span_s * self.mean_run_s / limit
         self.load.wait = wait_s / self.compute_max_mean_wait_s()
         self._last_update_s = now_s
@@ -136,12 +134,12 @@
     def compute_max_mean_wait_s(self) -> float:
         """Return the mean wait in seconds above which fewer requests are admitted.
 
-        It is a share of the shortest time limit for calls of the routes that run here.
+        It is a share of the shortest time allowance of the routes that run here.
         """
-        time_limits = [stats.call_time_limit_s for stats in self.routes.values()]
-        if not time_limits:
+        allowances_s = [stats.time_allowance_s for stats in self.routes.values()]
+        if not allowances_s:
             return MAX_MEAN_WAIT_S
-        max_wait_s = MEAN_WAIT_SHARE * min(time_limits)
+        max_wait_s = MEAN_WAIT_SHARE * min(allowances_s)
         return min(MAX_MEAN_WAIT_S, max(MIN_MEAN_WAIT_S, max_wait_s))
 
     def keep_routes(self, names: Collection[str]) -> None:
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -47,7 +47,7 @@
         """Check which node accepted a link; replace the member if it is another one."""
         if hello.node_name != member.name or hello.service_name != member.service:
             logger.info(
-                "another node at the address",
+                "unexpected node at address",
                 peer=member.name,
                 found=hello.node_name,
                 service=hello.service_name,
@@ -63,7 +63,7 @@
         self._request_newer_config(member, hello.config_version)
         self.readers.note_linked(member)
 
-    def register_caller(self, hello: ttypes.RelayHello) -> bool:
+    def register_peer(self, hello: ttypes.RelayHello) -> bool:
         """Add the node that opened a link; return whether its configuration is newer.
 
         This is how a node that starts while the log is unavailable finds its peers.
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -67,7 +67,7 @@
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
-                "message not taken up",
+                "message rejected",
                 kind=str(kind),
                 source=source[:MAX_SHOWN_CHARS],
                 cause=detail[:MAX_SHOWN_CHARS],
--- a/eelgrassmount/relay/reload.py
+++ b/eelgrassmount/relay/reload.py
@@ -46,7 +46,7 @@
         try:
             settings = self.load(self.path)
         except EelgrassmountError as error:
-            logger.error("settings refused", cause=str(error))
+            logger.error("invalid settings ignored", cause=str(error))
             return
         self.apply(settings)
 
--- a/eelgrassmount/relay/routing.py
+++ b/eelgrassmount/relay/routing.py
@@ -22,8 +22,8 @@
     from eelgrassmount.relay.members import Member, MemberTable
     from eelgrassmount.relay.routes import Route
 
-# Relative noise on scores, so that nodes with equal information choose differently.
-SCORE_NOISE_SHARE = 0.05
+# Relative noise on costs, so that nodes with equal information choose differently.
+COST_NOISE_SHARE = 0.05
 # Number of choices of which one goes to the least recently used node, to refresh its
 # load.
 EXPLORATION_INTERVAL = 100
@@ -73,10 +73,10 @@
         # can be avoided.
         name = route.name
         local_domain = self.failure_domain
-        allowed_s = self.find_time_allowance(route)
+        allowance_s = self.find_time_allowance(route)
         cross_domain_s = (
             compute_cross_domain_share(self._mean_sizes.get(name, TYPICAL_CALL_BYTES))
-            * allowed_s
+            * allowance_s
         )
         mean_run_s = -1.0
         draw = self.rng.random
@@ -94,14 +94,14 @@
                 load.in_flight + load.queued + member.sent_since_report,
                 load.limit,
             )
-            score = compute_cost(
-                expected_s, allowed_s, load.failure_share, route.objective_s
+            cost = compute_cost(
+                expected_s, allowance_s, load.failure_share, route.objective_s
             )
             if member.failure_domain != local_domain:
-                score += cross_domain_s
-            score *= 1.0 - SCORE_NOISE_SHARE + 2.0 * SCORE_NOISE_SHARE * draw()
-            if score < lowest:
-                lowest = score
+                cost += cross_domain_s
+            cost *= 1.0 - COST_NOISE_SHARE + 2.0 * COST_NOISE_SHARE * draw()
+            if cost < lowest:
+                lowest = cost
                 best = member
         return best
 
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -118,7 +118,7 @@
     metrics: RelayMetrics
     clock: Callable[[], float]
     open_link: Callable[[Member], None]
-    answers: Responder = field(init=False)
+    responder: Responder = field(init=False)
 
     def start(self, pending: PendingRequest) -> None:
         """Send a request to a server."""
@@ -138,7 +138,9 @@
         if delay_s < remaining_s:
             pending.timer = loop.call_later(delay_s, self._retry_if_silent, pending)
         else:
-            pending.timer = loop.call_later(remaining_s, self.answers.time_out, pending)
+            pending.timer = loop.call_later(
+                remaining_s, self.responder.time_out, pending
+            )
 
     def _retry_if_silent(self, pending: PendingRequest) -> None:
         """Send a call to another server if the current one has not replied in time.
@@ -199,7 +201,7 @@
     def _give_up(self, pending: PendingRequest) -> None:
         """Finish a request, unless an earlier attempt may still be answered."""
         if pending.silent_attempt is None:
-            self.answers.give_up(pending)
+            self.responder.give_up(pending)
 
     def _handle_silent_reply(
         self, pending: PendingRequest, member: Member, reply: Reply
@@ -210,7 +212,7 @@
             pending.may_have_run = True
         if reply.outcome is Outcome.ANSWERED and reply.status < 500:
             pending.server = member.name
-            self.answers.deliver(pending, reply)
+            self.responder.deliver(pending, reply)
         elif pending.current_attempt is None:
             if (
                 pending.last_reply is None
@@ -218,7 +220,7 @@
             ):
                 pending.last_reply = reply
                 pending.server = member.name
-            self.answers.give_up(pending)
+            self.responder.give_up(pending)
 
     def _handle_reply(
         self, pending: PendingRequest, member: Member, reply: Reply
@@ -253,7 +255,7 @@
             return
         size_bytes = len(pending.call.body) + len(reply.body)
         self.router.record_size(pending.call.route.name, size_bytes)
-        self.answers.deliver(pending, reply)
+        self.responder.deliver(pending, reply)
 
     def _handle_refusal(
         self, pending: PendingRequest, member: Member, reply: Reply
--- a/eelgrassmount/relay/server.py
+++ b/eelgrassmount/relay/server.py
@@ -53,7 +53,7 @@
     incarnation: ServerIncarnation | None = None
     slots: int = DEFAULT_SLOTS
     draining: bool = False
-    left: bool = False
+    has_left: bool = False
     sequence: int = NO_SEQUENCE
     unreachable_until_s: float = 0.0
     _ended: dict[str, float] = field(factory=dict)
@@ -86,7 +86,7 @@
         self.incarnation = ServerIncarnation(identity)
         self.sequence = NO_SEQUENCE
         self.draining = False
-        self.left = False
+        self.has_left = False
 
     def mark_unreachable(self, now_s: float) -> None:
         """Record that the server refused a connection."""
@@ -96,7 +96,7 @@
         """Return why the server can't be given calls, ``None`` when it can."""
         if self.incarnation is None:
             return Reason.SERVER_STARTING
-        if self.left or now_s < self.unreachable_until_s:
+        if self.has_left or now_s < self.unreachable_until_s:
             return Reason.NO_SERVER
         if self.draining:
             return Reason.DRAINING
@@ -110,8 +110,8 @@
         """Apply a message that names the current start or no start."""
         learned = self._learn_start(heartbeat.incarnation)
         if heartbeat.leaving:
-            changed = not self.left
-            self.left = True
+            changed = not self.has_left
+            self.has_left = True
             return changed
         if heartbeat.sequence <= self.sequence:
             return False
@@ -148,7 +148,7 @@
         self._ended.pop(heartbeat.incarnation.identity, None)
         self.sequence = heartbeat.sequence
         self.draining = heartbeat.draining
-        self.left = heartbeat.leaving
+        self.has_left = heartbeat.leaving
         self.slots = heartbeat.slots or DEFAULT_SLOTS
         self.service = heartbeat.service or self.service
         self.unreachable_until_s = 0.0
--- a/eelgrassmount/relay/settings.py
+++ b/eelgrassmount/relay/settings.py
@@ -56,8 +56,8 @@
     def log_defaults(self, given: Container[str]) -> None:
         """Log the defaults of the settings that are not in ``given``.
 
-        Defaults of quotas are left out; the node logs its quota limits when it receives
-        a configuration with quotas.
+        Defaults of quotas are not among them; the node logs its quota limits when it
+        receives a configuration with quotas.
         """
         defaults = {
             name: getattr(self, name)
@@ -66,7 +66,7 @@
         }
         if defaults:
             logger.warning(
-                "settings left out, defaults in force",
+                "settings missing, using defaults",
                 node=self.name,
                 defaults=defaults,
             )
--- a/eelgrassmount/relay/shared_state.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -72,12 +72,12 @@
         self.started_s = self.clock()
         self.learner = VectorLearner(self.clock)
 
-    def find_allowance(self, route: Route) -> float:
-        """Return the time limit in seconds for a call of a route."""
+    def find_time_allowance(self, route: Route) -> float:
+        """Return the time allowance in seconds of a call of a route."""
         return self.graph.find_time_allowance(route, self.table)
 
-    def find_call_limit(self, route_name: str) -> float:
-        """Return the longest time in seconds that calls of a route's run may take."""
+    def find_call_timeout(self, route_name: str) -> float:
+        """Return the shortest timeout in seconds among the routes that a run calls."""
         return self.graph.find_call_timeout(route_name, self.table)
 
     def identifies_clients(self) -> bool:
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -30,7 +30,7 @@
     """Drains clients, then peers, and waits for open requests, within ``grace_s``."""
 
     node_state: SharedState
-    callers: HttpListener
+    client_listener: HttpListener
     inbound_links: InboundLinks
     grace_s: float
     report_now: Callable[[], None]
@@ -43,16 +43,16 @@
         self.node_state.stopping = True
         logger.info("stopping", open=self.count_open())
         # Clients may still send requests over their connections during the drain.
-        self.callers.ending = True
+        self.client_listener.ending = True
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
         self.node_state.closing = True
         self.inbound_links.accepting = False
         self.report_now()
         await asyncio.sleep(min(drain_s, PEER_DRAIN_S))
-        self.callers.stop_listening()
-        self.callers.close_idle()
+        self.client_listener.stop_listening()
+        self.client_listener.close_idle()
         while self.count_open() and loop.time() < exit_deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-            self.callers.close_idle()
+            self.client_listener.close_idle()
         logger.info("stopped", cut=self.count_open())
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -23,7 +23,7 @@
     ``incarnation`` is the server's identity, empty while unknown. ``started_ms`` is the
     Unix time of its start, 0 until a heartbeat has reported it. ``refusal`` is the
     reason why the server gets no calls, empty when it gets them. ``demand`` is a
-    fraction of the server's capacity, ``wait`` a fraction of the allowed queueing time.
+    fraction of the server's capacity, ``wait`` a fraction of the maximum mean wait.
     """
 
     incarnation: str
@@ -204,7 +204,10 @@
             name: {called: round(count, 2) for called, count in calls.items()}
             for name, calls in state.graph.calls_per_run.items()
         },
-        {name: round(state.find_allowance(route), 3) for name, route in routes.items()},
+        {
+            name: round(state.find_time_allowance(route), 3)
+            for name, route in routes.items()
+        },
         _collect_budgets(node.dispatcher.budget),
         [
             _collect_member(member, now_s)
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -65,7 +65,7 @@
             str(server.incarnation),
             server.sequence,
             server.draining,
-            server.left,
+            server.has_left,
             server.slots,
             local.service,
             state.make_hello().service_name,
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -140,7 +140,7 @@
         run(scenario)
     finally:
         logger.remove(handler)
-    assert sum("not taken up" in line for line in lines) == 2
+    assert sum("message rejected" in line for line in lines) == 2
 
 
 # A body that is too long must be rejected before it fills the memory.
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -15,7 +15,7 @@
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.measures import (
     DEFAULT_RUN_S,
-    DEMAND_WEIGHT,
+    DEMAND_SMOOTHING,
     MAX_MEAN_WAIT_S,
     RouteStats,
 )
@@ -338,11 +338,11 @@
     setup.dispatcher.update_load()
     run_s = setup.dispatcher.measures.mean_run_s
     assert setup.dispatcher.measures.load.demand == pytest.approx(
-        DEMAND_WEIGHT * 3 * run_s / 2
+        DEMAND_SMOOTHING * 3 * run_s / 2
     )
     # Two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed.
-    setup.dispatcher.measures.routes["r"] = RouteStats(call_time_limit_s=0.2)
-    setup.dispatcher.measures.routes["s"] = RouteStats(call_time_limit_s=0.4)
+    setup.dispatcher.measures.routes["r"] = RouteStats(time_allowance_s=0.2)
+    setup.dispatcher.measures.routes["s"] = RouteStats(time_allowance_s=0.4)
     assert setup.dispatcher.measures.compute_max_mean_wait_s() == pytest.approx(0.06)
     assert setup.dispatcher.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
 
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -222,7 +222,7 @@
 
 def test_node_whose_server_has_left_drops_its_record():
     async def scenario(deployment: Deployment) -> None:
-        deployment.vms[5].node.beliefs.server.left = True
+        deployment.vms[5].node.beliefs.server.has_left = True
         await stop_node(deployment, 5)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
