--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -121,7 +121,7 @@
         on_run_start=note_begin,
         on_run_end=note_end,
         has_lost_call=lineage.has_lost_call,
-        claim_loss=lineage.claim_loss,
+        claim_lost_call=lineage.claim_lost_call,
         on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
         call_later=call_later,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -147,7 +147,7 @@
         beliefs.table = table
         beliefs.table_since_s = beliefs.clock()
         beliefs.document = document
-        beliefs.graph.forget_routes()
+        beliefs.graph.clear_caches()
         self.ingress.table = table
         self.callers.limits = table.limits
         self.readers.publish()
@@ -247,7 +247,7 @@
         state.labels("log_era").set(self.readers.eras.current)
         state.labels("log_next_offset").set(self.readers.book.next_offset)
         state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
-        state.labels("open_requests").set(self.ingress.responder.open_flows)
+        state.labels("open_requests").set(self.ingress.responder.open_requests)
         state.labels("lines_left_out").set(self.decisions.failures.dropped)
 
     def forget_routes(self) -> None:
@@ -262,7 +262,7 @@
         self.ingress.responder.sender.router.keep_routes(beliefs.knows_route)
         # without a configuration, none is known to have left
         if beliefs.table.version:
-            self.dispatcher.forget_routes(beliefs.table.routes)
+            self.dispatcher.keep_routes(beliefs.table.routes)
 
     def count_open(self) -> int:
         """Return how many requests and calls have no answer yet."""
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -185,7 +185,7 @@
     timers.subscribe(SWEEP_PERIOD_S, node.inbound.expire)
     timers.subscribe(SWEEP_PERIOD_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
-    timers.subscribe(SWEEP_PERIOD_S, node.ingress.call_attributor.forget_answers)
+    timers.subscribe(SWEEP_PERIOD_S, node.ingress.call_attributor.discard_old_answers)
     timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.decay)
 
 
--- a/eelgrassmount/platform/heartbeats.py
+++ b/eelgrassmount/platform/heartbeats.py
@@ -79,7 +79,7 @@
         slots=read_whole(content, "info.slots", SLOTS, kind),
         draining=state == _DRAINING,
         sequence=read_whole(content, "status.sequence", SEQUENCES, kind),
-        cold_s=read_number(content, "status.coldRemainingMs", COLD_MS, kind) / 1000,
+        warm_up_s=read_number(content, "status.coldRemainingMs", COLD_MS, kind) / 1000,
     )
 
 
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -51,7 +51,7 @@
     def set_calls(self, route_name: str, calls: dict[str, float]) -> None:
         """Store the calls per run of a route."""
         known = self.calls_per_run.get(route_name)
-        self.forget_routes()
+        self.clear_caches()
         if known is None or known.keys() != calls.keys():
             self._called_routes = None
             rounded = {name: round(count, 2) for name, count in calls.items()}
@@ -68,9 +68,9 @@
             del self.calls_per_run[name]
         if removed:
             self._called_routes = None
-            self.forget_routes()
+            self.clear_caches()
 
-    def forget_routes(self) -> None:
+    def clear_caches(self) -> None:
         """Clear cached results after routes or their calls have changed."""
         self._calls_by_service.clear()
         self._runs_by_depth.clear()
@@ -204,7 +204,7 @@
 
 def _add_service_runs(route: Route, runs: float, found: dict[str, float]) -> None:
     """Add the runs of a route to the counts of its target services."""
-    for service, share in route.divide().items():
+    for service, share in route.compute_shares().items():
         found[service] = found.get(service, 0.0) + runs * share
 
 
--- a/eelgrassmount/relay/admitted_fractions.py
+++ b/eelgrassmount/relay/admitted_fractions.py
@@ -134,7 +134,7 @@
             for run, runs in state.graph.count_runs_by_route(
                 route, state.table
             ).items():
-                for service, share in routes[run].divide().items():
+                for service, share in routes[run].compute_shares().items():
                     rates = required.setdefault(service, {})
                     rates[run] = rates.get(run, 0.0) + rate * runs * share
         return required
--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -190,7 +190,7 @@
         )
         return run.has_lost_call or may_be_waiting
 
-    def claim_loss(self, job: object) -> bool:
+    def claim_lost_call(self, job: object) -> bool:
         """Return whether a failed call explains the failure of a run.
 
         Each failure of an unattributed call explains one run only.
@@ -249,7 +249,7 @@
         call.run.last_answer_s = now_s
         self._latest_answers[call.connection] = (call.run, now_s)
 
-    def forget_answers(self) -> None:
+    def discard_old_answers(self) -> None:
         """Discard answers that are too old for a continuing call."""
         oldest_s = self.clock() - MAX_CONTINUATION_DELAY_S
         self._latest_answers = {
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -1,4 +1,4 @@
-"""Periodic steps of a node: admission, shares and reports."""
+"""Periodic steps of a node: admitted fractions and load reports."""
 
 from __future__ import annotations
 
@@ -43,23 +43,23 @@
 
 @define(eq=False)
 class Controllers:
-    """Runs at each step: updates admission and shares, and reports to other nodes."""
+    """Updates the admitted fractions at each step and reports to other nodes."""
 
     state: SharedState
     dispatcher: Dispatcher
     inbound_links: InboundLinks
-    update_admission: Callable[[], None]
-    update_shares: Callable[[RouteTable], None]
+    update_service_fractions: Callable[[], None]
+    update_class_fractions: Callable[[RouteTable], None]
     _steps: int = 0
     _last_report_step: int = 0
     _last_rows_step: int = 0
 
     def step(self) -> None:
-        """Update the admission controllers and shares, and send reports if due."""
+        """Update the admitted fractions, and send a report if one is due."""
         self.dispatcher.update_load()
         self._update_local_load()
-        self.update_admission()
-        self.update_shares(self.state.table)
+        self.update_service_fractions()
+        self.update_class_fractions(self.state.table)
         # In parts, so as not to block the event loop.
         self.state.learner.continue_solving()
         self._steps += 1
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -87,8 +87,8 @@
     The queue is ordered by due time, which is earlier for urgent requests. A call that
     would wait too long is refused at once, so that another server can run it; so is a
     retry beyond the retry budget. ``has_lost_call`` returns whether a downstream call
-    of a run has failed or is still open, ``claim_loss`` whether a run failed because of
-    such a call.
+    of a run has failed or is still open, ``claim_lost_call`` whether a run failed
+    because of such a call.
     """
 
     server: LocalServer
@@ -103,7 +103,7 @@
     on_run_start: Callable[[Job], None] = lambda job: None
     on_run_end: Callable[[Job, bool], None] = lambda job, succeeded: None
     has_lost_call: Callable[[Job], bool] = lambda job: False
-    claim_loss: Callable[[Job], bool] = lambda job: False
+    claim_lost_call: Callable[[Job], bool] = lambda job: False
     on_crash: Callable[[ServerIncarnation, list[Job]], None] = lambda ended, jobs: None
     on_change: Callable[[], None] = lambda: None
     call_later: CallLater = lambda delay_s, action: None
@@ -265,8 +265,8 @@
         self._update_queue_time(now_s)
         self.measures.update_load(self.server.compute_concurrency_limit(), now_s)
 
-    def forget_routes(self, known: Collection[str]) -> None:
-        """Remove measures of routes that are neither configured nor running."""
+    def keep_routes(self, known: Collection[str]) -> None:
+        """Remove the measures of routes that are neither ``known`` nor running."""
         running = {job.call.route.name for job in self.running}
         self.measures.keep_routes({*known, *running})
 
@@ -360,7 +360,7 @@
         self.running.discard(job)
         reply = self._create_reply(job, result, now_s)
         failed = reply.outcome is not Outcome.ANSWERED or reply.status >= 500
-        lost = failed and self.claim_loss(job)
+        lost = failed and self.claim_lost_call(job)
         self.on_run_end(job, not failed)
         job.ended = True
         # Breaks a reference cycle that would keep jobs and their bodies in memory.
--- a/eelgrassmount/relay/heartbeats.py
+++ b/eelgrassmount/relay/heartbeats.py
@@ -48,7 +48,7 @@
 class Heartbeat:
     """A heartbeat of one incarnation of a backend server, or its leave message.
 
-    ``sequence`` increases with each heartbeat of an incarnation. ``cold_s`` is the
+    ``sequence`` increases with each heartbeat of an incarnation. ``warm_up_s`` is the
     remaining warm-up time of the server.
     """
 
@@ -59,4 +59,4 @@
     draining: bool = False
     leaving: bool = False
     sequence: int = NO_SEQUENCE
-    cold_s: float = 0.0
+    warm_up_s: float = 0.0
--- a/eelgrassmount/relay/links.py
+++ b/eelgrassmount/relay/links.py
@@ -30,49 +30,47 @@
 class LinkManager:
     """Opens links to the nodes of the services in use and checks them for silence."""
 
-    node_state: SharedState
+    state: SharedState
     handlers: LinkHandlers
     _selections: dict[str, LinkSelection] = field(factory=dict)
 
     def maintain_links(self) -> None:
         """Check all links for silence and open the missing ones."""
-        node_state = self.node_state
-        now_s = node_state.clock()
-        for member in node_state.members.by_name.values():
+        state = self.state
+        now_s = state.clock()
+        for member in state.members.by_name.values():
             if member.link is not None:
                 member.link.check_silence(now_s)
-        for link in node_state.members.list_retired():
+        for link in state.members.list_retired():
             link.check_silence(now_s)
         for service in self._find_needed_services():
             for member in self._select_members(service):
-                if member.name != node_state.name and now_s >= member.retry_at_s:
+                if member.name != state.name and now_s >= member.retry_at_s:
                     self.open_link(member)
 
     def open_link(self, member: Member) -> None:
         """Connect the link to a node, creating the link if there is none."""
         if member.link is None:
-            member.link = PeerLink(member, self.node_state.clock, self.handlers)
+            member.link = PeerLink(member, self.state.clock, self.handlers)
         member.link.connect()
 
     def _find_needed_services(self) -> set[str]:
         """Return the services that requests of this VM call, directly or indirectly."""
-        node_state = self.node_state
-        routes = node_state.table.routes
-        if len(node_state.members.by_service) <= MAX_EAGER_SERVICES:
+        state = self.state
+        routes = state.table.routes
+        if len(state.members.by_service) <= MAX_EAGER_SERVICES:
             return {
                 target.service for route in routes.values() for target in route.targets
             }
         return {
             service
-            for name in node_state.request_counts
+            for name in state.request_counts
             if name in routes
-            for service in node_state.graph.count_calls_by_service(
-                routes[name], node_state.table
-            )
+            for service in state.graph.count_calls_by_service(routes[name], state.table)
         }
 
     def _select_members(self, service: str) -> list[Member]:
-        members = self.node_state.members
+        members = self.state.members
         selection = self._selections.get(service)
         if selection is None or selection.changes != members.changes:
             selection = LinkSelection(members.changes, self._rank_members(service))
@@ -80,15 +78,15 @@
         return selection.members
 
     def _rank_members(self, service: str) -> list[Member]:
-        found = list(self.node_state.members.list_service(service))
+        found = list(self.state.members.list_service(service))
         if len(found) <= MAX_LINKS_PER_SERVICE:
             return found
         # Members of the local failure domain come first. The hash spreads the links of
         # different nodes over all members; the order is stable within a process.
-        local_name = self.node_state.name
+        local_name = self.state.name
         found.sort(
             key=lambda member: (
-                member.failure_domain != self.node_state.failure_domain,
+                member.failure_domain != self.state.failure_domain,
                 hash((local_name, member.name)),
             )
         )
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -34,7 +34,7 @@
 class PeerUpdates:
     """Applies updates from other nodes, and reports crashes to them."""
 
-    node_state: SharedState
+    state: SharedState
     quarantine: Quarantine
     apply_document: Callable[[bytes], None]
     broadcast: Callable[[FrameKind, object], None]
@@ -54,9 +54,9 @@
             )
             address = member.address
             domain = member.failure_domain
-            self.node_state.members.remove(member.name)
-            if hello.node_name != self.node_state.name:
-                self.node_state.members.put(
+            self.state.members.remove(member.name)
+            if hello.node_name != self.state.name:
+                self.state.members.put(
                     hello.node_name, address, domain, hello.service_name
                 )
             return
@@ -68,15 +68,15 @@
 
         This is how a node that starts while the log is unavailable finds its peers.
         """
-        node_state = self.node_state
-        if hello.address and hello.node_name != node_state.name:
-            node_state.members.put(
+        state = self.state
+        if hello.address and hello.node_name != state.name:
+            state.members.put(
                 hello.node_name,
                 hello.address,
                 hello.failure_domain,
                 hello.service_name,
             )
-        return (hello.config_version or 0) > node_state.table.version
+        return (hello.config_version or 0) > state.table.version
 
     def handle_report(self, member: Member, report: ttypes.RelayReport) -> None:
         """Store the load of another node's backend server.
@@ -95,7 +95,7 @@
         load.failure_share = report.failures_ppm / PPM
         load.lost_share = report.lost_ppm / PPM
         load.run_s = {time.route_name: time.run_ms / MS_PER_S for time in report.times}
-        load.reported_s = self.node_state.clock()
+        load.reported_s = self.state.clock()
         if report.counts:
             load.request_counts = {one.route_name: one.count for one in report.counts}
         member.sent_since_report = 0
@@ -114,8 +114,8 @@
 
         Several nodes announce a new version at once, and the document can be large.
         """
-        local_version = self.node_state.table.version
-        now_s = self.node_state.clock()
+        local_version = self.state.table.version
+        now_s = self.state.clock()
         requested = (
             version <= self._requested_version
             and now_s - self._requested_s < CONFIG_REQUEST_TIMEOUT_S
@@ -148,15 +148,15 @@
 
     def handle_config(self, config: ttypes.RelayConfig) -> None:
         """Apply the configuration of another node if it is newer."""
-        if config.version > self.node_state.table.version:
+        if config.version > self.state.table.version:
             self.apply_document(config.document)
 
     def find_newer_config(self, known_version: int) -> ttypes.RelayConfig | None:
         """Return the configuration if it is newer than ``known_version``."""
-        node_state = self.node_state
-        if node_state.table.version <= known_version:
+        state = self.state
+        if state.table.version <= known_version:
             return None
-        return ttypes.RelayConfig(node_state.table.version, node_state.document)
+        return ttypes.RelayConfig(state.table.version, state.document)
 
     def handle_crash(self, incarnation: ServerIncarnation, jobs: list[Job]) -> None:
         """Suspect the requests that ran when the server crashed, and notify all peers.
@@ -165,7 +165,7 @@
         counts once, and crashes of two incarnations count twice. Suspects outlive the
         incarnation, since their content may crash the next one too.
         """
-        crash_id = f"{self.node_state.name}/{incarnation}"
+        crash_id = f"{self.state.name}/{incarnation}"
         digests = [job.call.find_digest() for job in jobs]
         logger.warning(
             "server crashed",
@@ -179,7 +179,7 @@
 
     def record_suspects(self, suspects: ttypes.RelaySuspects) -> None:
         """Count a crash against the request contents that ran at the time."""
-        now_s = self.node_state.clock()
+        now_s = self.state.clock()
         crash_ids = frozenset([suspects.crash_id])
         self.quarantine.merge(
             [
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -46,7 +46,7 @@
     """Sends each request its final answer, counts it and logs refusals and failures.
 
     ``return_quota`` is called for requests that were charged to a quota and did not
-    run. ``open_flows`` is the number of requests that were started and have no answer.
+    run. ``open_requests`` counts the requests that were started and have no answer.
     """
 
     header_codec: HeaderCodec
@@ -58,11 +58,11 @@
     rng: random.Random
     call_attributor: CallAttributor
     return_quota: Callable[[Team], None] = lambda team: None
-    open_flows: int = field(default=0, init=False)
+    open_requests: int = field(default=0, init=False)
 
     def start(self, pending: PendingRequest) -> None:
         """Start sending a request to a backend server."""
-        self.open_flows += 1
+        self.open_requests += 1
         pending.exchange.on_abandon = lambda: self._abandon(pending)
         self.sender.start(pending)
 
@@ -203,7 +203,7 @@
     def _finish(self, pending: PendingRequest) -> None:
         pending.ended = True
         self.sender.cancel(pending)
-        self.open_flows -= 1
+        self.open_requests -= 1
         pending.exchange.on_abandon = None
         if pending.timer is not None:
             pending.timer.cancel()
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -48,7 +48,7 @@
     priority: int
     needs_key: bool = False
 
-    def divide(self) -> dict[str, float]:
+    def compute_shares(self) -> dict[str, float]:
         """Return the share of the requests that goes to each service."""
         total = sum(target.weight for target in self.targets)
         shares: dict[str, float] = {}
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -29,7 +29,7 @@
 class Shutdown:
     """Drains clients, then peers, and waits for open requests, within ``grace_s``."""
 
-    node_state: SharedState
+    state: SharedState
     client_listener: HttpListener
     inbound_links: InboundLinks
     grace_s: float
@@ -40,13 +40,13 @@
         """Drain the node and return when the process may exit."""
         loop = asyncio.get_running_loop()
         exit_deadline_s = loop.time() + self.grace_s - EXIT_MARGIN_S
-        self.node_state.stopping = True
+        self.state.stopping = True
         logger.info("stopping", open=self.count_open())
         # Clients may still send requests over their connections during the drain.
         self.client_listener.ending = True
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
-        self.node_state.closing = True
+        self.state.closing = True
         self.inbound_links.accepting = False
         self.report_now()
         await asyncio.sleep(min(drain_s, PEER_DRAIN_S))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -111,7 +111,7 @@
     assert (heartbeat.service, heartbeat.slots) == ("desk", 168)
     assert heartbeat.draining
     assert not heartbeat.leaving
-    assert (heartbeat.sequence, heartbeat.cold_s) == (4, 0.5)
+    assert (heartbeat.sequence, heartbeat.warm_up_s) == (4, 0.5)
 
 
 def test_leave_is_read():
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -67,7 +67,7 @@
     assert heartbeat.service == "desk"
     assert heartbeat.address == "10.1.0.8:8301"
     assert (heartbeat.slots, heartbeat.sequence) == (168, 4)
-    assert heartbeat.cold_s == 0.5
+    assert heartbeat.warm_up_s == 0.5
     assert not heartbeat.draining
     assert heartbeat.incarnation.started_ms == 1_790_000_000_000
 
--- a/tests/relay/test_call_attribution.py
+++ b/tests/relay/test_call_attribution.py
@@ -68,7 +68,7 @@
     assert setup.find_caller() is None
 
 
-def test_run_of_a_route_that_makes_no_such_calls_is_left_out(setup):
+def test_run_of_a_route_that_makes_no_such_calls_is_not_considered(setup):
     setup.start_run("j1", make_route("shop/upload/"))
     assert setup.find_caller() is None
 
@@ -123,7 +123,7 @@
     setup.start_run("j1", BOOK)
     setup.attributor.record_answer(setup.find_caller(), succeeded=False)
     setup.now_s += 2 * MAX_CONTINUATION_DELAY_S
-    setup.attributor.forget_answers()
+    setup.attributor.discard_old_answers()
     assert not setup.attributor._latest_answers
 
 
@@ -237,15 +237,15 @@
     for number, call in enumerate(calls):
         setup.attributor.record_answer(call, succeeded=number > 0)
     assert not setup.attributor.has_lost_call("m0")
-    assert setup.attributor.claim_loss("m1")
-    assert not setup.attributor.claim_loss("m2")
+    assert setup.attributor.claim_lost_call("m1")
+    assert not setup.attributor.claim_lost_call("m2")
 
 
 def test_failed_unattributed_call_expires(setup):
     start_many_runs(setup)
     setup.attributor.record_answer(setup.find_caller(), succeeded=False)
     setup.now_s += FAILURE_MATCH_WINDOW_S + 0.1
-    assert not setup.attributor.claim_loss("m1")
+    assert not setup.attributor.claim_lost_call("m1")
 
 
 def test_failed_call_does_not_explain_a_run_whose_route_makes_no_calls(setup):
@@ -253,8 +253,8 @@
     setup.attributor.count_runs = lambda route: 1 if route == PART.name else 2
     setup.start_run("leaf", PART)
     setup.attributor.record_answer(setup.find_caller(), succeeded=False)
-    assert not setup.attributor.claim_loss("leaf")
-    assert setup.attributor.claim_loss("m1")
+    assert not setup.attributor.claim_lost_call("leaf")
+    assert setup.attributor.claim_lost_call("m1")
 
 
 def test_one_call_with_a_long_deadline_does_not_hide_the_route_timeout(setup):
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -296,7 +296,9 @@
     assert setup.dispatcher.measures.failure_share == counted
 
 
-def test_run_of_a_slow_server_is_not_silent_before_several_times_its_usual(setup):
+def test_run_of_a_slow_server_is_not_silent_before_several_times_its_mean_duration(
+    setup,
+):
     usual_s = 0.8
     for _ in range(3):
         setup.submit()
@@ -340,7 +342,8 @@
     assert setup.dispatcher.measures.load.demand == pytest.approx(
         DEMAND_SMOOTHING * 3 * run_s / 2
     )
-    # Two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed.
+    # Two calls wait for one of two seconds. The maximum mean wait is 0.3 of the
+    # shortest time allowance.
     setup.dispatcher.measures.routes["r"] = RouteStats(time_allowance_s=0.2)
     setup.dispatcher.measures.routes["s"] = RouteStats(time_allowance_s=0.4)
     assert setup.dispatcher.measures.compute_max_mean_wait_s() == pytest.approx(0.06)
@@ -523,7 +526,7 @@
 def test_run_that_failed_by_a_downstream_call_is_not_a_server_failure():
     """Guards against reducing the load of healthy servers above a failing one."""
     setup = Setup()
-    setup.dispatcher.claim_loss = lambda job: True
+    setup.dispatcher.claim_lost_call = lambda job: True
     for _ in range(40):
         setup.submit()
         setup.answer(500)
@@ -539,7 +542,7 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.dispatcher.claim_loss = lambda job: lost
+    setup.dispatcher.claim_lost_call = lambda job: lost
     seen = []
     for _ in range(400):
         lost = rng.random() < 0.9
@@ -553,7 +556,7 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.dispatcher.claim_loss = lambda job: lost
+    setup.dispatcher.claim_lost_call = lambda job: lost
     for _ in range(400):
         lost = rng.random() < 0.3
         setup.submit()
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -113,7 +113,7 @@
     assert all(one is None or 0 <= one < 2**53 for one in raw)
     cold_ms = find_field(content, "status.coldRemainingMs")
     assert type(cold_ms) in (int, float)
-    assert found.cold_s == cold_ms / 1000
+    assert found.warm_up_s == cold_ms / 1000
     assert math.isfinite(cold_ms)
     assert cold_ms >= 0
     state = find_field(content, "status.state")
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -136,7 +136,7 @@
             assert not inbound.received_calls
             assert len(inbound.connections) <= len(self.deployment.vms)
         for vm in self.entry_vms:
-            assert vm.node.ingress.answers.open_flows == 0
+            assert vm.node.ingress.responder.open_requests == 0
             for member in vm.node.beliefs.members.by_name.values():
                 assert member.link is None or not member.link.pending_calls
 
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -360,9 +360,9 @@
 
 
 @pytest.mark.parametrize(
-    ("fate", "status"), [(Outcome.NOT_RUN, 503), (Outcome.MAY_HAVE_RUN, 502)]
+    ("outcome", "status"), [(Outcome.NOT_RUN, 503), (Outcome.MAY_HAVE_RUN, 502)]
 )
-def test_refused_read_may_have_run_only_if_its_first_server_reports_it(fate, status):
+def test_refused_read_may_have_run_only_if_its_first_server_reports_it(outcome, status):
     async def scenario(setup: TwoServerScenario) -> None:
         setup.second_vm.node.inbound.accepting = False
         await anyio.sleep(0.5)
@@ -371,7 +371,7 @@
         link = setup.entry_vm.node.beliefs.members.by_name[name].link
         (sequence,) = link.pending_calls
         link._handle_reply(
-            ttypes.RelayReply(sequence, fate, "overload", 0, b"", b"", 0, 0)
+            ttypes.RelayReply(sequence, outcome, "overload", 0, b"", b"", 0, 0)
         )
         assert (await asyncio.wait_for(setup.future, 3)).status == status
 
@@ -517,7 +517,7 @@
 
 @pytest.mark.parametrize("target", ["/list/1", "/book/1"])
 def test_run_is_resumed_after_a_pause_of_its_node(target):
-    """The rejoin timeout may pass during a pause, before the sender is heard again."""
+    """The rejoin timeout may pass during a pause, before the sender reconnects."""
 
     async def scenario(setup: SingleServerScenario) -> None:
         setup.server_vm.server.work_s = 2.0
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -31,7 +31,7 @@
 
 def admit_all() -> None:
     """Let every request begin."""
-    Admission.try_admit = lambda self, demand: True
+    Admission.try_admit = lambda self, request_class: True
 
 
 def ignore_calls() -> None:
