--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -55,7 +55,7 @@
 
 def admit_at_entry(
     board: Blackboard,
-    state: EntryMeters,
+    meters: EntryMeters,
     work_class: WorkClass,
     service: str,
     priority: int,
@@ -69,9 +69,9 @@
     bottleneck = find_bottleneck(board, work_class, service, priority, now_s)
     if bottleneck is None:
         for name in {service, *find_services(board.loads, work_class.name)}:
-            state.get_meter(name).record_admitted(now_s)
+            meters.get_meter(name).record_admitted(now_s)
         return None
-    meter = state.get_meter(bottleneck)
+    meter = meters.get_meter(bottleneck)
     meter.record_refused(now_s)
     delay_s = compute_retry_after(meter, now_s)
     return NotRun(Reason.OVERLOAD, spread_retry_after(delay_s, rng))
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -42,7 +42,7 @@
     from eelgrassmount.timers import Timer, TimerService
 
 _SWEEP_INTERVAL_S = 0.02
-_CLASS_SMOOTHING = 0.1
+_RUN_TIME_SMOOTHING = 0.1
 # A call above the threshold may wait for the typical run time, or this long if longer.
 _MIN_STARVED_S = 0.1
 # A queue that has been nonempty for more typical run times is a standing queue.
@@ -248,7 +248,7 @@
 
     def _record_run(self, sample: Sample) -> None:
         mean_run_s = self._run_s_by_class.get(sample.class_name, sample.latency_s)
-        mean_run_s += _CLASS_SMOOTHING * (sample.latency_s - mean_run_s)
+        mean_run_s += _RUN_TIME_SMOOTHING * (sample.latency_s - mean_run_s)
         self._run_s_by_class[sample.class_name] = mean_run_s
 
     def sweep(self) -> None:
--- a/eelgrassmount/load/exchange.py
+++ b/eelgrassmount/load/exchange.py
@@ -23,7 +23,7 @@
 
 _USAGE_SMOOTHING = 0.05
 _MIN_USAGE_SHARE = 0.25
-_FORGET_USAGE_SHARE = 0.01
+_MIN_TRACKED_USAGE_SHARE = 0.01
 _MAX_TRACKED_CALLS = 50_000
 
 
@@ -66,12 +66,12 @@
         services.update(load.service for load in loads)
 
     def collect(
-        self, call_id: str, own: ServiceLoad, now_s: float
+        self, call_id: str, local_load: ServiceLoad, now_s: float
     ) -> tuple[ServiceLoad, ...]:
         """Return the loads to send with the answer of a call, and drop its record."""
         services = self.used_services.pop(call_id, set())
-        loads = [own]
-        for service in sorted(services - {own.service}):
+        loads = [local_load]
+        for service in sorted(services - {local_load.service}):
             load = find_load(self.table, service, now_s, _MAX_RELAYED_AGE_S)
             loads.append(load or ServiceLoad(service))
         return tuple(loads)
@@ -86,7 +86,7 @@
             share = shares[service]
             share += _USAGE_SMOOTHING * ((service in used) - share)
             shares[service] = share
-            if share < _FORGET_USAGE_SHARE:
+            if share < _MIN_TRACKED_USAGE_SHARE:
                 del shares[service]
 
     def drop_expired(self, now_s: float) -> None:
@@ -133,8 +133,8 @@
 ) -> ServiceLoad | None:
     """Return the combined load of a service, ``None`` if there is no recent report.
 
-    Fresh reports from its own servers go before fresh relayed ones; without fresh
-    reports, the newest one counts.
+    Fresh reports from servers of the service take precedence over fresh relayed ones.
+    Without fresh reports, the newest one counts.
     """
     direct = [load for load in table.by_node.values() if load.service == service]
     relayed = list(table.relayed.get(service, {}).values())
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -15,8 +15,8 @@
 # Servers of a service that a node sends calls to.
 SUBSET_SIZE = 12
 
-_RAMP_S = 8.0
-_MIN_RAMP = 0.1
+_RAMP_DURATION_S = 8.0
+_MIN_RAMP_SHARE = 0.1
 _MAX_ABSENCE_S = 2.0
 
 _MIN_FAILURES_TO_AVOID = 3
@@ -79,7 +79,7 @@
         if record is None:
             record = self.records[address] = ServerRecord(now_s, now_s)
             if now_s - self.started_s < _MAX_ABSENCE_S:
-                record.first_seen_s = now_s - _RAMP_S
+                record.first_seen_s = now_s - _RAMP_DURATION_S
         elif now_s - record.last_seen_s > _MAX_ABSENCE_S:
             record.first_seen_s = now_s
         record.last_seen_s = now_s
@@ -140,14 +140,16 @@
 def compute_ramp(record: ServerRecord, now_s: float) -> float:
     """Return the fraction of its normal share that a new server receives."""
     age_s = now_s - record.first_seen_s
-    return min(1.0, _MIN_RAMP + (1.0 - _MIN_RAMP) * age_s / _RAMP_S)
+    return min(
+        1.0, _MIN_RAMP_SHARE + (1.0 - _MIN_RAMP_SHARE) * age_s / _RAMP_DURATION_S
+    )
 
 
 def should_avoid(record: ServerRecord, now_s: float) -> bool:
     """Return whether a server should receive no calls after recent failures."""
     if now_s < record.avoid_until_s:
         return True
-    # After the pause, one call at a time until one is answered.
+    # After the pause, the server gets one call at a time until it answers one.
     return record.avoidance_s > 0 and record.outstanding > 0
 
 
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -78,17 +78,17 @@
         self,
         address: Address,
         data: bytes,
-        fresh: bool,
+        fresh_only: bool,
         accepts: Callable[[ClientAnswer], bool],
         done: Callable[[ClientAnswer | Break], None],
         head_only: bool = False,
     ) -> ServerExchange:
-        """Send a whole request; ``fresh`` requires a recently used connection.
+        """Send a whole request; ``fresh_only`` requires a recently used connection.
 
         With ``head_only`` the answer has no body, whatever length it announces.
         """
         exchange = ServerExchange(done, head_only=head_only)
-        connection = self._take_idle(fresh)
+        connection = self._take_idle(fresh_only)
         if connection is not None:
             self._send_on(connection, exchange, data, accepts)
             return exchange
@@ -120,11 +120,11 @@
                 self._idle.remove(connection)
                 connection.close()
 
-    def _take_idle(self, fresh: bool) -> ClientConnection | None:
+    def _take_idle(self, fresh_only: bool) -> ClientConnection | None:
         now_s = self.clock()
         while self._idle:
             connection = self._idle[-1]
-            if fresh and now_s - connection.idle_since_s > MAX_FRESH_IDLE_S:
+            if fresh_only and now_s - connection.idle_since_s > MAX_FRESH_IDLE_S:
                 return None
             self._idle.pop()
             if not connection.closed and self._is_usable(connection, now_s):
--- a/eelgrassmount/relay/budget.py
+++ b/eelgrassmount/relay/budget.py
@@ -141,7 +141,7 @@
     def take(self, service: str, origin: Origin, is_leaf: bool) -> bool:
         """Return whether a call may be retried, and charge the retry to the budget.
 
-        ``is_leaf`` tells whether the run makes no calls of its own.
+        ``is_leaf`` is set if the run makes no downstream calls.
         """
         budget = self._get_budget(service)
         now_s = self.clock()
--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -134,7 +134,7 @@
     Calls of servers don't name the run that makes them. A run usually makes its next
     call on the connection of the last answer, right after that answer. Its first call
     follows some time after its start, and the deadline of a call is no later than that
-    of its run. Where neither identifies the run among many, the call is left
+    of its run. Where neither identifies the run among many, the call stays
     unattributed, and its failure can explain that of any run.
 
     ``may_call`` returns whether runs of a route call another route, ``count_runs`` the
@@ -357,7 +357,7 @@
 
 
 def measure_distance(run: Run, now_s: float, first_call_delay_s: float) -> float:
-    """Return how unlikely a run makes a call now; the likeliest run has 0."""
+    """Return how unlikely it is that a run makes a call now; 0 is the most likely."""
     if now_s - run.last_answer_s <= MAX_CONTINUATION_DELAY_S and not run.open_calls:
         return math.log(ANSWERED_RUN_PENALTY_FACTOR)
     age_s = max(MIN_RUN_AGE_S, now_s - run.started_s)
--- a/eelgrassmount/relay/internal_routes.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -53,7 +53,7 @@
 
 
 def find_client_routes(request_counts: dict[str, ServiceCounts]) -> set[str]:
-    """Return the routes that are requested on the VMs of all services, as by clients.
+    """Return the routes that clients use: those requested on the VMs of all services.
 
     A route that is neither among these nor among the internal routes has too few
     requests to be classified.
@@ -77,7 +77,7 @@
 
 
 def _compare_services(name: str, known: list[ServiceCounts]) -> list[bool]:
-    """Return for each service whether a route is requested there as by clients.
+    """Return for each service whether its VMs request a route as often as clients do.
 
     Services at which too few requests are expected are omitted.
     """
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -60,9 +60,9 @@
     """A request that is forwarded to a backend server.
 
     ``head`` is the block of header lines that the server gets unchanged. ``deadline_s``
-    is on the node's monotonic clock. A call that another dispatcher has counted is
-    ``counted_as_demand``. A call ``is_retry`` if an earlier attempt may have reached a
-    server; retries are charged to the retry budget.
+    is on the node's monotonic clock. ``counted_as_demand`` is set if a dispatcher has
+    counted the call before, ``is_retry`` if an earlier attempt may have reached a
+    server. Retries are charged to the retry budget.
     """
 
     request_id: str
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -33,7 +33,7 @@
     ``name`` is the same in all versions for a host and prefix. ``objective_s`` is the
     latency objective, ``timeout_s`` the longest time that a request may take. Routes of
     ``priority`` 0 are refused last. ``max_attempts`` limits the backend servers that
-    may get one request. If teams are configured, ``needs_key`` tells whether requests
+    may get one request. If teams are configured, ``needs_key`` is set if requests
     need an API key of a team.
     """
 
--- a/eelgrassmount/relay/rows.py
+++ b/eelgrassmount/relay/rows.py
@@ -6,7 +6,7 @@
 
 
 def write_rows(vectors: dict[str, dict[str, float]]) -> list[ttypes.RouteCalls]:
-    """Return call vectors as rows; a route that calls nothing has a row with no name.
+    """Return call vectors as rows; a route without calls has one with an empty name.
 
     A node must pass its local vectors only: vectors received from other nodes would
     circulate after those nodes have corrected them.
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -65,7 +65,7 @@
 
 @frozen
 class BudgetStatus:
-    """Requests to a service and retries of them in the window of the retry budget."""
+    """Requests to a service, and their retries, in the window of the retry budget."""
 
     service: str
     requests: int
@@ -78,8 +78,8 @@
 
     ``rate`` and ``burst`` are the team's, in requests per second and requests.
     ``held_rate`` is the rate that this node grants from, ``level`` the requests that it
-    can grant now, negative if it granted in advance, and ``asked_per_s`` the rate of
-    the requests asked of it.
+    can grant now, negative if it granted in advance, and ``asked_per_s`` the rate
+    of the requests for which nodes request grants.
     """
 
     team: str
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -74,10 +74,10 @@
     def clock(self) -> float:
         return self.now_s
 
-    async def send(self, fresh: bool) -> ClientAnswer | Break:
+    async def send(self, fresh_only: bool) -> ClientAnswer | Break:
         future = asyncio.get_running_loop().create_future()
         address = self.server.address
-        self.pool.send(address, REQUEST, fresh, lambda _: True, future.set_result)
+        self.pool.send(address, REQUEST, fresh_only, lambda _: True, future.set_result)
         with anyio.fail_after(3):
             return await future
 
@@ -114,10 +114,10 @@
         assert isinstance(await setup.send(False), ClientAnswer)
         setup.now_s += idle_s
         assert await setup.send(False) is Break.CLOSED
-        for fresh in (False, True):
-            assert isinstance(await setup.send(fresh), ClientAnswer)
+        for fresh_only in (False, True):
+            assert isinstance(await setup.send(fresh_only), ClientAnswer)
             setup.now_s += idle_s
-            assert isinstance(await setup.send(fresh), ClientAnswer)
+            assert isinstance(await setup.send(fresh_only), ClientAnswer)
 
     run(scenario)
 
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -52,19 +52,19 @@
     def __init__(self):
         self.open: list[FakeExchange] = []
         self.sent: list[bytes] = []
-        self.fresh: list[bool] = []
+        self.fresh_only: list[bool] = []
         self.connecting: set[FakeExchange] = set()
-        self.forgotten: list[int] = []
+        self.resets: list[int] = []
 
-    def send(self, address, data, fresh, accepts, done, head_only=False):
+    def send(self, address, data, fresh_only, accepts, done, head_only=False):
         exchange = FakeExchange(self, done)
         self.open.append(exchange)
         self.sent.append(data)
-        self.fresh.append(fresh)
+        self.fresh_only.append(fresh_only)
         return exchange
 
     def reset(self):
-        self.forgotten.append(len(self.sent))
+        self.resets.append(len(self.sent))
 
 
 class Setup:
@@ -249,7 +249,7 @@
 
 def test_non_idempotent_call_uses_a_fresh_connection(setup):
     setup.submit(make_call(make_route(idempotent=False)))
-    assert setup.pool.fresh == [True]
+    assert setup.pool.fresh_only == [True]
 
 
 def test_cancelled_call_is_stopped_only_if_idempotent(setup):
@@ -438,7 +438,7 @@
     setup.now_s += 0.1
     setup.restart()
     # Before the next call, which would use an idle connection.
-    assert setup.pool.forgotten == [1]
+    assert setup.pool.resets == [1]
     assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
     assert (setup.dispatcher.queued, setup.dispatcher.in_flight) == (0, 1)
     setup.answer()
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -85,12 +85,12 @@
         while True:
             await anyio.sleep(self.rng.expovariate(FAULTS_PER_S))
             address = self.rng.choice(self.server_vms).settings.peer_address
-            place = (address.host, address.port)
+            socket_address = (address.host, address.port)
             fault = self.rng.choice(("mute", "reset", "pause"))
-            getattr(self.network, fault)(place)
+            getattr(self.network, fault)(socket_address)
             if fault == "pause":
                 await anyio.sleep(self.rng.uniform(0.1, 1.5))
-                self.network.resume(place)
+                self.network.resume(socket_address)
 
     async def run(self) -> None:
         """Send requests while links fail, then check all answers and runs."""
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -49,7 +49,7 @@
         await self.deployment.wait_until_connected()
         self.server_vm.server.work_s = RUN_S
         address = self.server_vm.settings.peer_address
-        self.place: SocketAddress = (address.host, address.port)
+        self.socket_address: SocketAddress = (address.host, address.port)
 
     async def send(
         self, request_id: str = "a1", target: str = "/list/1"
@@ -76,9 +76,9 @@
 
     async def pause_server_node(self) -> None:
         """Pause the node of the server."""
-        self.network.pause(self.place)
+        self.network.pause(self.socket_address)
         await anyio.sleep(PAUSE_S)
-        self.network.resume(self.place)
+        self.network.resume(self.socket_address)
 
 
 def run_scenario(
@@ -128,7 +128,7 @@
         setup.server_vm.server.work_s = 2.0
         for fault, request_id in (("mute", "a1"), ("reset", "a2")):
             future = await setup.send_and_wait_for_run(request_id)
-            getattr(setup.network, fault)(setup.place)
+            getattr(setup.network, fault)(setup.socket_address)
             answer = await asyncio.wait_for(future, 3)
             assert answer.status == 200
         assert setup.server_vm.server.runs == ["a1", "a2"]
@@ -141,8 +141,8 @@
         future = await setup.send_and_wait_for_run()
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        setup.network.mute(setup.place)
-        setup.network.listeners[setup.place].close()
+        setup.network.mute(setup.socket_address)
+        setup.network.listeners[setup.socket_address].close()
         answer = await asyncio.wait_for(future, 5)
         assert answer.status == 502
         passed_s = loop.time() - started_s
@@ -160,7 +160,7 @@
         if fault == "stand still":
             await setup.pause_server_node()
         else:
-            getattr(setup.network, fault)(setup.place)
+            getattr(setup.network, fault)(setup.socket_address)
         assert (await asyncio.wait_for(future, 3)).status == 200
         assert setup.server_vm.server.runs == ["a1"]
 
@@ -171,7 +171,7 @@
 def test_call_lost_on_the_way_runs_over_the_new_connection(target):
     async def scenario(setup: SingleServerScenario) -> None:
         assert (await (await setup.send_and_wait_for_run("a1", target))).status == 200
-        setup.network.mute(setup.place)
+        setup.network.mute(setup.socket_address)
         future = await setup.send("a2", target)
         assert (await asyncio.wait_for(future, 3)).status == 200
         assert setup.server_vm.server.runs == ["a1", "a2"]
@@ -182,7 +182,7 @@
 def test_read_whose_reply_was_lost_is_not_run_again_without_a_retry():
     async def scenario(setup: SingleServerScenario) -> None:
         future = await setup.send_and_wait_for_run()
-        setup.network.mute(setup.place)
+        setup.network.mute(setup.socket_address)
         assert (await asyncio.wait_for(future, 3)).status == 502
         assert setup.server_vm.server.runs == ["a1"]
 
@@ -198,7 +198,7 @@
         inbound.incarnation = "next"
         inbound.received_calls.clear()
         inbound.senders.clear()
-        setup.network.reset(setup.place)
+        setup.network.reset(setup.socket_address)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 502
         assert setup.server_vm.server.runs == ["a1"]
 
@@ -212,7 +212,7 @@
         # The client's disconnect arrives between the reset and the new connection.
         setup.client.close()
         await anyio.sleep(LATENCY_S / 2)
-        setup.network.reset(setup.place)
+        setup.network.reset(setup.socket_address)
         await anyio.sleep(0.01)
         assert setup.server_vm.node.dispatcher.in_flight == 1
         await anyio.sleep(REJOIN_TIMEOUT_S + 0.05)
@@ -228,11 +228,11 @@
         future = await setup.send_and_wait_for_run()
         # The server's node notices the lost connection first. The run ends before the
         # new connection is made.
-        for link in setup.network.list_open(setup.place):
+        for link in setup.network.list_open(setup.socket_address):
             link.server_end.reset()
         await anyio.sleep(RUN_S + 0.02)
         assert setup.server_vm.node.dispatcher.in_flight == 0
-        setup.network.reset(setup.place)
+        setup.network.reset(setup.socket_address)
         assert (await asyncio.wait_for(future, SLACK_S)).status == 200
         assert setup.server_vm.server.runs == ["a1"]
 
@@ -420,14 +420,14 @@
         while setup.entry_vm.node.beliefs.table.version < 2:
             await anyio.sleep(0.01)
         future = await setup.send_and_wait_for_run(target="/long/1")
-        for link in setup.network.list_open(setup.place):
+        for link in setup.network.list_open(setup.socket_address):
             link.server_end.reset()
         await anyio.sleep(RUN_S + 0.02)
-        setup.network.pause(setup.place)
+        setup.network.pause(setup.socket_address)
         await anyio.sleep(REPLY_RETENTION_S + 2.0)
         assert not future.done()
         assert not setup.server_vm.node.inbound.received_calls
-        setup.network.resume(setup.place)
+        setup.network.resume(setup.socket_address)
         assert (await asyncio.wait_for(future, 2)).status == 502
         assert setup.server_vm.server.runs == ["a1"]
 
@@ -441,8 +441,8 @@
 
     async def scenario(setup: SingleServerScenario) -> None:
         future = await setup.send_and_wait_for_run()
-        setup.network.mute(setup.place)
-        setup.network.listeners[setup.place].close()
+        setup.network.mute(setup.socket_address)
+        setup.network.listeners[setup.socket_address].close()
         await asyncio.wait_for(future, 5)
 
     run_scenario(scenario)
@@ -459,7 +459,7 @@
         setup.server_vm.server.work_s = 2.0
         future = await setup.send_and_wait_for_run(target=target)
         # Only the entry node's end breaks now; the peer notices after the pause.
-        for link in setup.network.list_open(setup.place):
+        for link in setup.network.list_open(setup.socket_address):
             link.client_end.reset()
         await anyio.sleep(LATENCY_S / 2)
         assert not setup.entry_vm.node.beliefs.members.by_name["node-2"].is_connected()
@@ -492,8 +492,8 @@
     async def scenario(setup: SingleServerScenario) -> None:
         future = await setup.send_and_wait_for_run()
         setup.entry_vm.node.beliefs.members.remove("node-2")
-        setup.network.mute(setup.place)
-        setup.network.listeners[setup.place].close()
+        setup.network.mute(setup.socket_address)
+        setup.network.listeners[setup.socket_address].close()
         answer = await asyncio.wait_for(future, SILENCE_TIMEOUT_S + 2 * SLACK_S)
         assert answer.status == 502
         assert setup.entry_vm.node.beliefs.members.list_retired() == []
@@ -522,7 +522,7 @@
     async def scenario(setup: SingleServerScenario) -> None:
         setup.server_vm.server.work_s = 2.0
         future = await setup.send_and_wait_for_run(target=target)
-        setup.network.reset(setup.place)
+        setup.network.reset(setup.socket_address)
         await anyio.sleep(LATENCY_S / 2)
         asyncio.get_running_loop().now_s += PAUSE_S
         assert (await asyncio.wait_for(future, 3)).status == 200
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -106,7 +106,7 @@
 
 def keep_no_connections() -> None:
     """Open a connection for each request to a server."""
-    BackendPool._take_idle = lambda self, fresh: None
+    BackendPool._take_idle = lambda self, fresh_only: None
 
 
 def keep_nothing_learned() -> None:
