--- a/eelgrassmount/policy/shedding.py
+++ b/eelgrassmount/policy/shedding.py
@@ -25,19 +25,19 @@
     calls: float
 
 
-def compute_admitted_shares(
+def compute_admitted_fractions(
     required: Iterable[RequiredCalls], admitted_fraction: float
 ) -> dict[RequestClass, float]:
-    """Return the share of each request class to admit.
+    """Return the admitted fraction of each request class.
 
-    ``admitted_fraction`` is the fraction of all required calls that the service can
-    run. It is given to the ranks in order of urgency; classes of the rank at which it
-    is used up are reduced by the same factor::
+    ``admitted_fraction`` is that of the service: the fraction of all required calls
+    that it can run. It is given to the ranks in order of urgency; classes of the rank
+    at which it is used up are reduced by the same factor::
 
         book = RequestClass("shop/book/", 0)
         price = RequestClass("shop/price/", 2)
         required = [RequiredCalls(book, 20.0), RequiredCalls(price, 20.0)]
-        compute_admitted_shares(required, 0.75)
+        compute_admitted_fractions(required, 0.75)
         # {book: 1.0, price: 0.5}
     """
     by_rank: dict[int, list[RequiredCalls]] = {}
@@ -45,9 +45,9 @@
         by_rank.setdefault(one.request_class.rank, []).append(one)
     calls_by_rank = {rank: sum(one.calls for one in by_rank[rank]) for rank in by_rank}
     remaining_calls = admitted_fraction * sum(calls_by_rank.values())
-    shares: dict[RequestClass, float] = {}
+    fractions: dict[RequestClass, float] = {}
     for rank in sorted(by_rank):
-        share = max(0.0, min(1.0, remaining_calls / calls_by_rank[rank]))
-        shares.update({one.request_class: share for one in by_rank[rank]})
+        fraction = max(0.0, min(1.0, remaining_calls / calls_by_rank[rank]))
+        fractions.update({one.request_class: fraction for one in by_rank[rank]})
         remaining_calls -= calls_by_rank[rank]
-    return shares
+    return fractions
--- a/eelgrassmount/relay/admission.py
+++ b/eelgrassmount/relay/admission.py
@@ -13,7 +13,7 @@
 from eelgrassmount.policy.shedding import (
     RequestClass,
     RequiredCalls,
-    compute_admitted_shares,
+    compute_admitted_fractions,
 )
 
 if TYPE_CHECKING:
@@ -243,14 +243,14 @@
             self.request_counts.get(request_class, 0.0) + 1.0
         )
         self._new_requests[request_class] = self._new_requests.get(request_class, 0) + 1
-        share = self.admitted_fractions.get(request_class, 1.0)
+        fraction = self.admitted_fractions.get(request_class, 1.0)
         # Refusing an unrecognized downstream call would waste the work already done
         # for its request.
-        if share >= 1.0 or not self.is_client_route(request_class.route_name):
+        if fraction >= 1.0 or not self.is_client_route(request_class.route_name):
             return True
         # A random start keeps nodes from all refusing their first request.
         credit = self._credits.get(request_class)
-        credit = share + (self.rng.random() if credit is None else credit)
+        credit = fraction + (self.rng.random() if credit is None else credit)
         if credit >= 1.0:
             self._credits[request_class] = credit - 1.0
             return True
@@ -274,7 +274,7 @@
             ).items():
                 if service in overloaded:
                     self._apply_limits(
-                        compute_admitted_shares(required, overloaded[service])
+                        compute_admitted_fractions(required, overloaded[service])
                     )
         self.request_counts = {
             request_class: count * REQUEST_COUNT_DECAY_FACTOR
@@ -335,8 +335,8 @@
         )
         return table.teams.is_required and route.needs_key and not known
 
-    def _apply_limits(self, shares: dict[RequestClass, float]) -> None:
-        for request_class, share in shares.items():
+    def _apply_limits(self, fractions: dict[RequestClass, float]) -> None:
+        for request_class, fraction in fractions.items():
             self.admitted_fractions[request_class] = min(
-                self.admitted_fractions.get(request_class, 1.0), share
+                self.admitted_fractions.get(request_class, 1.0), fraction
             )
--- a/tests/policy/test_shedding.py
+++ b/tests/policy/test_shedding.py
@@ -7,7 +7,7 @@
 from eelgrassmount.policy.shedding import (
     RequestClass,
     RequiredCalls,
-    compute_admitted_shares,
+    compute_admitted_fractions,
 )
 
 BOOK = RequestClass("shop/book/", 0)
@@ -25,9 +25,9 @@
         RequiredCalls(PRICE, 15.0),
         RequiredCalls(LISTING, 5.0),
     ]
-    shares = compute_admitted_shares(required, fraction)
-    assert shares[BOOK] == pytest.approx(book)
-    assert shares[PRICE] == shares[LISTING] == pytest.approx(price)
+    fractions = compute_admitted_fractions(required, fraction)
+    assert fractions[BOOK] == pytest.approx(book)
+    assert fractions[PRICE] == fractions[LISTING] == pytest.approx(price)
 
 
 def test_admitted_requests_require_the_admitted_fraction_of_calls():
@@ -36,6 +36,6 @@
         RequiredCalls(PRICE, 15.0),
         RequiredCalls(LISTING, 5.0),
     ]
-    shares = compute_admitted_shares(required, 0.8)
-    admitted = sum(one.calls * shares[one.request_class] for one in required)
+    fractions = compute_admitted_fractions(required, 0.8)
+    admitted = sum(one.calls * fractions[one.request_class] for one in required)
     assert admitted == pytest.approx(0.8 * 40.0)
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -44,7 +44,7 @@
 
 def ignore_priority() -> None:
     """Cut all routes that lead to a short service alike."""
-    admission.compute_admitted_shares = lambda required, admitted_fraction: {
+    admission.compute_admitted_fractions = lambda required, admitted_fraction: {
         one.request_class: admitted_fraction for one in required
     }
 
