--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -9,7 +9,7 @@
 
 from eelgrassmount.compose.relay_node import RelayNode
 from eelgrassmount.http1.server import HttpListener
-from eelgrassmount.platform.headers import DIALECT
+from eelgrassmount.platform.headers import HEADER_CODEC
 from eelgrassmount.platform.store_client import StoreClient
 from eelgrassmount.platform.topic_names import NODES_TOPIC
 from eelgrassmount.relay.admission import Admission, CallGraph
@@ -98,13 +98,13 @@
 
     pool = BackendPool(
         clock,
-        lambda answer: DIALECT.read_idle_limit(answer.headers),
+        lambda answer: HEADER_CODEC.read_idle_limit(answer.headers),
         metrics.connections.inc,
     )
     dispatcher = Dispatcher(
         server,
         pool,
-        DIALECT,
+        HEADER_CODEC,
         quarantine,
         clock,
         RetryBudget(
@@ -116,12 +116,12 @@
             rng,
         ),
         is_leaf=lambda name: not graph.calls_per_run.get(name),
-        find_time_allowance=beliefs.find_allowance,
-        find_call_timeout=beliefs.find_call_limit,
+        find_time_allowance=beliefs.find_time_allowance,
+        find_call_timeout=beliefs.find_call_timeout,
         on_run_start=note_begin,
         on_run_end=note_end,
         has_lost_call=lineage.has_lost_call,
-        claim_loss=lineage.claim_loss,
+        claim_lost_call=lineage.claim_lost_call,
         on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
         call_later=call_later,
@@ -132,7 +132,7 @@
         clock,
         beliefs.find_route,
         beliefs.make_hello,
-        lambda hello: news.register_caller(hello),
+        lambda hello: news.register_peer(hello),
         lambda kind, struct, send: news.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
@@ -182,7 +182,9 @@
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
-        Router(members, settings.failure_domain, clock, rng, beliefs.find_allowance),
+        Router(
+            members, settings.failure_domain, clock, rng, beliefs.find_time_allowance
+        ),
         dispatcher,
         admission,
         decisions,
@@ -191,7 +193,7 @@
         links.open_link,
     )
     answers = Responder(
-        DIALECT,
+        HEADER_CODEC,
         sender,
         admission,
         decisions,
@@ -201,10 +203,10 @@
         lineage,
         quotas.client.return_quota,
     )
-    sender.answers = answers
+    sender.responder = answers
     ingress = Ingress(
         lambda: server.service,
-        DIALECT,
+        HEADER_CODEC,
         answers,
         admission,
         quarantine,
@@ -239,6 +241,6 @@
         readers,
         quotas,
         rng,
-        RejectedMessages(clock, metrics.count_refused),
+        RejectedMessages(clock, metrics.count_rejected),
     )
     return node
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -147,7 +147,7 @@
         beliefs.table = table
         beliefs.table_since_s = beliefs.clock()
         beliefs.document = document
-        beliefs.graph.forget_routes()
+        beliefs.graph.clear_caches()
         self.ingress.table = table
         self.callers.limits = table.limits
         self.readers.publish()
@@ -238,14 +238,16 @@
         state.labels("limit").set(self.beliefs.server.compute_concurrency_limit())
         state.labels("demand").set(self.dispatcher.measures.load.demand)
         for service, control in self.beliefs.admission_controllers.items():
-            self.metrics.levels.labels(service).set(control.admitted_fraction)
+            self.metrics.admitted_fractions.labels(service).set(
+                control.admitted_fraction
+            )
         state.labels("members").set(len(self.beliefs.members.by_name))
         state.labels("reads_log").set(self.readers.reading)
         state.labels("log_subscribers").set(len(self.readers.subscribers))
         state.labels("log_era").set(self.readers.epoch_tracker.current)
         state.labels("log_next_offset").set(self.readers.record_table.next_offset)
         state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
-        state.labels("open_requests").set(self.ingress.answers.open_flows)
+        state.labels("open_requests").set(self.ingress.responder.open_requests)
         state.labels("lines_left_out").set(self.decisions.failures.dropped)
 
     def forget_routes(self) -> None:
@@ -257,10 +259,10 @@
         beliefs.record_configured_routes()
         beliefs.graph.keep_routes(beliefs.knows_route)
         self.metrics.keep_routes(beliefs.knows_route)
-        self.ingress.answers.sender.router.keep_routes(beliefs.knows_route)
+        self.ingress.responder.sender.router.keep_routes(beliefs.knows_route)
         # without a configuration, none is known to have left
         if beliefs.table.version:
-            self.dispatcher.forget_routes(beliefs.table.routes)
+            self.dispatcher.keep_routes(beliefs.table.routes)
 
     def count_open(self) -> int:
         """Return how many requests and calls have no answer yet."""
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -102,7 +102,7 @@
 
     The others would go on counting it, and keep its part of the quotas for it.
     """
-    if not node.beliefs.server.left:
+    if not node.beliefs.server.has_left:
         return
     offset = await node.store.append(NODES_TOPIC, node.settings.name, b"")
     if isinstance(offset, StoreFailure):
@@ -185,7 +185,7 @@
     timers.subscribe(SWEEP_INTERVAL_S, node.inbound.expire)
     timers.subscribe(SWEEP_INTERVAL_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_INTERVAL_S, node.forget_routes)
-    timers.subscribe(SWEEP_INTERVAL_S, node.ingress.lineage.forget_answers)
+    timers.subscribe(SWEEP_INTERVAL_S, node.ingress.call_attributor.discard_old_answers)
     timers.subscribe(SWEEP_INTERVAL_S, node.beliefs.completed.decay)
 
 
--- a/eelgrassmount/load/exchange.py
+++ b/eelgrassmount/load/exchange.py
@@ -23,7 +23,7 @@
 
 _USAGE_SMOOTHING = 0.05
 _MIN_USAGE_SHARE = 0.25
-_FORGET_USAGE_SHARE = 0.01
+_MIN_TRACKED_USAGE_SHARE = 0.01
 _MAX_TRACKED_CALLS = 50_000
 
 
@@ -46,7 +46,7 @@
         ``service`` is the called service; loads of other services were relayed.
         """
         for load in loads:
-            received = evolve(load, heard_s=now_s)
+            received = evolve(load, received_s=now_s)
             if load.service == service:
                 self.table.by_node[address] = received
             else:
@@ -66,12 +66,12 @@
         services.update(load.service for load in loads)
 
     def collect(
-        self, call_id: str, own: ServiceLoad, now_s: float
+        self, call_id: str, local_load: ServiceLoad, now_s: float
     ) -> tuple[ServiceLoad, ...]:
         """Return the loads to send with the answer of a call, and drop its record."""
         services = self.used_services.pop(call_id, set())
-        loads = [own]
-        for service in sorted(services - {own.service}):
+        loads = [local_load]
+        for service in sorted(services - {local_load.service}):
             load = find_load(self.table, service, now_s, _MAX_RELAYED_AGE_S)
             loads.append(load or ServiceLoad(service))
         return tuple(loads)
@@ -86,7 +86,7 @@
             share = shares[service]
             share += _USAGE_SMOOTHING * ((service in used) - share)
             shares[service] = share
-            if share < _FORGET_USAGE_SHARE:
+            if share < _MIN_TRACKED_USAGE_SHARE:
                 del shares[service]
 
     def drop_expired(self, now_s: float) -> None:
@@ -101,12 +101,12 @@
 
 def is_expired(load: ServiceLoad, now_s: float) -> bool:
     """Return whether a load is too old to be used."""
-    return now_s - load.heard_s >= EXPIRY_AGE_S
+    return now_s - load.received_s >= EXPIRY_AGE_S
 
 
 def compute_effective_threshold(load: ServiceLoad, now_s: float) -> float:
     """Return the threshold of a load, raised with its age."""
-    age_s = now_s - load.heard_s
+    age_s = now_s - load.received_s
     threshold = float(load.threshold)
     if age_s <= MAX_FRESH_AGE_S:
         return threshold
@@ -133,17 +133,17 @@
 ) -> ServiceLoad | None:
     """Return the combined load of a service, ``None`` if there is no recent report.
 
-    Fresh reports from its own servers go before fresh relayed ones; without fresh
-    reports, the newest one counts.
+    Fresh reports from servers of the service take precedence over fresh relayed ones.
+    Without fresh reports, the newest one counts.
     """
     direct = [load for load in table.by_node.values() if load.service == service]
     relayed = list(table.relayed.get(service, {}).values())
     for loads in (direct, relayed):
-        fresh = [load for load in loads if now_s - load.heard_s <= MAX_FRESH_AGE_S]
+        fresh = [load for load in loads if now_s - load.received_s <= MAX_FRESH_AGE_S]
         if fresh:
             return combine_loads(service, fresh, now_s)
-    newest = max(direct + relayed, key=lambda load: load.heard_s, default=None)
-    if newest is None or now_s - newest.heard_s >= within_s:
+    newest = max(direct + relayed, key=lambda load: load.received_s, default=None)
+    if newest is None or now_s - newest.received_s >= within_s:
         return None
     return combine_loads(service, [newest], now_s)
 
@@ -163,5 +163,5 @@
         threshold=round(threshold),
         headroom=sum(load.headroom for load in loads),
         retry_after_s=sum(load.retry_after_s for load in loads) / len(loads),
-        heard_s=max(load.heard_s for load in loads),
+        received_s=max(load.received_s for load in loads),
     )
--- a/eelgrassmount/platform/heartbeats.py
+++ b/eelgrassmount/platform/heartbeats.py
@@ -77,7 +77,7 @@
         slots=read_whole(content, "info.slots", SLOTS_RANGE, kind),
         draining=state == _DRAINING,
         sequence=read_whole(content, "status.sequence", SEQUENCE_RANGE, kind),
-        cold_s=read_number(content, "status.coldRemainingMs", COLD_RANGE_MS, kind)
+        warm_up_s=read_number(content, "status.coldRemainingMs", COLD_RANGE_MS, kind)
         / 1000,
     )
 
--- a/eelgrassmount/relay/announcements.py
+++ b/eelgrassmount/relay/announcements.py
@@ -34,7 +34,7 @@
     read: Callable[[str, str, bytes], Heartbeat | None]
     check: Callable[[Heartbeat], None]
     on_change: Callable[[], None]
-    refused: RejectedMessages
+    rejected_messages: RejectedMessages
 
     def handle(self, exchange: Exchange) -> None:
         """Handle one request of the server."""
@@ -57,7 +57,7 @@
                 incarnation=str(heartbeat.incarnation),
                 sequence=heartbeat.sequence,
                 draining=self.server.draining,
-                left=self.server.left,
+                left=self.server.has_left,
                 slots=self.server.slots,
             )
             self.on_change()
@@ -65,7 +65,7 @@
 
     def _refuse(self, exchange: Exchange, status: int, cause: str, detail: str) -> None:
         source = exchange.get_peer_ip()
-        self.refused.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
+        self.rejected_messages.record(MessageKind.ANNOUNCEMENT, source, cause, detail)
         exchange.respond(status, b"", detail.encode())
 
 
--- a/eelgrassmount/relay/backend.py
+++ b/eelgrassmount/relay/backend.py
@@ -17,9 +17,9 @@
     from eelgrassmount.util.addresses import Address
 
 CONNECT_TIMEOUT_S = 1.0
-# idle timeout of connections if the server announces none
+# Idle timeout of connections if the server announces none.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# subtracted from the server's idle timeout, which starts earlier than the node's
+# Subtracted from the server's idle timeout, which starts earlier than the node's.
 IDLE_TIMEOUT_MARGIN_S = 1.0
 # A non-idempotent request is sent only on a connection that was idle for less: if the
 # server has dropped the connection, nothing shows whether the request ran.
@@ -28,15 +28,15 @@
 # the next request was dropped by the server as idle, not closed by a crash.
 MIN_DROPPED_IDLE_S = 0.05
 MAX_DROP_DETECTION_S = 0.05
-# after such a drop, connections are reused for this share of that idle time
+# After such a drop, connections are reused for this share of that idle time.
 TRUSTED_IDLE_SHARE = 0.6
-# factor by which the trusted idle time recovers at each sweep
+# Factor by which the trusted idle time recovers at each sweep.
 TRUSTED_IDLE_GROWTH = 1.1
 
 
 @define(eq=False)
-class PendingRequest:
-    """A request to the server whose outcome has not been reported yet."""
+class ServerExchange:
+    """A request to the server and its answer or failure, which is reported once."""
 
     on_done: Callable[[ClientAnswer | ExchangeFailure], None]
     connection: ClientConnection | None = None
@@ -44,7 +44,7 @@
     head_only: bool = False
 
     def cancel(self) -> None:
-        """Cancel the request; ``on_done`` is called unless it has been."""
+        """Cancel the exchange; ``on_done`` is called unless it has been."""
         if self.completed:
             return
         if self.connection is not None:
@@ -78,26 +78,26 @@
         self,
         address: Address,
         data: bytes,
-        fresh: bool,
+        fresh_only: bool,
         accepts: Callable[[ClientAnswer], bool],
         done: Callable[[ClientAnswer | ExchangeFailure], None],
         head_only: bool = False,
-    ) -> PendingRequest:
-        """Send a whole request; ``fresh`` requires a recently used connection.
+    ) -> ServerExchange:
+        """Send a whole request; ``fresh_only`` requires a recently used connection.
 
         With ``head_only`` the answer has no body, whatever length it announces.
         """
-        request = PendingRequest(done, head_only=head_only)
-        connection = self._take_idle(fresh)
+        exchange = ServerExchange(done, head_only=head_only)
+        connection = self._take_idle(fresh_only)
         if connection is not None:
-            self._send_on(connection, request, data, accepts)
-            return request
+            self._send_on(connection, exchange, data, accepts)
+            return exchange
         task = asyncio.get_running_loop().create_task(
-            self._connect_and_send(address, request, data, accepts)
+            self._connect_and_send(address, exchange, data, accepts)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return request
+        return exchange
 
     def close_idle_connections(self) -> None:
         """Close the idle connections."""
@@ -120,11 +120,11 @@
                 self._idle.remove(connection)
                 connection.close()
 
-    def _take_idle(self, fresh: bool) -> ClientConnection | None:
+    def _take_idle(self, fresh_only: bool) -> ClientConnection | None:
         now_s = self.clock()
         while self._idle:
             connection = self._idle[-1]
-            if fresh and now_s - connection.idle_since_s > MAX_FRESH_IDLE_S:
+            if fresh_only and now_s - connection.idle_since_s > MAX_FRESH_IDLE_S:
                 return None
             self._idle.pop()
             if not connection.closed and self._is_usable(connection, now_s):
@@ -142,11 +142,11 @@
     def _send_on(
         self,
         connection: ClientConnection,
-        request: PendingRequest,
+        exchange: ServerExchange,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
-        request.connection = connection
+        exchange.connection = connection
         sent_s = self.clock()
         idle_s = sent_s - connection.idle_since_s
 
@@ -158,14 +158,14 @@
                 limit_s = self.read_idle_limit(outcome)
                 if limit_s is not None:
                     connection.idle_timeout_s = limit_s
-            request.complete(outcome)
+            exchange.complete(outcome)
 
-        connection.send(data, complete, accepts, request.head_only)
+        connection.send(data, complete, accepts, exchange.head_only)
 
     async def _connect_and_send(
         self,
         address: Address,
-        request: PendingRequest,
+        exchange: ServerExchange,
         data: bytes,
         accepts: Callable[[ClientAnswer], bool],
     ) -> None:
@@ -174,23 +174,23 @@
                 address, CONNECT_TIMEOUT_S, self._add_idle, self._remove_idle
             )
         except OSError:
-            # the caller counts this as an unreachable server
-            request.complete(ExchangeFailure.REFUSED)
+            # The caller counts this as an unreachable server.
+            exchange.complete(ExchangeFailure.REFUSED)
             return
         self.on_open()
         if connection.closed:
-            request.complete(ExchangeFailure.REFUSED)
-        elif request.completed:
+            exchange.complete(ExchangeFailure.REFUSED)
+        elif exchange.completed:
             self._add_idle(connection)
         else:
-            self._send_on(connection, request, data, accepts)
+            self._send_on(connection, exchange, data, accepts)
 
     def _reduce_trusted_idle(self, idle_s: float) -> None:
         """Reuse idle connections for less time after the server dropped one."""
         if MIN_DROPPED_IDLE_S <= idle_s < self._trusted_idle_s:
             self._trusted_idle_s = TRUSTED_IDLE_SHARE * idle_s
             logger.info(
-                "server forgets idle connections",
+                "server drops idle connections",
                 idle_s=round(idle_s, 3),
                 trusted_s=round(self._trusted_idle_s, 3),
             )
--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -17,7 +17,7 @@
 
     from eelgrassmount.relay.messages import Call
 
-# longest time between an answer on a connection and the same run's next call on it
+# Longest time between an answer on a connection and the same run's next call on it.
 MAX_CONTINUATION_DELAY_S = 0.0005
 # A call with the deadline of its run may state it earlier, as each hop truncates it to
 # milliseconds, or later, by the time that the call took to get here.
@@ -32,11 +32,11 @@
 # With more runs in flight, runs are not compared by age: the comparison would find few
 # callers, at a cost that grows with each run.
 MAX_COMPARED_RUNS = 24
-# how long a failed call without a known run can explain the failure of a run
+# How long a failed call without a known run can explain the failure of a run.
 FAILURE_MATCH_WINDOW_S = 1.0
-# time from the start of a run to its first call, and the share by which each first call
+# Time from the start of a run to its first call, and the share by which each first call
 # moves the estimate towards the median; a mean would follow the few calls that are
-# attributed to a wrong run
+# attributed to a wrong run.
 DEFAULT_FIRST_CALL_DELAY_S = 0.01
 FIRST_CALL_DELAY_STEP_SHARE = 0.02
 MIN_RUN_AGE_S = 0.0001
@@ -134,7 +134,7 @@
     Calls of servers don't name the run that makes them. A run usually makes its next
     call on the connection of the last answer, right after that answer. Its first call
     follows some time after its start, and the deadline of a call is no later than that
-    of its run. Where neither identifies the run among many, the call is left
+    of its run. Where neither identifies the run among many, the call stays
     unattributed, and its failure can explain that of any run.
 
     ``may_call`` returns whether runs of a route call another route, ``count_runs`` the
@@ -190,7 +190,7 @@
         )
         return run.has_lost_call or may_be_waiting
 
-    def claim_loss(self, job: object) -> bool:
+    def claim_lost_call(self, job: object) -> bool:
         """Return whether a failed call explains the failure of a run.
 
         Each failure of an unattributed call explains one run only.
@@ -249,7 +249,7 @@
         call.run.last_answer_s = now_s
         self._latest_answers[call.connection] = (call.run, now_s)
 
-    def forget_answers(self) -> None:
+    def discard_old_answers(self) -> None:
         """Discard answers that are too old for a continuing call."""
         oldest_s = self.clock() - MAX_CONTINUATION_DELAY_S
         self._latest_answers = {
@@ -357,7 +357,7 @@
 
 
 def measure_distance(run: Run, now_s: float, first_call_delay_s: float) -> float:
-    """Return how unlikely a run makes a call now; the likeliest run has 0."""
+    """Return how unlikely it is that a run makes a call now; 0 is the most likely."""
     if now_s - run.last_answer_s <= MAX_CONTINUATION_DELAY_S and not run.open_calls:
         return math.log(ANSWERED_RUN_PENALTY_FACTOR)
     age_s = max(MIN_RUN_AGE_S, now_s - run.started_s)
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/controllers.py
@@ -1,4 +1,4 @@
-"""Periodic steps of a node: admission, shares and reports."""
+"""Periodic steps of a node: admitted fractions and load reports."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     from eelgrassmount.relay.routes import RouteTable
     from eelgrassmount.relay.shared_state import SharedState
 
-# rows of each kind in one report
+# Rows of each kind in one report.
 MAX_ROWS = 200
-# steps between two reports with rows
+# Steps between two reports with rows.
 ROWS_PERIOD_STEPS = 5
 # Limit on the mean number of reports per step. With more receivers, each gets reports
 # less often; their number would otherwise grow with the square of the number of nodes.
@@ -31,11 +31,11 @@
 # The same while the local server is loaded. Reports then go to all connected nodes, as
 # requests of nodes that don't call this one may lead to it through other services.
 MAX_REPORTS_PER_STEP_LOADED = 40
-# demand (fraction of capacity) and wait (fraction of the maximum mean wait) above which
-# the local server counts as loaded
+# Demand (fraction of capacity) and wait (fraction of the maximum mean wait) above which
+# the local server counts as loaded.
 MIN_LOADED_DEMAND = 0.7
 MIN_LOADED_WAIT = 0.3
-# units of the integers in reports
+# Units of the integers in reports.
 PER_MILLE = 1000
 PPM = 1_000_000
 MS_PER_S = 1000.0
@@ -43,24 +43,24 @@
 
 @define(eq=False)
 class Controllers:
-    """Runs at each step: updates admission and shares, and reports to other nodes."""
+    """Updates the admitted fractions at each step and reports to other nodes."""
 
     state: SharedState
     dispatcher: Dispatcher
-    inbound: InboundLinks
-    update_admission: Callable[[], None]
-    update_shares: Callable[[RouteTable], None]
+    inbound_links: InboundLinks
+    update_service_fractions: Callable[[], None]
+    update_class_fractions: Callable[[RouteTable], None]
     _steps: int = 0
     _last_report_step: int = 0
     _last_rows_step: int = 0
 
     def step(self) -> None:
-        """Update the admission controllers and shares, and send reports if due."""
+        """Update the admitted fractions, and send a report if one is due."""
         self.dispatcher.update_load()
         self._update_local_load()
-        self.update_admission()
-        self.update_shares(self.state.table)
-        # in parts, so as not to block the event loop
+        self.update_service_fractions()
+        self.update_class_fractions(self.state.table)
+        # In parts, so as not to block the event loop.
         self.state.learner.continue_solving()
         self._steps += 1
         if self._steps - self._last_report_step >= self._compute_report_period():
@@ -70,15 +70,17 @@
                 self._last_rows_step = self._steps
             report = self.make_report(with_rows)
             only_active = not self._is_loaded()
-            self.inbound.broadcast(FrameKind.REPORT, report, only_active=only_active)
+            self.inbound_links.broadcast(
+                FrameKind.REPORT, report, only_active=only_active
+            )
 
     def _compute_report_period(self) -> int:
         """Return the number of steps between two reports."""
         if self._is_loaded():
-            connections = len(self.inbound.connections)
+            connections = len(self.inbound_links.connections)
             return max(1, math.ceil(connections / MAX_REPORTS_PER_STEP_LOADED))
-        callers = self.inbound.count_active_senders()
-        return max(1, math.ceil(callers / MAX_REPORTS_PER_STEP))
+        senders = self.inbound_links.count_active_senders()
+        return max(1, math.ceil(senders / MAX_REPORTS_PER_STEP))
 
     def _is_loaded(self) -> bool:
         load = self.dispatcher.measures.load
@@ -88,7 +90,7 @@
         """Report to all connected nodes at once, for example when the server stops."""
         self._update_local_load()
         report = self.make_report(False)
-        self.inbound.broadcast(FrameKind.REPORT, report, only_active=False)
+        self.inbound_links.broadcast(FrameKind.REPORT, report, only_active=False)
 
     def make_report(self, with_rows: bool) -> ttypes.RelayReport:
         """Return the report on the local server."""
--- a/eelgrassmount/relay/dispatcher.py
+++ b/eelgrassmount/relay/dispatcher.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from eelgrassmount.relay.backend import BackendPool, PendingRequest
+    from eelgrassmount.relay.backend import BackendPool, ServerExchange
     from eelgrassmount.relay.budget import RetryBudget
     from eelgrassmount.relay.header_codec import HeaderCodec
     from eelgrassmount.relay.heartbeats import ServerIncarnation
@@ -35,13 +35,15 @@
     from eelgrassmount.retry.quarantine import Quarantine
 
 CallLater = Callable[[float, Callable[[], None]], object]
-# shortest time before the deadline in which a call is still run
+# Calls with less time before their deadline are not run.
 MIN_RUN_TIME_S = 0.005
-# queued calls are refused so long before their deadline, for the reply to arrive
+# Queued calls are refused this long before their deadline, so that the reply arrives
+# in time.
 EXPIRY_MARGIN_S = 0.012
-# overdue calls are cancelled so long after their deadline
+# Overdue calls are cancelled this long after their deadline.
 DEADLINE_GRACE_S = 0.3
-# connections that break so long before the server is gone count as crashed
+# Calls on connections that break this long before the server becomes unreachable are
+# suspected of crashing it.
 CRASH_WINDOW_S = 1.0
 REJECTION_LOG_INTERVAL_S = 1.0
 
@@ -64,7 +66,7 @@
 
     call: Call
     done: Callable[[Reply], None]
-    sending: PendingRequest | None = None
+    exchange: ServerExchange | None = None
     started_s: float = 0.0
     timeout_s: float = 0.0
     ended: bool = False
@@ -74,7 +76,7 @@
 
     def was_sent_before(self, now_s: float) -> bool:
         """Return whether the server could have read the call before a time."""
-        written = self.sending is not None and self.sending.is_written()
+        written = self.exchange is not None and self.exchange.is_written()
         return written and self.started_s < now_s
 
 
@@ -85,13 +87,13 @@
     The queue is ordered by due time, which is earlier for urgent requests. A call that
     would wait too long is refused at once, so that another server can run it; so is a
     retry beyond the retry budget. ``has_lost_call`` returns whether a downstream call
-    of a run has failed or is still open, ``claim_loss`` whether a run failed because of
-    such a call.
+    of a run has failed or is still open, ``claim_lost_call`` whether a run failed
+    because of such a call.
     """
 
     server: LocalServer
     pool: BackendPool
-    dialect: HeaderCodec
+    header_codec: HeaderCodec
     quarantine: Quarantine
     clock: Callable[[], float]
     budget: RetryBudget
@@ -101,7 +103,7 @@
     on_run_start: Callable[[Job], None] = lambda job: None
     on_run_end: Callable[[Job, bool], None] = lambda job, succeeded: None
     has_lost_call: Callable[[Job], bool] = lambda job: False
-    claim_loss: Callable[[Job], bool] = lambda job: False
+    claim_lost_call: Callable[[Job], bool] = lambda job: False
     on_crash: Callable[[ServerIncarnation, list[Job]], None] = lambda ended, jobs: None
     on_change: Callable[[], None] = lambda: None
     call_later: CallLater = lambda delay_s, action: None
@@ -126,7 +128,7 @@
         if reason is not None:
             self._refuse(job, reason)
             return
-        # calls that several servers refuse count as demand only once
+        # Calls that several servers refuse count as demand only once.
         if not job.call.counted_as_demand:
             self.measures.arrivals += 1
             self.budget.count_request(job.call.service)
@@ -147,7 +149,7 @@
         slack_s = compute_slack_s(
             route.objective_s,
             self.find_time_allowance(route),
-            self.measures.get_usual_run_s(route.name),
+            self.measures.get_mean_run_s(route.name),
         )
         due_s = now_s + slack_s * compute_due_factor(job.call.origin)
         heapq.heappush(self._queue, (due_s, next(self._numbers), job))
@@ -161,7 +163,7 @@
         The caller then learns in time that the call has not run, and may retry it even
         if it is not idempotent.
         """
-        if job.ended or job.sending is not None or job in self.running:
+        if job.ended or job.exchange is not None or job in self.running:
             return
         self._update_queue_time(self.clock())
         self._change_waiting(job, -1)
@@ -189,27 +191,27 @@
 
         def on_answer(answer: ClientAnswer | ExchangeFailure) -> None:
             if isinstance(answer, ClientAnswer) and answer.status == 200:
-                head = self.dialect.read_answer(answer.headers)
+                head = self.header_codec.read_answer(answer.headers)
                 if self.server.incarnation is None:
                     self.server.apply_answer_identity(head.instance)
                     incarnation = str(self.server.incarnation)
                     logger.info("server identified", incarnation=incarnation)
                     self.on_change()
 
-        data = self.dialect.write_probe(health_path)
+        data = self.header_codec.write_probe(health_path)
         self.pool.send(self.server.address, data, True, lambda answer: True, on_answer)
 
     def cancel(self, job: Job) -> None:
         """Cancel a job; calls that have started run on if not idempotent."""
         if job.ended:
             return
-        if job.sending is None:
+        if job.exchange is None:
             self._update_queue_time(self.clock())
             job.ended = True
             self._change_waiting(job, -1)
         elif job.call.route.idempotent:
             self._count_if_silent(job, self.clock())
-            job.sending.cancel()
+            job.exchange.cancel()
 
     def sweep(self) -> None:
         """Cancel overdue jobs, and count silent ones as failures."""
@@ -221,17 +223,17 @@
             self._count_if_silent(job, now_s)
             if (
                 now_s > job.call.deadline_s + DEADLINE_GRACE_S
-                and job.sending is not None
+                and job.exchange is not None
             ):
                 job.overdue = True
-                job.sending.cancel()
+                job.exchange.cancel()
         self._start_queued()
 
     def handle_restart(self, ended: ServerIncarnation, restarted_s: float) -> None:
         """Finish the calls that were lost in a restart of the server.
 
         Calls sent before ``restarted_s`` may have run at the incarnation ``ended`` or
-        at the new one, so that they are neither reported as *not run* nor sent again.
+        at the new one, so that they are neither reported as *not run* nor retried.
         Later calls have reached the new incarnation and continue; queued calls are sent
         to it.
         """
@@ -247,14 +249,14 @@
         )
         if suspects:
             self.on_crash(ended, suspects)
-        # must precede the cancellations, which start queued calls
+        # Must precede the cancellations, which start queued calls.
         self.pool.reset()
         self.measures.reset()
         for job in running:
             job.server_restarted = True
-            # cancelling one call may have ended another
-            if job.sending is not None:
-                job.sending.cancel()
+            # Cancelling one call may have ended another.
+            if job.exchange is not None:
+                job.exchange.cancel()
         self._start_queued()
 
     def update_load(self) -> None:
@@ -263,8 +265,8 @@
         self._update_queue_time(now_s)
         self.measures.update_load(self.server.compute_concurrency_limit(), now_s)
 
-    def forget_routes(self, known: Collection[str]) -> None:
-        """Remove measures of routes that are neither configured nor running."""
+    def keep_routes(self, known: Collection[str]) -> None:
+        """Remove the measures of routes that are neither ``known`` nor running."""
         running = {job.call.route.name for job in self.running}
         self.measures.keep_routes({*known, *running})
 
@@ -308,7 +310,7 @@
         )
 
     def _find_max_wait(self, call: Call) -> float:
-        run_s = self.measures.get_usual_run_s(call.route.name)
+        run_s = self.measures.get_mean_run_s(call.route.name)
         return compute_max_wait_s(call.route.objective_s, run_s, call.origin.downstream)
 
     def _refuse(self, job: Job, reason: Reason) -> None:
@@ -323,12 +325,12 @@
         remaining_s = compute_run_timeout_s(
             call.deadline_s - now_s,
             self.find_call_timeout(call.route.name),
-            self.measures.get_usual_run_s(call.route.name),
+            self.measures.get_mean_run_s(call.route.name),
         )
         timeout_ms = max(1, int(remaining_s * 1000))
         job.timeout_s = timeout_ms / 1000
         self.on_run_start(job)
-        data = self.dialect.write_request(
+        data = self.header_codec.write_request(
             call.method,
             call.target,
             call.head,
@@ -340,10 +342,10 @@
         request_id = call.request_id.encode("latin-1")
 
         def accepts(answer: ClientAnswer) -> bool:
-            found = self.dialect.find_request_id(answer.headers)
+            found = self.header_codec.find_request_id(answer.headers)
             return not found or found == request_id
 
-        job.sending = self.pool.send(
+        job.exchange = self.pool.send(
             self.server.address,
             data,
             not call.route.idempotent,
@@ -358,11 +360,11 @@
         self.running.discard(job)
         reply = self._create_reply(job, result, now_s)
         failed = reply.outcome is not Outcome.ANSWERED or reply.status >= 500
-        lost = failed and self.claim_loss(job)
+        lost = failed and self.claim_lost_call(job)
         self.on_run_end(job, not failed)
         job.ended = True
-        # breaks a reference cycle that would keep jobs and their bodies in memory
-        job.sending = None
+        # Breaks a reference cycle that would keep jobs and their bodies in memory.
+        job.exchange = None
         self._update_measures(job, reply, now_s, failed, lost)
         self._start_queued()
         job.done(reply)
@@ -384,7 +386,7 @@
         return Reply(outcome, reason)
 
     def _create_answer_reply(self, answer: ClientAnswer) -> Reply:
-        head = self.dialect.read_answer(answer.headers)
+        head = self.header_codec.read_answer(answer.headers)
         if answer.status == 421:
             self.server.apply_answer_identity(head.instance)
             return Reply(Outcome.NOT_RUN, Reason.NO_SERVER)
@@ -432,7 +434,7 @@
         if job.server_restarted:
             return
         if reply.reason is Reason.SERVER_SHED:
-            # the server rejects calls although it has free slots
+            # The server rejects calls although it has free slots.
             self.measures.record_outcome(True)
         if reply.outcome is Outcome.NOT_RUN or reply.reason is Reason.CANCELLED:
             return
@@ -445,8 +447,8 @@
         route_name = job.call.route.name
         if failed and not job.overdue:
             return
-        allowed_s = self.find_time_allowance(job.call.route)
-        self.measures.add_run(route_name, now_s - job.started_s, allowed_s)
+        allowance_s = self.find_time_allowance(job.call.route)
+        self.measures.add_run(route_name, now_s - job.started_s, allowance_s)
 
     def _start_queued(self) -> None:
         """Start or refuse queued jobs while slots are free."""
--- a/eelgrassmount/relay/ingress.py
+++ b/eelgrassmount/relay/ingress.py
@@ -26,7 +26,7 @@
     from eelgrassmount.teams.directory import Team
     from eelgrassmount.teams.quota_client import QuotaClient, QuotaVerdict
 
-# used for requests without a deadline
+# Used for requests without a deadline.
 DEFAULT_REMAINING_MS = 60_000
 
 
@@ -42,8 +42,8 @@
     """
 
     get_local_service: Callable[[], str]
-    dialect: HeaderCodec
-    answers: Responder
+    header_codec: HeaderCodec
+    responder: Responder
     admission: Admission
     quarantine: Quarantine
     clock: Callable[[], float]
@@ -52,7 +52,7 @@
     is_client_route: Callable[[str], bool]
     record_request: Callable[[str], None]
     record_client_request: Callable[[str], None]
-    lineage: CallAttributor
+    call_attributor: CallAttributor
     is_current: Callable[[], bool]
     quotas: QuotaClient
     table: RouteTable = field(factory=RouteTable)
@@ -60,16 +60,16 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Handle a new request."""
-        head = self.dialect.read_request(exchange.headers)
+        head = self.header_codec.read_request(exchange.headers)
         table = self.table
         if table.version == 0:
             reason = Reason.NO_CONFIGURATION
-            self.answers.refuse_uninformed(exchange, head, "", reason)
+            self.responder.refuse_uninformed(exchange, head, "", reason)
             return
         path = exchange.target.partition("?")[0]
         route = table.find(head.host, path)
         if route is None:
-            self.answers.answer_unknown_route(exchange, head)
+            self.responder.answer_unknown_route(exchange, head)
             return
         access = check_api_key(
             table.teams, route.needs_key, head.api_key, self.is_current
@@ -81,9 +81,11 @@
             self._admit(exchange, head, route, team)
         elif access.refusal is Reason.API_KEY_UNJUDGED:
             reason = access.refusal
-            self.answers.refuse_uninformed(exchange, head, route.name, reason)
+            self.responder.refuse_uninformed(exchange, head, route.name, reason)
         else:
-            self.answers.refuse_unauthorized(exchange, head, route.name, access.refusal)
+            self.responder.refuse_unauthorized(
+                exchange, head, route.name, access.refusal
+            )
 
     def _request_quota(
         self, exchange: Exchange, head: RequestHead, route: Route, team: Team
@@ -99,7 +101,7 @@
             if verdict.refusal is None:
                 self._admit(exchange, head, route, team)
             else:
-                self.answers.refuse_quota(exchange, head, route.name, verdict)
+                self.responder.refuse_quota(exchange, head, route.name, verdict)
 
         waiting = self.quotas.request(team, decide)
         if not waiting.finished:
@@ -114,31 +116,31 @@
         else:
             self.record_client_request(route.name)
         deadline_s = self._find_deadline(exchange, head, route)
-        made_call = None
-        # downstream calls carry no API key
+        downstream_call = None
+        # Downstream calls carry no API key.
         if team is None and self._may_be_downstream_call(route):
-            made_call = self._find_caller(exchange, head, route)
-        origin = self._find_origin(route, team, made_call)
+            downstream_call = self._find_caller(exchange, head, route)
+        origin = self._find_origin(route, team, downstream_call)
         call = self._create_call(exchange, head, route, team, deadline_s, origin)
         quota_team = team if team is not None and team.has_quota() else None
-        pending = PendingRequest(exchange, call, made_call, quota_team)
-        if not origin.downstream and not self.admission.try_admit(call.demand):
-            self.answers.refuse(pending, Reason.OVERLOAD)
+        pending = PendingRequest(exchange, call, downstream_call, quota_team)
+        if not origin.downstream and not self.admission.try_admit(call.request_class):
+            self.responder.refuse(pending, Reason.OVERLOAD)
             return
         if call.is_quarantined(self.quarantine, call.arrived_s):
-            self.answers.refuse(pending, Reason.QUARANTINED)
+            self.responder.refuse(pending, Reason.QUARANTINED)
             return
-        self.answers.start(pending)
+        self.responder.start(pending)
 
     def _find_origin(
-        self, route: Route, team: Team | None, made_call: DownstreamCall | None
+        self, route: Route, team: Team | None, downstream_call: DownstreamCall | None
     ) -> Origin:
         """Return the client request that a call belongs to, or a new origin."""
-        if made_call is not None:
-            return made_call.make_origin()
-        remaining_runs = self.lineage.count_runs(route.name)
+        if downstream_call is not None:
+            return downstream_call.make_origin()
+        remaining_runs = self.call_attributor.count_runs(route.name)
         if team is None and self.is_called_by_servers(route.name):
-            # unattributed downstream calls get the highest priority
+            # Unattributed downstream calls get the highest priority.
             return Origin(0, downstream=True, remaining_runs=remaining_runs)
         return Origin(self.table.find_rank(route, team), remaining_runs=remaining_runs)
 
@@ -157,7 +159,7 @@
         if remaining_ms is None:
             remaining_ms = DEFAULT_REMAINING_MS
         deadline_s = exchange.arrived_s + remaining_ms / 1000
-        return self.lineage.find_caller(
+        return self.call_attributor.find_caller(
             exchange.connection, route.name, deadline_s, route.timeout_s
         )
 
@@ -180,7 +182,7 @@
     ) -> Call:
         head_lines = head.forwarded_headers
         if team is not None:
-            head_lines += self.dialect.write_team(team.name)
+            head_lines += self.header_codec.write_team(team.name)
         return Call(
             head.request_id,
             route,
--- a/eelgrassmount/relay/internal_routes.py
+++ b/eelgrassmount/relay/internal_routes.py
@@ -9,15 +9,15 @@
 
     from eelgrassmount.relay.tallies import ServiceCounts
 
-# factor by which request counts decay at each interval
+# Factor by which request counts decay at each interval.
 COUNT_DECAY_FACTOR = 0.972
-# count below which a route that has left the configuration is dropped
+# Count below which a route that has left the configuration is dropped.
 MIN_COUNT = 0.01
-# a route counts as missing on the VMs of a service only if at least this many requests
-# are expected there
+# A route counts as missing on the VMs of a service only if at least this many requests
+# are expected there.
 MIN_REQUESTS = 15.0
-# on the VMs of each service, clients request a route at least at this share of its
-# highest rate on those of any service
+# On the VMs of each service, clients request a route at least at this share of its
+# highest rate on those of any service.
 MIN_CLIENT_SHARE = 0.05
 
 
@@ -53,7 +53,7 @@
 
 
 def find_client_routes(request_counts: dict[str, ServiceCounts]) -> set[str]:
-    """Return the routes that are requested on the VMs of all services, as by clients.
+    """Return the routes that clients use: those requested on the VMs of all services.
 
     A route that is neither among these nor among the internal routes has too few
     requests to be classified.
@@ -77,9 +77,9 @@
 
 
 def _compare_services(name: str, known: list[ServiceCounts]) -> list[bool]:
-    """Return for each service whether a route is requested there as by clients.
+    """Return for each service whether its VMs request a route as often as clients do.
 
-    Services at which too few requests are expected are left out.
+    Services at which too few requests are expected are omitted.
     """
     highest = max(service.counts.get(name, 0.0) / service.nodes for service in known)
     return [
--- a/eelgrassmount/relay/messages.py
+++ b/eelgrassmount/relay/messages.py
@@ -44,7 +44,7 @@
 class Reply:
     """The result of one attempt of a call.
 
-    ``head`` holds whole header lines of the server's answer. ``reason`` says why there
+    ``head`` holds whole header lines of the server's answer. ``reason`` is set if there
     is no answer.
     """
 
@@ -60,9 +60,9 @@
     """A request that is forwarded to a backend server.
 
     ``head`` is the block of header lines that the server gets unchanged. ``deadline_s``
-    is on the node's monotonic clock. A call that another dispatcher has counted is
-    ``counted_as_demand``. A call ``is_retry`` if an earlier attempt may have reached a
-    server; retries are charged to the retry budget.
+    is on the node's monotonic clock. ``counted_as_demand`` is set if a dispatcher has
+    counted the call before, ``is_retry`` if an earlier attempt may have reached a
+    server. Retries are charged to the retry budget.
     """
 
     request_id: str
@@ -81,13 +81,13 @@
     _digest: str = ""
 
     @property
-    def demand(self) -> RequestClass:
-        """Return the demand of a client request."""
+    def request_class(self) -> RequestClass:
+        """Return the class by which a client request is admitted."""
         return RequestClass(self.route.name, self.origin.priority)
 
     def is_quarantined(self, quarantine: Quarantine, now_s: float) -> bool:
         """Return whether this content is quarantined for crashing servers."""
-        # the digest is only needed if there are suspects
+        # The digest is only needed if there are suspects.
         if not quarantine.suspects:
             return False
         return quarantine.check(self.find_digest(), now_s) is not None
--- a/eelgrassmount/relay/rejected_messages.py
+++ b/eelgrassmount/relay/rejected_messages.py
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# minimum time between lines on the same source and cause
+# Minimum time between two log lines on the same source and cause.
 LOG_INTERVAL_S = 60.0
-# causes beyond this are counted but not logged
+# Causes beyond this are counted but not logged.
 MAX_TRACKED_CAUSES = 256
-# longest source or detail in a line
+# Maximum length of a source or detail in a log line.
 MAX_SHOWN_CHARS = 200
 
 
@@ -36,9 +36,9 @@
     Each source and cause is logged once per `LOG_INTERVAL_S`, so that a faulty writer
     cannot flood the logs. ``count`` increments the metric of a kind.
 
-        >>> refused = RejectedMessages(clock=lambda: 0.0)
-        >>> refused.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
-        >>> refused.totals["node-record"]
+        >>> rejected = RejectedMessages(clock=lambda: 0.0)
+        >>> rejected.record(MessageKind.NODE, "key-1", "address", "address: 'x'")
+        >>> rejected.totals["node-record"]
         1
     """
 
@@ -63,11 +63,11 @@
         self.totals[kind] = self.totals.get(kind, 0) + messages
         self.count(kind, messages)
         if self._may_log((kind, source[:MAX_SHOWN_CHARS], cause)):
-            # configurations come from the operator and concern all nodes
+            # Configurations come from the operator and concern all nodes.
             level = "ERROR" if kind is MessageKind.CONFIGURATION else "WARNING"
             logger.log(
                 level,
-                "message not taken up",
+                "message rejected",
                 kind=str(kind),
                 source=source[:MAX_SHOWN_CHARS],
                 cause=detail[:MAX_SHOWN_CHARS],
--- a/eelgrassmount/relay/reload.py
+++ b/eelgrassmount/relay/reload.py
@@ -15,7 +15,7 @@
 
     from eelgrassmount.relay.settings import RelaySettings
 
-# interval of checks for changes of the file that no signal announces
+# Interval of checks for changes of the file that no signal announces.
 RELOAD_CHECK_INTERVAL_S = 2.0
 
 
@@ -46,7 +46,7 @@
         try:
             settings = self.load(self.path)
         except EelgrassmountError as error:
-            logger.error("settings refused", cause=str(error))
+            logger.error("invalid settings ignored", cause=str(error))
             return
         self.apply(settings)
 
--- a/eelgrassmount/relay/responder.py
+++ b/eelgrassmount/relay/responder.py
@@ -46,7 +46,7 @@
     """Sends each request its final answer, counts it and logs refusals and failures.
 
     ``return_quota`` is called for requests that were charged to a quota and did not
-    run. ``open_flows`` is the number of requests that were started and have no answer.
+    run. ``open_requests`` counts the requests that were started and have no answer.
     """
 
     header_codec: HeaderCodec
@@ -56,13 +56,13 @@
     metrics: RelayMetrics
     clock: Callable[[], float]
     rng: random.Random
-    call_attribution: CallAttributor
+    call_attributor: CallAttributor
     return_quota: Callable[[Team], None] = lambda team: None
-    open_flows: int = field(default=0, init=False)
+    open_requests: int = field(default=0, init=False)
 
     def start(self, pending: PendingRequest) -> None:
         """Start sending a request to a backend server."""
-        self.open_flows += 1
+        self.open_requests += 1
         pending.exchange.on_abandon = lambda: self._abandon(pending)
         self.sender.start(pending)
 
@@ -121,7 +121,7 @@
             MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE
         )
         self.metrics.count_refusal(call.route.name, str(reason))
-        share = self.admission.admitted_fractions.get(call.demand, 1.0)
+        share = self.admission.admitted_fractions.get(call.request_class, 1.0)
         self.decisions.record(
             "refused",
             call.request_id,
@@ -203,7 +203,7 @@
     def _finish(self, pending: PendingRequest) -> None:
         pending.ended = True
         self.sender.cancel(pending)
-        self.open_flows -= 1
+        self.open_requests -= 1
         pending.exchange.on_abandon = None
         if pending.timer is not None:
             pending.timer.cancel()
@@ -231,7 +231,7 @@
     def _respond(
         self, pending: PendingRequest, status: int, head: bytes, body: bytes = b""
     ) -> None:
-        if pending.made_call is not None:
+        if pending.downstream_call is not None:
             # Recorded before the answer is sent, as the next call may follow at once.
-            self.call_attribution.record_answer(pending.made_call, status < 300)
+            self.call_attributor.record_answer(pending.downstream_call, status < 300)
         pending.exchange.respond(status, head, body)
--- a/eelgrassmount/relay/routes.py
+++ b/eelgrassmount/relay/routes.py
@@ -14,7 +14,7 @@
 
     from eelgrassmount.teams.directory import Team
 
-# rank of the least urgent requests
+# Rank of the least urgent requests.
 MAX_RANK = 1_000_000
 
 
@@ -33,7 +33,7 @@
     ``name`` is the same in all versions for a host and prefix. ``objective_s`` is the
     latency objective, ``timeout_s`` the longest time that a request may take. Routes of
     ``priority`` 0 are refused last. ``max_attempts`` limits the backend servers that
-    may get one request. If teams are configured, ``needs_key`` tells whether requests
+    may get one request. If teams are configured, ``needs_key`` is set if requests
     need an API key of a team.
     """
 
@@ -48,7 +48,7 @@
     priority: int
     needs_key: bool = False
 
-    def divide(self) -> dict[str, float]:
+    def compute_shares(self) -> dict[str, float]:
         """Return the share of the requests that goes to each service."""
         total = sum(target.weight for target in self.targets)
         shares: dict[str, float] = {}
@@ -112,7 +112,7 @@
         found = self._by_host.get(host)
         if found is None:
             return None
-        # a host has few distinct prefix lengths
+        # A host has few distinct prefix lengths.
         for length in self._lengths[host]:
             route = found.get(path[:length])
             if route is not None:
--- a/eelgrassmount/relay/sender.py
+++ b/eelgrassmount/relay/sender.py
@@ -27,18 +27,18 @@
     from eelgrassmount.relay.routing import Router
     from eelgrassmount.teams.directory import Team
 
-# refusals by nodes before a call is given up
+# Refusals by nodes after which a call gets no further attempt.
 MAX_REFUSALS = 4
-# refusals for lack of retry budget before a call is given up
+# Refusals for lack of retry budget after which a call gets no further attempt.
 MAX_BUDGET_REFUSALS = 2
-# rejections by servers and attempts before a call is given up
+# Rejections by servers and attempts after which a call gets no further attempt.
 MAX_REJECTIONS = 8
 GATEWAY_TIMEOUT = 504
-# shortest time before the deadline in which a retry may succeed
+# Calls with less time before their deadline are not retried.
 MIN_RETRY_TIME_S = 0.02
 
 
-# other nodes would refuse the call for the same reason
+# Other nodes would refuse the call for the same reason.
 _FINAL_REASONS = (Reason.QUARANTINED, Reason.DEADLINE)
 
 
@@ -55,7 +55,7 @@
 class PendingRequest:
     """A request that has not been answered yet.
 
-    ``made_call`` identifies the run that made the request if it is a downstream call.
+    ``downstream_call`` identifies the run that made the request, if a run made it.
     ``team`` is set if the request counts against a quota. ``last_reply`` is the latest
     reply, from the node ``server``.
 
@@ -71,7 +71,7 @@
 
     exchange: Exchange
     call: Call
-    made_call: DownstreamCall | None = None
+    downstream_call: DownstreamCall | None = None
     team: Team | None = None
     timer: asyncio.TimerHandle | None = None
     current_attempt: Attempt | None = None
@@ -118,7 +118,7 @@
     metrics: RelayMetrics
     clock: Callable[[], float]
     open_link: Callable[[Member], None]
-    answers: Responder = field(init=False)
+    responder: Responder = field(init=False)
 
     def start(self, pending: PendingRequest) -> None:
         """Send a request to a server."""
@@ -138,7 +138,9 @@
         if delay_s < remaining_s:
             pending.timer = loop.call_later(delay_s, self._retry_if_silent, pending)
         else:
-            pending.timer = loop.call_later(remaining_s, self.answers.time_out, pending)
+            pending.timer = loop.call_later(
+                remaining_s, self.responder.time_out, pending
+            )
 
     def _retry_if_silent(self, pending: PendingRequest) -> None:
         """Send a call to another server if the current one has not replied in time.
@@ -161,7 +163,7 @@
             call.service, {*pending.excluded, member.name}
         ):
             return
-        # the silent attempt counts, as it may have reached its server
+        # The silent attempt counts, as it may have reached its server.
         attempts = pending.attempts + 1
         if attempts >= call.route.max_attempts or not self._has_time_to_retry(call):
             return
@@ -199,7 +201,7 @@
     def _give_up(self, pending: PendingRequest) -> None:
         """Finish a request, unless an earlier attempt may still be answered."""
         if pending.silent_attempt is None:
-            self.answers.give_up(pending)
+            self.responder.give_up(pending)
 
     def _handle_silent_reply(
         self, pending: PendingRequest, member: Member, reply: Reply
@@ -210,7 +212,7 @@
             pending.may_have_run = True
         if reply.outcome is Outcome.ANSWERED and reply.status < 500:
             pending.server = member.name
-            self.answers.deliver(pending, reply)
+            self.responder.deliver(pending, reply)
         elif pending.current_attempt is None:
             if (
                 pending.last_reply is None
@@ -218,7 +220,7 @@
             ):
                 pending.last_reply = reply
                 pending.server = member.name
-            self.answers.give_up(pending)
+            self.responder.give_up(pending)
 
     def _handle_reply(
         self, pending: PendingRequest, member: Member, reply: Reply
@@ -242,7 +244,7 @@
         pending.attempts += 1
         if reply.status >= 500:
             pending.may_have_run = True
-            # a server that ran out of time would do so again
+            # A server that ran out of time would probably do so on a retry.
             futile = reply.status == GATEWAY_TIMEOUT or self._is_retry_futile(
                 pending.call
             )
@@ -253,7 +255,7 @@
             return
         size_bytes = len(pending.call.body) + len(reply.body)
         self.router.record_size(pending.call.route.name, size_bytes)
-        self.answers.deliver(pending, reply)
+        self.responder.deliver(pending, reply)
 
     def _handle_refusal(
         self, pending: PendingRequest, member: Member, reply: Reply
@@ -261,7 +263,7 @@
         pending.refusals += 1
         pending.excluded.add(member.name)
         if reply.reason in (Reason.DRAINING, Reason.NO_SERVER, Reason.SERVER_STARTING):
-            # until the next load report of the node
+            # Until the next load report of the node.
             member.load.accepting = False
             member.load.reported_s = self.clock()
         if reply.reason is Reason.SERVER_SHED:
@@ -289,8 +291,8 @@
         """Retry a call that a server has read but not run.
 
         The limit of servers per request applies, but servers that rejected the call may
-        be tried again: while all servers reject many calls, a request with several
-        calls would otherwise rarely succeed.
+        get further attempts: while all servers reject many calls, a request with
+        several calls would otherwise rarely succeed.
         """
         pending.rejections += 1
         pending.rejecting_nodes.add(member.name)
--- a/eelgrassmount/relay/shared_state.py
+++ b/eelgrassmount/relay/shared_state.py
@@ -21,9 +21,9 @@
     from eelgrassmount.relay.members import MemberTable
     from eelgrassmount.relay.server import LocalServer
 
-# objective and timeout of a route that only another node has in its configuration
+# Objective and timeout of a route that only another node has in its configuration.
 UNKNOWN_ROUTE_TIMEOUT_S = 5.0
-# a removed route stays known until its runs, which may still make calls, have ended
+# A removed route stays known until its runs, which may still make calls, have ended.
 REMOVED_ROUTE_RETENTION_S = 30.0
 
 
@@ -72,12 +72,12 @@
         self.started_s = self.clock()
         self.learner = VectorLearner(self.clock)
 
-    def find_allowance(self, route: Route) -> float:
-        """Return the time limit in seconds for a call of a route."""
+    def find_time_allowance(self, route: Route) -> float:
+        """Return the time allowance in seconds of a call of a route."""
         return self.graph.find_time_allowance(route, self.table)
 
-    def find_call_limit(self, route_name: str) -> float:
-        """Return the longest time in seconds that calls of a route's run may take."""
+    def find_call_timeout(self, route_name: str) -> float:
+        """Return the shortest timeout in seconds among the routes that a run calls."""
         return self.graph.find_call_timeout(route_name, self.table)
 
     def identifies_clients(self) -> bool:
@@ -103,8 +103,8 @@
         """Return the admitted fraction of a service, from 0 to 1."""
         if service in self.unreachable:
             return 0.0
-        control = self.admission_controllers.get(service)
-        return 1.0 if control is None else control.admitted_fraction
+        controller = self.admission_controllers.get(service)
+        return 1.0 if controller is None else controller.admitted_fraction
 
     def record_configured_routes(self) -> None:
         """Record when the configured routes were last seen; called once a second."""
--- a/eelgrassmount/relay/shutdown.py
+++ b/eelgrassmount/relay/shutdown.py
@@ -29,9 +29,9 @@
 class Shutdown:
     """Drains clients, then peers, and waits for open requests, within ``grace_s``."""
 
-    node_state: SharedState
-    callers: HttpListener
-    inbound: InboundLinks
+    state: SharedState
+    client_listener: HttpListener
+    inbound_links: InboundLinks
     grace_s: float
     report_now: Callable[[], None]
     count_open: Callable[[], int]
@@ -40,19 +40,19 @@
         """Drain the node and return when the process may exit."""
         loop = asyncio.get_running_loop()
         exit_deadline_s = loop.time() + self.grace_s - EXIT_MARGIN_S
-        self.node_state.stopping = True
+        self.state.stopping = True
         logger.info("stopping", open=self.count_open())
         # Clients may still send requests over their connections during the drain.
-        self.callers.stopping = True
+        self.client_listener.stopping = True
         drain_s = min(CLIENT_DRAIN_S, max(0.0, exit_deadline_s - loop.time()))
         await asyncio.sleep(max(0.0, drain_s - PEER_DRAIN_S))
-        self.node_state.closing = True
-        self.inbound.accepting = False
+        self.state.closing = True
+        self.inbound_links.accepting = False
         self.report_now()
         await asyncio.sleep(min(drain_s, PEER_DRAIN_S))
-        self.callers.stop_listening()
-        self.callers.close_idle()
+        self.client_listener.stop_listening()
+        self.client_listener.close_idle()
         while self.count_open() and loop.time() < exit_deadline_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-            self.callers.close_idle()
+            self.client_listener.close_idle()
         logger.info("stopped", cut=self.count_open())
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -23,7 +23,7 @@
     ``incarnation`` is the server's identity, empty while unknown. ``started_ms`` is the
     Unix time of its start, 0 until a heartbeat has reported it. ``refusal`` is the
     reason why the server gets no calls, empty when it gets them. ``demand`` is a
-    fraction of the server's capacity, ``wait`` a fraction of the allowed queueing time.
+    fraction of the server's capacity, ``wait`` a fraction of the maximum mean wait.
     """
 
     incarnation: str
@@ -65,7 +65,7 @@
 
 @frozen
 class BudgetStatus:
-    """Requests to a service and retries of them in the window of the retry budget."""
+    """Requests to a service, and their retries, in the window of the retry budget."""
 
     service: str
     requests: int
@@ -78,8 +78,8 @@
 
     ``rate`` and ``burst`` are the team's, in requests per second and requests.
     ``held_rate`` is the rate that this node grants from, ``level`` the requests that it
-    can grant now, negative if it granted in advance, and ``asked_per_s`` the rate of
-    the requests asked of it.
+    can grant now, negative if it granted in advance, and ``asked_per_s`` the rate
+    of the requests for which nodes request grants.
     """
 
     team: str
@@ -195,14 +195,19 @@
             for name, controller in state.admission_controllers.items()
         },
         [
-            ShareStatus(demand.route_name, demand.rank, round(share, 3))
-            for demand, share in sorted(node.admission.admitted_fractions.items())
+            ShareStatus(request_class.route_name, request_class.rank, round(share, 3))
+            for request_class, share in sorted(
+                node.admission.admitted_fractions.items()
+            )
         ],
         {
             name: {called: round(count, 2) for called, count in calls.items()}
             for name, calls in state.graph.calls_per_run.items()
         },
-        {name: round(state.find_allowance(route), 3) for name, route in routes.items()},
+        {
+            name: round(state.find_time_allowance(route), 3)
+            for name, route in routes.items()
+        },
         _collect_budgets(node.dispatcher.budget),
         [
             _collect_member(member, now_s)
--- a/eelgrassmount/relay/tallies.py
+++ b/eelgrassmount/relay/tallies.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# rows of each kind in a message; the largest counts come first
+# Rows of each kind in a message; the largest counts come first.
 MAX_ROWS = 200
 
 
@@ -85,8 +85,8 @@
     return ttypes.RelayTally(
         tally.nodes,
         [
-            ttypes.OfferedRate(demand.route_name, demand.rank, rate)
-            for demand, rate in _list_largest(tally.offered)
+            ttypes.OfferedRate(request_class.route_name, request_class.rank, rate)
+            for request_class, rate in _list_largest(tally.offered)
         ],
         [
             ttypes.ServiceCounts(service, one.nodes, _write_counts(one.counts))
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -104,7 +104,7 @@
     async def scenario(lone: LoneNode) -> None:
         await lone.announce()
         lone.change_settings(service="ledger")
-        # the settings alone change nothing: the earlier server may still run
+        # The settings alone change nothing: the earlier server may still run.
         assert lone.node.beliefs.server.service == "desk"
         assert (await lone.announce(sequence=2)).status == 421
         assert (await lone.announce("i-2", service="ledger")).status == 200
@@ -140,7 +140,7 @@
         run(scenario)
     finally:
         logger.remove(handler)
-    assert sum("not taken up" in line for line in lines) == 2
+    assert sum("message rejected" in line for line in lines) == 2
 
 
 # A body that is too long must be rejected before it fills the memory.
--- a/tests/relay/test_backend.py
+++ b/tests/relay/test_backend.py
@@ -15,7 +15,7 @@
 HOST = f"{LOOPBACK_PREFIX}.3.1"
 REQUEST = b"GET /list/1 HTTP/1.1\r\ncontent-length: 0\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
-# idle timeout of the server in these tests
+# Idle timeout of the server in these tests.
 SERVER_IDLE_TIMEOUT_S = 0.1
 
 
@@ -74,10 +74,10 @@
     def clock(self) -> float:
         return self.now_s
 
-    async def send(self, fresh: bool) -> ClientAnswer | ExchangeFailure:
+    async def send(self, fresh_only: bool) -> ClientAnswer | ExchangeFailure:
         future = asyncio.get_running_loop().create_future()
         address = self.server.address
-        self.pool.send(address, REQUEST, fresh, lambda _: True, future.set_result)
+        self.pool.send(address, REQUEST, fresh_only, lambda _: True, future.set_result)
         with anyio.fail_after(3):
             return await future
 
@@ -114,10 +114,10 @@
         assert isinstance(await setup.send(False), ClientAnswer)
         setup.now_s += idle_s
         assert await setup.send(False) is ExchangeFailure.CLOSED
-        for fresh in (False, True):
-            assert isinstance(await setup.send(fresh), ClientAnswer)
+        for fresh_only in (False, True):
+            assert isinstance(await setup.send(fresh_only), ClientAnswer)
             setup.now_s += idle_s
-            assert isinstance(await setup.send(fresh), ClientAnswer)
+            assert isinstance(await setup.send(fresh_only), ClientAnswer)
 
     run(scenario)
 
@@ -142,7 +142,7 @@
     async def scenario(setup: Setup) -> None:
         await setup.send(False)
         setup.now_s += 0.01
-        # the server crashes
+        # The server crashes.
         await setup.send(False)
         for transport in list(setup.pool._idle):
             transport.transport.abort()
@@ -187,7 +187,7 @@
         setup.pool.reset()
         await setup.send(False)
         assert setup.server.opened == opened + 1
-        # the shorter idle time learned from the earlier start no longer applies
+        # The shorter idle time learned from the earlier start no longer applies.
         setup.now_s += SERVER_IDLE_TIMEOUT_S * 0.9
         assert isinstance(await setup.send(False), ClientAnswer)
         assert setup.server.opened == opened + 1
--- a/tests/relay/test_dispatcher.py
+++ b/tests/relay/test_dispatcher.py
@@ -9,13 +9,13 @@
 import pytest
 
 from eelgrassmount.http1.client import ClientAnswer, ExchangeFailure
-from eelgrassmount.platform.headers import DIALECT
+from eelgrassmount.platform.headers import HEADER_CODEC
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.dispatcher import CRASH_WINDOW_S, Dispatcher, Job
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
 from eelgrassmount.relay.measures import (
     DEFAULT_RUN_S,
-    DEMAND_WEIGHT,
+    DEMAND_SMOOTHING,
     MAX_MEAN_WAIT_S,
     RouteStats,
 )
@@ -32,7 +32,7 @@
 SIGNED = [(b"eelgrassmount-response-signature", b"s")]
 
 
-class FakeSending:
+class FakeExchange:
     def __init__(self, pool, done):
         self.pool = pool
         self.done = done
@@ -50,21 +50,21 @@
 
 class FakePool:
     def __init__(self):
-        self.open: list[FakeSending] = []
+        self.open: list[FakeExchange] = []
         self.sent: list[bytes] = []
-        self.fresh: list[bool] = []
-        self.connecting: set[FakeSending] = set()
-        self.forgotten: list[int] = []
+        self.fresh_only: list[bool] = []
+        self.connecting: set[FakeExchange] = set()
+        self.resets: list[int] = []
 
-    def send(self, address, data, fresh, accepts, done, head_only=False):
-        sending = FakeSending(self, done)
-        self.open.append(sending)
+    def send(self, address, data, fresh_only, accepts, done, head_only=False):
+        exchange = FakeExchange(self, done)
+        self.open.append(exchange)
         self.sent.append(data)
-        self.fresh.append(fresh)
-        return sending
+        self.fresh_only.append(fresh_only)
+        return exchange
 
     def reset(self):
-        self.forgotten.append(len(self.sent))
+        self.resets.append(len(self.sent))
 
 
 class Setup:
@@ -77,7 +77,7 @@
         self.dispatcher = Dispatcher(
             self.server,
             self.pool,
-            DIALECT,
+            HEADER_CODEC,
             Quarantine(),
             lambda: self.now_s,
             RetryBudget(lambda: self.now_s, 0.0, 10.0, slack, lambda: 1),
@@ -249,7 +249,7 @@
 
 def test_non_idempotent_call_uses_a_fresh_connection(setup):
     setup.submit(make_call(make_route(idempotent=False)))
-    assert setup.pool.fresh == [True]
+    assert setup.pool.fresh_only == [True]
 
 
 def test_cancelled_call_is_stopped_only_if_idempotent(setup):
@@ -296,7 +296,9 @@
     assert setup.dispatcher.measures.failure_share == counted
 
 
-def test_run_of_a_slow_server_is_not_silent_before_several_times_its_usual(setup):
+def test_run_of_a_slow_server_is_not_silent_before_several_times_its_mean_duration(
+    setup,
+):
     usual_s = 0.8
     for _ in range(3):
         setup.submit()
@@ -338,11 +340,12 @@
     setup.dispatcher.update_load()
     run_s = setup.dispatcher.measures.mean_run_s
     assert setup.dispatcher.measures.load.demand == pytest.approx(
-        DEMAND_WEIGHT * 3 * run_s / 2
+        DEMAND_SMOOTHING * 3 * run_s / 2
     )
-    # two calls wait for one of two seconds; 0.3 of the shortest allowance is allowed
-    setup.dispatcher.measures.routes["r"] = RouteStats(call_time_limit_s=0.2)
-    setup.dispatcher.measures.routes["s"] = RouteStats(call_time_limit_s=0.4)
+    # Two calls wait for one of two seconds. The maximum mean wait is 0.3 of the
+    # shortest time allowance.
+    setup.dispatcher.measures.routes["r"] = RouteStats(time_allowance_s=0.2)
+    setup.dispatcher.measures.routes["s"] = RouteStats(time_allowance_s=0.4)
     assert setup.dispatcher.measures.compute_max_mean_wait_s() == pytest.approx(0.06)
     assert setup.dispatcher.measures.load.wait == pytest.approx(run_s / MAX_MEAN_WAIT_S)
 
@@ -434,8 +437,8 @@
     assert setup.dispatcher.queued == 1
     setup.now_s += 0.1
     setup.restart()
-    # before the next call, which would use an idle connection
-    assert setup.pool.forgotten == [1]
+    # Before the next call, which would use an idle connection.
+    assert setup.pool.resets == [1]
     assert [reply.outcome for reply in setup.replies] == [Outcome.MAY_HAVE_RUN]
     assert (setup.dispatcher.queued, setup.dispatcher.in_flight) == (0, 1)
     setup.answer()
@@ -523,7 +526,7 @@
 def test_run_that_failed_by_a_downstream_call_is_not_a_server_failure():
     """Guards against reducing the load of healthy servers above a failing one."""
     setup = Setup()
-    setup.dispatcher.claim_loss = lambda job: True
+    setup.dispatcher.claim_lost_call = lambda job: True
     for _ in range(40):
         setup.submit()
         setup.answer(500)
@@ -539,7 +542,7 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.dispatcher.claim_loss = lambda job: lost
+    setup.dispatcher.claim_lost_call = lambda job: lost
     seen = []
     for _ in range(400):
         lost = rng.random() < 0.9
@@ -553,7 +556,7 @@
     setup = Setup()
     rng = random.Random(7)
     lost = True
-    setup.dispatcher.claim_loss = lambda job: lost
+    setup.dispatcher.claim_lost_call = lambda job: lost
     for _ in range(400):
         lost = rng.random() < 0.3
         setup.submit()
@@ -615,7 +618,7 @@
     assert (reply.outcome, reply.reason) == (Outcome.NOT_RUN, Reason.DEADLINE)
     assert waiting.ended
     assert setup.dispatcher.queued == 0
-    # the refused call is skipped once a slot is free
+    # The refused call is skipped once a slot is free.
     setup.answer()
     assert len(setup.pool.sent) == 1
 
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -113,7 +113,7 @@
     assert all(one is None or 0 <= one < 2**53 for one in raw)
     cold_ms = find_field(content, "status.coldRemainingMs")
     assert type(cold_ms) in (int, float)
-    assert found.cold_s == cold_ms / 1000
+    assert found.warm_up_s == cold_ms / 1000
     assert math.isfinite(cold_ms)
     assert cold_ms >= 0
     state = find_field(content, "status.state")
@@ -409,9 +409,9 @@
             await send_invalid_request(line)
         assert lone.read_server_view() == before
         assert (await lone.announce(sequence=2)).status == 200
-        refused = lone.node.refused
-        assert refused.totals["announcement"] == len(calls)
-        assert len(refused._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
+        rejected = lone.node.refused
+        assert rejected.totals["announcement"] == len(calls)
+        assert len(rejected._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
 
     run(scenario)
 
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -85,12 +85,12 @@
         while True:
             await anyio.sleep(self.rng.expovariate(FAULTS_PER_S))
             address = self.rng.choice(self.server_vms).settings.peer_address
-            place = (address.host, address.port)
+            socket_address = (address.host, address.port)
             fault = self.rng.choice(("mute", "reset", "pause"))
-            getattr(self.network, fault)(place)
+            getattr(self.network, fault)(socket_address)
             if fault == "pause":
                 await anyio.sleep(self.rng.uniform(0.1, 1.5))
-                self.network.resume(place)
+                self.network.resume(socket_address)
 
     async def run(self) -> None:
         """Send requests while links fail, then check all answers and runs."""
@@ -136,7 +136,7 @@
             assert not inbound.received_calls
             assert len(inbound.connections) <= len(self.deployment.vms)
         for vm in self.entry_vms:
-            assert vm.node.ingress.answers.open_flows == 0
+            assert vm.node.ingress.responder.open_requests == 0
             for member in vm.node.beliefs.members.by_name.values():
                 assert member.link is None or not member.link.pending_calls
 
--- a/tests/topics/test_log_restore.py
+++ b/tests/topics/test_log_restore.py
@@ -221,7 +221,7 @@
 
 def test_node_deletes_its_record_when_its_backend_server_has_left():
     async def scenario(deployment: Deployment) -> None:
-        deployment.vms[5].node.beliefs.server.left = True
+        deployment.vms[5].node.beliefs.server.has_left = True
         await stop_node(deployment, 5)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -31,7 +31,7 @@
 
 def admit_all() -> None:
     """Let every request begin."""
-    Admission.try_admit = lambda self, demand: True
+    Admission.try_admit = lambda self, request_class: True
 
 
 def ignore_calls() -> None:
@@ -44,7 +44,7 @@
 
 def ignore_priority() -> None:
     """Cut all routes that lead to a short service alike."""
-    admission.compute_admitted_shares = lambda required, admitted_fraction: {
+    admission.compute_admitted_fractions = lambda required, admitted_fraction: {
         one.request_class: admitted_fraction for one in required
     }
 
@@ -106,7 +106,7 @@
 
 def keep_no_connections() -> None:
     """Open a connection for each request to a server."""
-    BackendPool._take_idle = lambda self, fresh: None
+    BackendPool._take_idle = lambda self, fresh_only: None
 
 
 def keep_nothing_learned() -> None:
