--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -17,7 +17,7 @@
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.call_attribution import CallAttributor
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import Controllers
 from eelgrassmount.relay.decisions import DecisionLog
 from eelgrassmount.relay.dispatcher import Dispatcher
 from eelgrassmount.relay.inbound import InboundLinks
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -24,7 +24,7 @@
     from eelgrassmount.http1.server import HttpListener
     from eelgrassmount.platform.store_client import StoreClient
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.controllers import Controllers
+    from eelgrassmount.relay.control_loop import Controllers
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.heartbeats import Heartbeat
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -12,7 +12,7 @@
 from eelgrassmount.compose.relay_run import subscribe_timers
 from eelgrassmount.gen import ttypes
 from eelgrassmount.http1.client import ClientAnswer
-from eelgrassmount.relay.controllers import MAX_ROWS
+from eelgrassmount.relay.control_loop import MAX_ROWS
 from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -7,7 +7,7 @@
 from eelgrassmount.policy.service_load import combine_server_loads
 from eelgrassmount.relay.admission import CallGraph
 from eelgrassmount.relay.admitted_fractions import AdmittedFractions
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import Controllers
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
     LEARNING_PERIOD_S,
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -19,7 +19,7 @@
 from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.call_attribution import CallAttributor
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import Controllers
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.topics.learned import LearnedCalls
