--- a/eelgrassmount/keys/core.py
+++ b/eelgrassmount/keys/core.py
@@ -8,9 +8,9 @@
 import anyio
 from attrs import define, evolve, field
 
-from eelgrassmount.keys.holder import Ledger, SlotHolder, adopt_view
 from eelgrassmount.keys.placement import SLOT_COUNT, NodeId, identify_node
 from eelgrassmount.keys.planning import Roster, build_roster
+from eelgrassmount.keys.slot_state import Ledger, SlotHolder, adopt_view
 from eelgrassmount.keys.table import Budget, Entry, KeyTable
 from eelgrassmount.keys.views import View
 
--- a/eelgrassmount/keys/minted.py
+++ b/eelgrassmount/keys/minted.py
@@ -10,10 +10,10 @@
 from eelgrassmount.calls.request import Outcome
 from eelgrassmount.errors import BadFrameError
 from eelgrassmount.gen.ttypes import MarkAnswer, Message, SlotTransfer
-from eelgrassmount.keys.holder import Ledger, has_runs
-from eelgrassmount.keys.marks import decode_entry, encode_entry, split_batches
+from eelgrassmount.keys.entry_codec import decode_entry, encode_entry, split_batches
 from eelgrassmount.keys.owner import repeat_entry, run_guarded, wait_ticket
 from eelgrassmount.keys.placement import choose_heirs
+from eelgrassmount.keys.slot_state import Ledger, has_runs
 from eelgrassmount.keys.syntax import check_identity, compute_seal, format_minted
 from eelgrassmount.keys.table import Entry, KeyTable, Stage, take_copy
 from eelgrassmount.peer.port import PeerFailure
--- a/eelgrassmount/keys/owner.py
+++ b/eelgrassmount/keys/owner.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.calls.request import Outcome
 from eelgrassmount.gen.ttypes import MarkQuestion, Message
-from eelgrassmount.keys.marks import encode_entry
+from eelgrassmount.keys.entry_codec import encode_entry
 from eelgrassmount.keys.table import Entry, Stage
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason
@@ -19,7 +19,7 @@
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.follower import Follower
-    from eelgrassmount.keys.holder import Ledger, SlotHolder
+    from eelgrassmount.keys.slot_state import Ledger, SlotHolder
 
 PAUSE_S = 0.02
 
--- a/eelgrassmount/keys/routes.py
+++ b/eelgrassmount/keys/owner_router.py
@@ -22,9 +22,9 @@
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.follower import Follower
-    from eelgrassmount.keys.holder import SlotHolder
     from eelgrassmount.keys.minted import Minter
     from eelgrassmount.keys.owner import Owner
+    from eelgrassmount.keys.slot_state import SlotHolder
     from eelgrassmount.keys.views import View
 
 RELAYS = 2
--- a/eelgrassmount/keys/replica.py
+++ b/eelgrassmount/keys/replica.py
@@ -9,9 +9,9 @@
 
 from eelgrassmount.errors import BadFrameError
 from eelgrassmount.gen.ttypes import MarkAnswer, MarkQuestion, Message, SlotTransfer
-from eelgrassmount.keys.holder import list_copies
-from eelgrassmount.keys.marks import decode_entry, encode_entry, split_batches
+from eelgrassmount.keys.entry_codec import decode_entry, encode_entry, split_batches
 from eelgrassmount.keys.placement import SLOT_COUNT
+from eelgrassmount.keys.slot_state import list_copies
 from eelgrassmount.keys.table import Entry, take_copy, take_fact, take_mark
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.verdict import NotRun
@@ -22,7 +22,7 @@
     from eelgrassmount.gen.ttypes import Hello
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.follower import Follower
-    from eelgrassmount.keys.holder import SlotHolder
+    from eelgrassmount.keys.slot_state import SlotHolder
 
 FLUSH_S = 0.05
 RETRY_S = 0.2
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -9,11 +9,11 @@
 
 from eelgrassmount.keys.core import Core, KeySettings
 from eelgrassmount.keys.follower import TICK_S, Follower
-from eelgrassmount.keys.holder import has_runs
 from eelgrassmount.keys.minted import MINTED_SLOT, Minter
 from eelgrassmount.keys.owner import Owner
+from eelgrassmount.keys.owner_router import OwnerRoutes
 from eelgrassmount.keys.replica import Replica
-from eelgrassmount.keys.routes import OwnerRoutes
+from eelgrassmount.keys.slot_state import has_runs
 
 if TYPE_CHECKING:
     import random
@@ -24,8 +24,8 @@
     from eelgrassmount.blackboard import Blackboard
     from eelgrassmount.calls.request import Call, Outcome
     from eelgrassmount.gen.ttypes import Hello, Message
-    from eelgrassmount.keys.holder import SlotHolder
     from eelgrassmount.keys.port import Runner
+    from eelgrassmount.keys.slot_state import SlotHolder
     from eelgrassmount.log_port import LogPort
     from eelgrassmount.peer.port import Handlers, PeerPort
     from eelgrassmount.timers import TimerService
