--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -215,7 +215,7 @@
     return [
         Work("path: choose a server near", _time(lambda: choose(set()))),
         Work("path: choose a server far", _time(lambda: choose(excluded))),
-        Work("path: describe load", _time(node.path.gate.describe)),
+        Work("path: describe load", _time(node.path.server_dispatcher.describe)),
     ]
 
 
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -53,7 +53,7 @@
         if offset:
             await anyio.sleep(wait_s)
             return Page(0, 1, ())
-        pair = [node.service.core.me for node in self.nodes]
+        pair = [node.service.core.node_id for node in self.nodes]
         views = [Proposal(slot, 0, *pair) for slot in range(64)]
         return Page(0, 1, (Record(0, encode_proposals(views)),))
 
@@ -136,7 +136,7 @@
         for node in nodes:
             await node.service.start(group)
         primary = nodes[0].service
-        while not all(holder.synced for holder in primary.core.holders):
+        while not all(holder.synced for holder in primary.core.slot_states):
             await anyio.sleep(0.1)
         figures: dict[str, list[float]] = {"plain": [], "own": [], "minted": []}
         figures["repeat"] = []
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -52,9 +52,9 @@
     host = "127.0.0.1"
     addresses = [Address(host, port) for port in range(7620, 7626)]
     node = build_relay(RelaySettings("reader", "a", "service-0", *addresses))
-    node.put_own()
+    node.register_local_node()
     for number in range(listeners):
-        node.beliefs.members.put(f"node-{number}", f"{host}:7620", "a", "service-1")
+        node.state.members.put(f"node-{number}", f"{host}:7620", "a", "service-1")
     questions = [make_question(number, rng) for number in range(listeners)]
 
     def send(kind: FrameKind, struct: object) -> None:
@@ -66,7 +66,7 @@
             struct = decode_struct(ttypes.RelaySubscribe, payload)
             node.readers.note_subscribe(struct, send)
         for _ in range(STEPS_PER_ROUND):
-            node.readers._update_outlook(node.beliefs.clock())
+            node.readers._update_outlook(node.state.clock())
     return (time.process_time() - begun_s) / ROUNDS / PERIOD_S
 
 
--- a/eelgrassmount/admin/routes.py
+++ b/eelgrassmount/admin/routes.py
@@ -31,7 +31,7 @@
 def add_routes(
     listener: AdminListener,
     board: Blackboard,
-    gate: ServerDispatcher,
+    server_dispatcher: ServerDispatcher,
     count_running: Callable[[], int],
     follower: ConfigFollower,
     metrics: Metrics,
@@ -51,7 +51,9 @@
         request_id = query.get("id", [""])[0]
         return _convert(await publish_config(follower, request.body, base, request_id))
 
-    listener.add("GET", "/state", make_state_handler(board, gate, count_running))
+    listener.add(
+        "GET", "/state", make_state_handler(board, server_dispatcher, count_running)
+    )
     listener.add("GET", "/members", make_members_handler(board))
     listener.add("GET", "/metrics", make_metrics_handler(metrics))
     listener.add("GET", "/config", get_config)
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -20,12 +20,14 @@
 
 
 def make_state_handler(
-    board: Blackboard, gate: ServerDispatcher, count_running: Callable[[], int]
+    board: Blackboard,
+    server_dispatcher: ServerDispatcher,
+    count_running: Callable[[], int],
 ) -> AdminHandler:
     """Return the handler of ``GET /state``."""
 
     async def show_state(request: HttpRequest) -> HttpReply:
-        load = gate.describe()
+        load = server_dispatcher.describe()
         return make_json_reply(
             200,
             {
--- a/eelgrassmount/cmd/config.py
+++ b/eelgrassmount/cmd/config.py
@@ -21,14 +21,14 @@
 if TYPE_CHECKING:
     from eelgrassmount.util.addresses import Address
 
-SETTLE_LIMIT_S = 20.0
+PUBLISH_TIMEOUT_S = 20.0
 
 _ID_BYTES = 8
 _OK = 200
-_LOST = 409
+_CONFLICT = 409
 _INVALID = 422
-_UNSETTLED = 503
-_RETRY_S = 1.0
+_OUTCOME_UNKNOWN = 503
+_DEFAULT_RETRY_DELAY_S = 1.0
 _HISTORY_COLUMNS = ("version", "base", "offset", "bytes")
 
 
@@ -154,35 +154,35 @@
 def _publish_text(
     address: Address, text: str, base: int, as_json: bool, name: str
 ) -> ExitCode:
-    reply = _settle(address, text, base)
+    reply = _publish_until_settled(address, text, base)
     match reply.status:
         case status if status == _OK:
             version = reply.content["version"]
             print_result(f"version {version} is accepted", reply.content, as_json)
             return ExitCode.DONE
-        case status if status == _LOST:
+        case status if status == _CONFLICT:
             return _print_refusal(reply.content, as_json, ExitCode.REFUSED)
         case status if status == _INVALID:
             return _print_errors(reply.content["errors"], name, as_json)
-        case status if status == _UNSETTLED:
+        case status if status == _OUTCOME_UNKNOWN:
             return _print_refusal(reply.content, as_json, ExitCode.UNKNOWN)
     require_success(address, reply)
     return ExitCode.REFUSED
 
 
-def _settle(address: Address, text: str, base: int) -> AdminReply:
+def _publish_until_settled(address: Address, text: str, base: int) -> AdminReply:
     """Send a publish until its outcome is known or the time is over.
 
     All sendings carry one id, so that a node that got the first one answers for
     that one and publishes nothing twice.
     """
     path = f"/config?base={base}&id={secrets.token_hex(_ID_BYTES)}"
-    end_s = time.monotonic() + SETTLE_LIMIT_S
+    end_s = time.monotonic() + PUBLISH_TIMEOUT_S
     while True:
         reply = _send_once(address, path, text)
-        if reply.status != _UNSETTLED:
+        if reply.status != _OUTCOME_UNKNOWN:
             return reply
-        wait_s = reply.content.get("retry_after_ms", 0) / 1000 or _RETRY_S
+        wait_s = reply.content.get("retry_after_ms", 0) / 1000 or _DEFAULT_RETRY_DELAY_S
         if time.monotonic() + wait_s > end_s:
             return reply
         time.sleep(wait_s)
@@ -195,7 +195,7 @@
         if not error.sent:
             raise
         message = f"not known whether it was accepted: {error.cause}"
-        return AdminReply(_UNSETTLED, {"message": message})
+        return AdminReply(_OUTCOME_UNKNOWN, {"message": message})
 
 
 def _print_refusal(content: Any, as_json: bool, code: ExitCode) -> ExitCode:
--- a/eelgrassmount/cmd/explain.py
+++ b/eelgrassmount/cmd/explain.py
@@ -15,18 +15,18 @@
     from collections.abc import Iterable
 
 # what happened to a node or service this long before a request may have caused its end
-BEFORE = timedelta(seconds=5)
+WINDOW_BEFORE = timedelta(seconds=5)
 # why a call ended is found out so much later at most: by the next heartbeat, the next
 # connection or the end of the node's stop
-AFTER = timedelta(seconds=5)
+WINDOW_AFTER = timedelta(seconds=5)
 # lines that say why calls before them ended
 _LATER_MESSAGES = frozenset(
     ("server crashed", "server restarted", "node unreachable", "stopped")
 )
 # lines on nodes and services that are shown at most, those nearest to the end
-MAX_AROUND = 20
+MAX_CONTEXT_LINES = 20
 # fields that are told at the start of a line or not at all
-_TOLD_FIELDS = ("time", "level", "module", "message", "node", "request", "outcome")
+_PRESENTED_FIELDS = ("time", "level", "module", "message", "node", "request", "outcome")
 # fields of a decision that name other nodes
 _NODE_FIELDS = ("node", "after", "server", "peer")
 
@@ -59,22 +59,22 @@
         rest = " ".join(
             f"{name}={value}"
             for name, value in fields.items()
-            if name not in _TOLD_FIELDS
+            if name not in _PRESENTED_FIELDS
         )
         moment = self.time.strftime("%H:%M:%S.%f")[:-3]
         return f"{moment} {fields.get('node', '?')} {self.message}{outcome}  {rest}"
 
 
 @frozen
-class Story:
+class RequestTimeline:
     """The lines on one request, and those on the nodes and services it met."""
 
     request_id: str
     own: list[LogLine] = field(factory=list)
-    around: list[LogLine] = field(factory=list)
+    context: list[LogLine] = field(factory=list)
     later: list[LogLine] = field(factory=list)
-    left_out: int = 0
-    unread: int = 0
+    omitted: int = 0
+    unparsed: int = 0
 
     def describe(self) -> str:
         """Return the story for people."""
@@ -82,18 +82,16 @@
         parts += [f"  {line.describe()}" for line in self.own]
         if not self.own:
             parts.append("  no line names it")
-        if self.around:
+        if self.context:
             parts.append("on the nodes and services it met, shortly before")
-            parts += [f"  {line.describe()}" for line in self.around]
+            parts += [f"  {line.describe()}" for line in self.context]
         if self.later:
-            parts.append(f"found out within {AFTER.seconds} s after it")
+            parts.append(f"found out within {WINDOW_AFTER.seconds} s after it")
             parts += [f"  {line.describe()}" for line in self.later]
-        if self.left_out:
-            parts.append(
-                f"{self.left_out} lines on requests were left out by the nodes"
-            )
-        if self.unread:
-            parts.append(f"{self.unread} lines of the input are not log lines")
+        if self.omitted:
+            parts.append(f"{self.omitted} lines on requests were left out by the nodes")
+        if self.unparsed:
+            parts.append(f"{self.unparsed} lines of the input are not log lines")
         return "\n".join(parts)
 
     def encode(self) -> dict[str, Any]:
@@ -101,10 +99,10 @@
         return {
             "request": self.request_id,
             "lines": [line.fields for line in self.own],
-            "around": [line.fields for line in self.around],
+            "around": [line.fields for line in self.context],
             "later": [line.fields for line in self.later],
-            "left_out": self.left_out,
-            "unread": self.unread,
+            "left_out": self.omitted,
+            "unread": self.unparsed,
         }
 
 
@@ -119,37 +117,37 @@
     """
 
     def start() -> ExitCode:
-        story = tell_story(request, sys.stdin)
-        print_result(story.describe(), story.encode(), is_set("json", json))
-        return ExitCode.DONE if story.own else ExitCode.UNKNOWN
+        timeline = build_request_timeline(request, sys.stdin)
+        print_result(timeline.describe(), timeline.encode(), is_set("json", json))
+        return ExitCode.DONE if timeline.own else ExitCode.UNKNOWN
 
     return Action(start)
 
 
-def tell_story(request_id: str, texts: Iterable[str]) -> Story:
+def build_request_timeline(request_id: str, texts: Iterable[str]) -> RequestTimeline:
     """Pick the lines that matter for one request.
 
     Lines that can't be read are counted; what stands before the JSON object of a
     line, such as the name of a VM, is passed over.
     """
     lines = []
-    unread = 0
+    unparsed = 0
     for text in texts:
         line = _read_line(text)
         if line is None:
-            unread += bool(text.strip())
+            unparsed += bool(text.strip())
         else:
             lines.append(line)
     lines.sort(key=lambda line: line.time)
     own = [line for line in lines if line.names_request(request_id)]
-    left_out = sum(
+    omitted = sum(
         line.fields.get("count", 0)
         for line in lines
         if line.message == "lines left out"
     )
-    around = _find_around(own, lines)
+    context = _find_context(own, lines)
     later = _find_later(own, lines)
-    return Story(request_id, own, around, later, left_out, unread)
+    return RequestTimeline(request_id, own, context, later, omitted, unparsed)
 
 
 def _read_line(text: str) -> LogLine | None:
@@ -164,12 +162,12 @@
         return None
 
 
-def _find_around(own: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+def _find_context(own: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
     if not own:
         return []
-    nodes = _list_met(own)
+    nodes = _list_involved_nodes(own)
     services = {line.fields["service"] for line in own if "service" in line.fields}
-    first = own[0].time - BEFORE
+    first = own[0].time - WINDOW_BEFORE
     last = own[-1].time
     found = [
         line
@@ -179,24 +177,24 @@
         and "request" not in line.fields
         and (line.list_nodes() & nodes or line.fields.get("service") in services)
     ]
-    return found[-MAX_AROUND:]
+    return found[-MAX_CONTEXT_LINES:]
 
 
 def _find_later(own: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
     """Return what was found out about the nodes that a request met, after its end."""
     if not own:
         return []
-    nodes = _list_met(own)
+    nodes = _list_involved_nodes(own)
     last = own[-1].time
     found = [
         line
         for line in lines
-        if last < line.time <= last + AFTER
+        if last < line.time <= last + WINDOW_AFTER
         and line.message in _LATER_MESSAGES
         and line.list_nodes() & nodes
     ]
-    return found[:MAX_AROUND]
+    return found[:MAX_CONTEXT_LINES]
 
 
-def _list_met(own: list[LogLine]) -> set[str]:
+def _list_involved_nodes(own: list[LogLine]) -> set[str]:
     return {name for line in own for name in line.list_nodes()}
--- a/eelgrassmount/cmd/main.py
+++ b/eelgrassmount/cmd/main.py
@@ -70,16 +70,16 @@
     os.environ["PAGER"] = "-"
     try:
         action = fire.Fire(
-            COMMANDS, _prepare_words(words), PROGRAM, serialize=lambda _: None
+            COMMANDS, _prepare_arguments(words), PROGRAM, serialize=lambda _: None
         )
     except FireExit as stop:
         return stop.code
     if not isinstance(action, Action):
-        return _explain_missing(words)
+        return _report_missing_command(words)
     return _run(action)
 
 
-def _prepare_words(words: list[str]) -> list[str]:
+def _prepare_arguments(words: list[str]) -> list[str]:
     """Return the words so that `fire` reads them as people mean them.
 
     Help is asked of the command instead of passed to it, a flag without a value
@@ -90,10 +90,10 @@
         return [*path, "--", "--help"]
     if isinstance(command, dict):
         return words
-    return path + [_prepare_word(word) for word in words[len(path) :]]
+    return path + [_prepare_argument(word) for word in words[len(path) :]]
 
 
-def _prepare_word(word: str) -> str:
+def _prepare_argument(word: str) -> str:
     if word in _BOOLEAN_FLAGS:
         return f"{word}=True"
     if not _FLAG.match(word):
@@ -114,7 +114,7 @@
     return path, command
 
 
-def _explain_missing(words: list[str]) -> int:
+def _report_missing_command(words: list[str]) -> int:
     path, _ = _find_command(words)
     print(f"name a command, see: {' '.join([PROGRAM, *path])} --help", file=sys.stderr)
     return ExitCode.USAGE
--- a/eelgrassmount/cmd/node.py
+++ b/eelgrassmount/cmd/node.py
@@ -41,7 +41,7 @@
     return Action(start)
 
 
-def _describe_flag(item: Attribute) -> str:
+def _format_flag_help(item: Attribute) -> str:
     rule = item.metadata["rule"]
     need = " Required." if item.default is NOTHING else ""
     return f"        {item.name}: {rule.meaning} Give {rule.allowed}.{need}\n"
@@ -56,5 +56,5 @@
     )
 
 
-node.__doc__ = _INTRODUCTION + "".join(map(_describe_flag, fields(Settings)))
+node.__doc__ = _INTRODUCTION + "".join(map(_format_flag_help, fields(Settings)))
 node.__signature__ = inspect.Signature(list(map(_make_parameter, fields(Settings))))
--- a/eelgrassmount/cmd/relay.py
+++ b/eelgrassmount/cmd/relay.py
@@ -17,7 +17,7 @@
 
 # objects before a collection of the youngest, middle and oldest generation: the
 # collector's pauses are latency, and calls leave few cycles behind
-COLLECTOR_THRESHOLDS = (50_000, 20, 50)
+GC_THRESHOLDS = (50_000, 20, 50)
 
 
 def run_relay() -> int:
@@ -27,7 +27,7 @@
     setup_logs("info", sys.stdout)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         anyio.run(
             _serve_and_exit,
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -23,7 +23,7 @@
 
 ID_BITS = 64
 INCARNATION_BYTES = 8
-TIMER_GRID_S = 0.1
+TIMER_RESOLUTION_S = 0.1
 
 
 @define(eq=False)
@@ -49,7 +49,7 @@
     rng = random.Random(secrets.randbits(ID_BITS))
     metrics = make_metrics()
     timers = TimerService(
-        MonotonicClock(), rng, metrics.internal_errors.inc, TIMER_GRID_S
+        MonotonicClock(), rng, metrics.internal_errors.inc, TIMER_RESOLUTION_S
     )
     identity = Identity(
         address=str(settings.advertise_address),
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -20,8 +20,8 @@
 if TYPE_CHECKING:
     pass
 
-JOIN_LIMIT_S = 3.0
-JOIN_POLL_S = 0.05
+JOIN_TIMEOUT_S = 3.0
+JOIN_POLL_INTERVAL_S = 0.05
 
 
 async def listen_to_peers(node: Node) -> None:
@@ -31,7 +31,7 @@
         base.timers,
         node.path.table,
         node.path.local,
-        node.keys.handle_own,
+        node.keys.handle_forwarded,
         node.path.in_flight,
         base.metrics,
     )
@@ -58,7 +58,7 @@
     add_routes(
         admin,
         base.board,
-        node.path.gate,
+        node.path.server_dispatcher,
         node.path.table.count_running,
         node.follower,
         base.metrics,
@@ -89,14 +89,14 @@
     A node that knows no configuration or nobody else after a while may be the
     only one, and takes them all the same.
     """
-    with anyio.move_on_after(JOIN_LIMIT_S):
+    with anyio.move_on_after(JOIN_TIMEOUT_S):
         while not _has_joined(board):
-            await anyio.sleep(JOIN_POLL_S)
+            await anyio.sleep(JOIN_POLL_INTERVAL_S)
 
 
 def _has_joined(board: Blackboard) -> bool:
     domains = board.configuration.document.failure_domains
-    knows_near = len(board.members.members) > 1
-    knows_far = len(domains) < 2 or bool(board.members.summaries)
+    has_local_peers = len(board.members.members) > 1
+    has_remote_peers = len(domains) < 2 or bool(board.members.summaries)
     configured = board.configuration.version > 0 and board.log_reachable
-    return configured and knows_near and knows_far
+    return configured and has_local_peers and has_remote_peers
--- a/eelgrassmount/compose/main.py
+++ b/eelgrassmount/compose/main.py
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from eelgrassmount.settings import Settings
 
-EXPIRE_PERIOD_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 # objects before a collection of the youngest, middle and oldest generation
-COLLECTOR_THRESHOLDS = (20_000, 20, 50)
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def run_node(settings: Settings) -> None:
@@ -34,7 +34,7 @@
     """Keep the garbage collector from pausing calls for what lives for good."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 async def serve_node(settings: Settings) -> None:
@@ -81,7 +81,7 @@
     node.shutdown.start(base.tasks)
     # calls of other nodes are taken from here on, before the callers' listener
     base.tasks.start_soon(_wait_for_signal, node)
-    base.timers.subscribe(EXPIRE_PERIOD_S, lambda: _expire(node))
+    base.timers.subscribe(EXPIRY_INTERVAL_S, lambda: _expire(node))
     base.tasks.start_soon(base.timers.run)
     await listen_to_http(node)
     logger.info(
@@ -100,9 +100,9 @@
 def _update_gauges(node: Node) -> None:
     metrics = node.base.metrics
     metrics.config_version.set(node.base.board.configuration.version)
-    metrics.in_flight.set(node.path.gate.in_flight)
-    metrics.queued.set(len(node.path.gate.queue))
-    metrics.limit.set(node.path.gate.limiter.limit)
+    metrics.in_flight.set(node.path.server_dispatcher.in_flight)
+    metrics.queued.set(len(node.path.server_dispatcher.queue))
+    metrics.limit.set(node.path.server_dispatcher.limiter.limit)
     metrics.quarantined.set(node.path.quarantine.count_refused())
     states = Counter(one.state for one in node.base.board.members.members.values())
     for state in MemberState:
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -46,7 +46,7 @@
     base = build_base(settings, group)
     membership = _build_membership(base)
     path = build_path(base, membership.announce_change)
-    membership.describe_load = path.gate.describe
+    membership.describe_load = path.server_dispatcher.describe
     follower = ConfigFollower(
         base.board, base.timers, base.peers, base.log, base.rng, _name_seeds(settings)
     )
@@ -151,7 +151,7 @@
     def observe_versions(address: str, gossip: Gossip) -> None:
         follower.hear_version(address, gossip.config_version or 0)
         if address in base.board.members.members:
-            keys.hear_version((gossip.slot_versions or {}).get(ALL_SLOTS, 0), address)
+            keys.handle_version((gossip.slot_versions or {}).get(ALL_SLOTS, 0), address)
 
     membership.fillers += [fill_versions, path.quarantine.fill]
     membership.observers += [observe_versions, path.quarantine.observe]
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -31,7 +31,7 @@
     """The parts that a call passes through."""
 
     table: CallTable
-    gate: LimitedDispatcher
+    server_dispatcher: LimitedDispatcher
     control: LoadControl
     quarantine: QuarantineExchange
     announcements: Announcements
@@ -42,23 +42,23 @@
     in_flight: InFlight
 
 
-def build_path(base: Base, note_change: Callable[[], None]) -> Path:
+def build_path(base: Base, handle_change: Callable[[], None]) -> Path:
     """Return the parts of the path, wired but not started."""
     table = CallTable()
-    gate = LimitedDispatcher(base.board, base.timers)
+    server_dispatcher = LimitedDispatcher(base.board, base.timers)
     control = LoadControl(base.board, base.timers)
     quarantine = QuarantineExchange(
         base.board, base.timers.clock, base.peers, Quarantine(), base.tasks
     )
     client = ServerClient(base.timers.clock, base.metrics, base.settings.max_body_bytes)
     announcements = Announcements(
-        base.board, base.timers, note_change, table.count_running
+        base.board, base.timers, handle_change, table.count_running
     )
     local = LocalRunner(
         base.board,
         base.timers,
         table,
-        gate,
+        server_dispatcher,
         client,
         quarantine,
         control.exchange,
@@ -90,7 +90,7 @@
     )
     return Path(
         table=table,
-        gate=gate,
+        server_dispatcher=server_dispatcher,
         control=control,
         quarantine=quarantine,
         announcements=announcements,
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -47,7 +47,7 @@
 INCARNATION_BYTES = 6
 # divides the periods of a node's timers: what is due at nearly the same time is done on
 # one wake-up, which saves processor time
-TIMER_GRID_S = 0.05
+TIMER_RESOLUTION_S = 0.05
 
 
 def build_relay(settings: RelaySettings) -> RelayNode:
@@ -66,7 +66,7 @@
     )
     members = MemberTable()
     graph = CallGraph()
-    beliefs = SharedState(
+    state = SharedState(
         settings.name,
         incarnation,
         str(settings.peer_address),
@@ -77,24 +77,24 @@
         clock,
         rng,
     )
-    lineage = CallAttributor(
-        clock, graph.may_call, graph.count_runs, rng, beliefs.completed
+    call_attributor = CallAttributor(
+        clock, graph.may_call, graph.count_runs, rng, state.completed
     )
 
     learned_jobs: set[Job] = set()
 
-    def note_begin(job: Job) -> None:
+    def handle_run_start(job: Job) -> None:
         # with keys, calls are counted by their runs
-        if not beliefs.identifies_clients():
+        if not state.identifies_clients():
             learned_jobs.add(job)
-            beliefs.learner.start_run(job.call.route.name)
-        lineage.start_run(job, job.call, job.timeout_s)
+            state.learner.start_run(job.call.route.name)
+        call_attributor.start_run(job, job.call, job.timeout_s)
 
-    def note_end(job: Job, well: bool) -> None:
+    def handle_run_end(job: Job, succeeded: bool) -> None:
         if job in learned_jobs:
             learned_jobs.remove(job)
-            beliefs.learner.finish_run(job.call.route.name)
-        lineage.finish_run(job, well)
+            state.learner.finish_run(job.call.route.name)
+        call_attributor.finish_run(job, succeeded)
 
     pool = BackendPool(
         clock,
@@ -116,13 +116,13 @@
             rng,
         ),
         is_leaf=lambda name: not graph.calls_per_run.get(name),
-        find_time_allowance=beliefs.find_allowance,
-        find_call_timeout=beliefs.find_call_limit,
-        on_run_start=note_begin,
-        on_run_end=note_end,
-        has_lost_call=lineage.has_lost_call,
-        claim_loss=lineage.claim_loss,
-        on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
+        find_time_allowance=state.find_allowance,
+        find_call_timeout=state.find_call_limit,
+        on_run_start=handle_run_start,
+        on_run_end=handle_run_end,
+        has_lost_call=call_attributor.has_lost_call,
+        claim_loss=call_attributor.claim_loss,
+        on_crash=lambda ended, jobs: peer_updates.handle_crash(ended, jobs),
         on_change=lambda: controllers.report_now(),
         call_later=call_later,
     )
@@ -130,21 +130,21 @@
         incarnation,
         dispatcher,
         clock,
-        beliefs.find_route,
-        beliefs.make_hello,
-        lambda hello: news.register_caller(hello),
-        lambda kind, struct, send: news.handle_frame(kind, struct, send),
+        state.find_route,
+        state.make_hello,
+        lambda hello: peer_updates.register_caller(hello),
+        lambda kind, struct, send: peer_updates.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
-        beliefs,
+        state,
         NODES_TOPIC,
         [],
         lambda member: links.open_link(member),
-        lambda records: node.take_nodes(records),
-        lambda: make_tally(beliefs, admission.request_rates),
+        lambda records: node.apply_node_records(records),
+        lambda: make_tally(state, admission.request_rates),
     )
-    news = PeerUpdates(
-        beliefs,
+    peer_updates = PeerUpdates(
+        state,
         quarantine,
         lambda document: node.apply_document(document),
         inbound.broadcast,
@@ -152,7 +152,7 @@
         lambda kind, struct, send: quotas.take_frame(kind, struct, send),
     )
     quotas = QuotaExchange(
-        beliefs,
+        state,
         readers,
         settings.find_quota_bounds(),
         lambda member: links.open_link(member),
@@ -160,29 +160,29 @@
     )
     admission = Admission(
         graph,
-        beliefs.get_admitted_fraction,
-        lambda: beliefs.cluster_counts.offered,
-        lambda name: name in beliefs.client_routes,
+        state.get_admitted_fraction,
+        lambda: state.cluster_counts.offered,
+        lambda name: name in state.client_routes,
         rng,
     )
     events = LinkHandlers(
-        beliefs.make_hello,
-        news.handle_hello,
-        news.handle_report,
-        news.handle_frame,
+        state.make_hello,
+        peer_updates.handle_hello,
+        peer_updates.handle_report,
+        peer_updates.handle_frame,
     )
-    links = LinkManager(beliefs, events)
+    links = LinkManager(state, events)
     controllers = Controllers(
-        beliefs,
+        state,
         dispatcher,
         inbound,
-        AdmittedFractions(beliefs).update,
+        AdmittedFractions(state).update,
         admission.update,
     )
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
-        Router(members, settings.failure_domain, clock, rng, beliefs.find_allowance),
+        Router(members, settings.failure_domain, clock, rng, state.find_allowance),
         dispatcher,
         admission,
         decisions,
@@ -198,7 +198,7 @@
         metrics,
         clock,
         rng,
-        lineage,
+        call_attributor,
         quotas.taker.give_back,
     )
     sender.answers = answers
@@ -211,29 +211,29 @@
         clock,
         rng,
         graph.is_called_by_servers,
-        lambda name: name in beliefs.client_routes,
-        beliefs.record_call,
-        beliefs.record_client_request,
-        lineage,
+        lambda name: name in state.client_routes,
+        state.record_call,
+        state.record_client_request,
+        call_attributor,
         readers.is_current,
         quotas.taker,
     )
-    learned = LearnedCalls(beliefs, readers.ranking.count_readers)
+    learned = LearnedCalls(state, readers.ranking.count_readers)
     readers.eras.on_rise.append(learned.forget_kept)
     node = RelayNode(
         settings,
-        beliefs,
+        state,
         dispatcher,
         inbound,
         ingress,
         admission,
         controllers,
         links,
-        news,
+        peer_updates,
         decisions,
         metrics,
         StoreClient(settings.log_address, readers.eras),
-        TimerService(MonotonicClock(), rng, grid_s=TIMER_GRID_S),
+        TimerService(MonotonicClock(), rng, grid_s=TIMER_RESOLUTION_S),
         HttpListener(ingress.handle, clock),
         learned,
         readers,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -45,8 +45,8 @@
     from eelgrassmount.topics.store import StoredRecord
 
 STATE_PATH = "/state"
-JSON_TYPE = b"content-type: application/json\r\n"
-METRICS_TYPE = b"content-type: text/plain; version=0.0.4\r\n"
+JSON_CONTENT_TYPE = b"content-type: application/json\r\n"
+METRICS_CONTENT_TYPE = b"content-type: text/plain; version=0.0.4\r\n"
 
 
 @define(eq=False)
@@ -54,14 +54,14 @@
     """All parts of a node beside its backend server."""
 
     settings: RelaySettings
-    beliefs: SharedState
+    state: SharedState
     dispatcher: Dispatcher
     inbound: InboundLinks
     ingress: Ingress
     admission: Admission
     controllers: Controllers
     links: LinkManager
-    news: PeerUpdates
+    peer_updates: PeerUpdates
     decisions: DecisionLog
     metrics: RelayMetrics
     store: StoreClient
@@ -72,9 +72,9 @@
     quotas: QuotaExchange
     rng: random.Random
     refused: RejectedMessages
-    look_at_settings: Callable[[], None] = lambda: None
+    check_settings: Callable[[], None] = lambda: None
     listeners: list[HttpListener] = field(factory=list)
-    found_nodes: bool = False
+    has_node_records: bool = False
 
     @property
     def followers(self) -> list[TopicFollower]:
@@ -87,10 +87,10 @@
             listener.end()
         self.inbound.end()
         self.dispatcher.pool.close_idle_connections()
-        for member in list(self.beliefs.members.by_name.values()):
+        for member in list(self.state.members.by_name.values()):
             if member.link is not None:
                 member.link.close()
-        for link in self.beliefs.members.list_retired():
+        for link in self.state.members.list_retired():
             link.close()
         self.store.end()
 
@@ -133,55 +133,55 @@
             kind = MessageKind.CONFIGURATION
             self.refused.record(kind, "", error.part, str(error))
             return
-        beliefs = self.beliefs
-        if table.version <= beliefs.table.version:
+        state = self.state
+        if table.version <= state.table.version:
             return
         logger.info(
             "configuration in force",
             version=table.version,
-            before=beliefs.table.version,
+            before=state.table.version,
             routes=table.count_routes(),
         )
-        if beliefs.server.incarnation is None:
+        if state.server.incarnation is None:
             self._identify_server(table)
-        beliefs.table = table
-        beliefs.table_since_s = beliefs.clock()
-        beliefs.document = document
-        beliefs.graph.forget_routes()
+        state.table = table
+        state.table_since_s = state.clock()
+        state.document = document
+        state.graph.forget_routes()
         self.ingress.table = table
         self.callers.limits = table.limits
         self.readers.publish()
 
     def _identify_server(self, table: RouteTable) -> None:
-        service = table.services.get(self.beliefs.server.service)
+        service = table.services.get(self.state.server.service)
         if service is not None:
             self.dispatcher.identify(service.health_path)
 
-    def take_configuration(self, records: tuple[StoredRecord, ...]) -> None:
+    def apply_configuration_records(self, records: tuple[StoredRecord, ...]) -> None:
         """Take up records of the operator's topic."""
         for record in records:
             if record.key == CONFIGURATION_KEY and record.value:
                 self.apply_document(record.value)
 
-    def take_nodes(self, records: tuple[StoredRecord, ...]) -> None:
+    def apply_node_records(self, records: tuple[StoredRecord, ...]) -> None:
         """Take up records of nodes, and of what all have learned."""
         for record in records:
             kind = MessageKind.NODE
             if record.key == LEARNED_KEY:
                 kind = MessageKind.LEARNED
             try:
-                self._take_record(record)
+                self._apply_record(record)
             except BadFrameError as error:
                 # the others still hold
                 self.refused.record(kind, record.key, "bad record", error.detail)
-        self.found_nodes = True
+        self.has_node_records = True
 
-    def note_unreadable(self, topic: str, count: int) -> None:
+    def count_unreadable_records(self, topic: str, count: int) -> None:
         """Count records of a topic whose bytes could not be read."""
         cause = "no key or value that can be read"
         self.refused.record(MessageKind.RECORD, topic, cause, cause, count)
 
-    def _take_record(self, record: StoredRecord) -> None:
+    def _apply_record(self, record: StoredRecord) -> None:
         if record.key == LEARNED_KEY:
             if record.value:
                 self.learned.take(record.value)
@@ -189,12 +189,12 @@
             # nobody else knows better what this node is
             return
         elif record.value:
-            self._put_node(record)
+            self._register_node(record)
         else:
-            self.beliefs.members.remove(record.key)
+            self.state.members.remove(record.key)
 
-    def _put_node(self, record: StoredRecord) -> None:
-        members = self.beliefs.members
+    def _register_node(self, record: StoredRecord) -> None:
+        members = self.state.members
         found = decode_struct(ttypes.NodeRecord, record.value)
         if found.node_name != record.key:
             raise BadFrameError(f"node {found.node_name!r} under another key")
@@ -209,42 +209,42 @@
 
     def is_ready(self) -> bool:
         """Tell whether clients may send requests here."""
-        beliefs = self.beliefs
-        found = self.found_nodes or len(beliefs.members.by_name) > 1
-        return beliefs.table.version > 0 and found and not beliefs.stopping
+        state = self.state
+        found = self.has_node_records or len(state.members.by_name) > 1
+        return state.table.version > 0 and found and not state.stopping
 
-    def answer_ready(self, exchange: Exchange) -> None:
+    def handle_readiness_request(self, exchange: Exchange) -> None:
         """Answer the platform's question whether this node is ready."""
         exchange.respond(200 if self.is_ready() else 503)
 
-    def answer_metrics(self, exchange: Exchange) -> None:
+    def handle_metrics_request(self, exchange: Exchange) -> None:
         """Answer with all metrics as text, or with the state of the node as JSON."""
         if exchange.target == STATE_PATH:
             # only people ask for it, and most nodes are never asked
             from eelgrassmount.relay.status import collect_status
 
             state = json.dumps(asdict(collect_status(self))).encode()
-            exchange.respond(200, JSON_TYPE, state)
+            exchange.respond(200, JSON_CONTENT_TYPE, state)
             return
         self.update_gauges()
-        exchange.respond(200, METRICS_TYPE, self.metrics.render())
+        exchange.respond(200, METRICS_CONTENT_TYPE, self.metrics.render())
 
     def update_gauges(self) -> None:
         """Set the gauges to what the node believes now."""
         state = self.metrics.state
-        state.labels("configuration_version").set(self.beliefs.table.version)
+        state.labels("configuration_version").set(self.state.table.version)
         state.labels("in_flight").set(self.dispatcher.in_flight)
         state.labels("queued").set(self.dispatcher.queued)
-        state.labels("limit").set(self.beliefs.server.compute_concurrency_limit())
+        state.labels("limit").set(self.state.server.compute_concurrency_limit())
         state.labels("demand").set(self.dispatcher.measures.load.demand)
-        for service, control in self.beliefs.admission_controllers.items():
+        for service, control in self.state.admission_controllers.items():
             self.metrics.levels.labels(service).set(control.admitted_fraction)
-        state.labels("members").set(len(self.beliefs.members.by_name))
+        state.labels("members").set(len(self.state.members.by_name))
         state.labels("reads_log").set(self.readers.reading)
         state.labels("log_subscribers").set(len(self.readers.subscribers))
         state.labels("log_era").set(self.readers.eras.current)
         state.labels("log_next_offset").set(self.readers.book.next_offset)
-        state.labels("counted_nodes").set(self.beliefs.cluster_counts.nodes)
+        state.labels("counted_nodes").set(self.state.cluster_counts.nodes)
         state.labels("open_requests").set(self.ingress.answers.open_flows)
         state.labels("lines_left_out").set(self.decisions.failures.dropped)
 
@@ -253,14 +253,14 @@
 
         It is done from time to time: runs that had begun before end after it.
         """
-        beliefs = self.beliefs
-        beliefs.record_configured_routes()
-        beliefs.graph.keep_routes(beliefs.knows_route)
-        self.metrics.keep_routes(beliefs.knows_route)
-        self.ingress.answers.sender.router.keep_routes(beliefs.knows_route)
+        state = self.state
+        state.record_configured_routes()
+        state.graph.keep_routes(state.knows_route)
+        self.metrics.keep_routes(state.knows_route)
+        self.ingress.answers.sender.router.keep_routes(state.knows_route)
         # without a configuration, none is known to have left
-        if beliefs.table.version:
-            self.dispatcher.forget_routes(beliefs.table.routes)
+        if state.table.version:
+            self.dispatcher.forget_routes(state.table.routes)
 
     def count_open(self) -> int:
         """Return how many requests and calls have no answer yet."""
@@ -271,22 +271,22 @@
         service = self.settings.service
         if not heartbeat.leaving and heartbeat.service != service:
             # the settings may have changed a moment ago, and without a signal
-            self.look_at_settings()
-        address = str(self.beliefs.server.address)
+            self.check_settings()
+        address = str(self.state.server.address)
         check_server(heartbeat, self.settings.service, address)
 
-    def note_server_change(self) -> None:
+    def handle_server_change(self) -> None:
         """Act on news of the server beside this node, before it is acknowledged."""
         self.controllers.report_now()
-        own = self.beliefs.members.by_name.get(self.settings.name)
-        if own is not None and own.service != self.beliefs.server.service:
-            self.put_own()
+        own = self.state.members.by_name.get(self.settings.name)
+        if own is not None and own.service != self.state.server.service:
+            self.register_local_node()
 
-    def put_own(self) -> None:
+    def register_local_node(self) -> None:
         """Enter this node among the members."""
-        self.beliefs.members.put(
+        self.state.members.put(
             self.settings.name,
             str(self.settings.peer_address),
             self.settings.failure_domain,
-            self.beliefs.server.service,
+            self.state.server.service,
         )
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -47,12 +47,12 @@
 METRICS_PORT = 9464
 # an announcement has some hundred bytes, and other calls to these listeners none
 MAX_BODY_BYTES = 1024 * 1024
-LINK_PERIOD_S = 0.1
+LINK_CHECK_INTERVAL_S = 0.1
 # learned calls are taken up each so many intervals of counting
-VECTOR_STEPS = 4
+LEARNING_INTERVAL_STEPS = 4
 # a node that can't write its record tries again after so long, doubled each time
-RECORD_RETRY_S = 0.5
-RECORD_RETRY_LIMIT_S = 3.0
+MIN_RECORD_RETRY_DELAY_S = 0.5
+MAX_RECORD_RETRY_DELAY_S = 3.0
 
 
 async def serve_relay(path: str) -> None:
@@ -65,7 +65,7 @@
     logger.configure(extra={"node": settings.name})
     node = build_relay(settings)
     watch = SettingsWatch(path, load_settings, node.apply_settings)
-    node.look_at_settings = watch.check
+    node.check_settings = watch.check
     async with anyio.create_task_group() as group:
         ends = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*ends, signal.SIGHUP) as signals:
@@ -82,7 +82,7 @@
 async def stop_relay(node: RelayNode) -> None:
     """End a node in order: clients go first, then calls of other nodes."""
     stopping = Shutdown(
-        node.beliefs,
+        node.state,
         node.callers,
         node.inbound,
         node.settings.grace_s,
@@ -90,19 +90,19 @@
         node.count_open,
     )
     async with anyio.create_task_group() as group:
-        group.start_soon(_drop_own, node)
+        group.start_soon(_delete_local_record, node)
         await stopping.run()
         group.cancel_scope.cancel()
     node.decisions.report_dropped_lines()
     node.end()
 
 
-async def _drop_own(node: RelayNode) -> None:
+async def _delete_local_record(node: RelayNode) -> None:
     """Drop the record of a node whose server has left for good.
 
     The others would go on counting it, and keep its part of the quotas for it.
     """
-    if not node.beliefs.server.left:
+    if not node.state.server.left:
         return
     offset = await node.store.append(NODES_TOPIC, node.settings.name, b"")
     if isinstance(offset, StoreFailure):
@@ -114,16 +114,16 @@
 async def start_relay(node: RelayNode, group: TaskGroup) -> None:
     """Start all parts of a node, the listener for clients last."""
     settings = node.settings
-    node.put_own()
+    node.register_local_node()
     await _listen(node)
     subscribe_timers(node)
     group.start_soon(node.timers.run)
-    group.start_soon(_follow, node, CONFIGURATION_TOPIC)
-    group.start_soon(_join, node)
-    group.start_soon(_keep_records, node)
+    group.start_soon(_follow_topic, node, CONFIGURATION_TOPIC)
+    group.start_soon(_join_cluster, node)
+    group.start_soon(_maintain_records, node)
     logger.info(
         "node started",
-        incarnation=node.beliefs.incarnation,
+        incarnation=node.state.incarnation,
         service=settings.service,
         failure_domain=settings.failure_domain,
     )
@@ -131,20 +131,20 @@
 
 async def _listen(node: RelayNode) -> None:
     settings = node.settings
-    clock = node.beliefs.clock
+    clock = node.state.clock
     announcements = AnnouncementListener(
-        node.beliefs.server,
+        node.state.server,
         read_announcement,
         node.check_heartbeat,
-        node.note_server_change,
+        node.handle_server_change,
         node.refused,
     )
     metrics_address = Address(settings.peer_address.host, METRICS_PORT)
     await _bind(node.inbound, settings.peer_address)
     for handle, address in (
         (announcements.handle, settings.announce_address),
-        (node.answer_ready, settings.ready_address),
-        (node.answer_metrics, metrics_address),
+        (node.handle_readiness_request, settings.ready_address),
+        (node.handle_metrics_request, metrics_address),
     ):
         limits = ServerLimits(max_body_bytes=MAX_BODY_BYTES)
         listener = HttpListener(handle, clock, limits)
@@ -165,19 +165,19 @@
     """Let a node's parts do what they do from time to time."""
     timers = node.timers
     stalls = StallWatch(
-        LINK_PERIOD_S,
+        LINK_CHECK_INTERVAL_S,
         read_process_times,
         timers.slowest.take,
         node.metrics.stalls.inc,
     )
-    timers.subscribe(LINK_PERIOD_S, stalls.check)
-    timers.subscribe(LINK_PERIOD_S, node.links.maintain_links)
+    timers.subscribe(LINK_CHECK_INTERVAL_S, stalls.check)
+    timers.subscribe(LINK_CHECK_INTERVAL_S, node.links.maintain_links)
     timers.subscribe(CONTROL_INTERVAL_S, node.readers.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.quotas.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.controllers.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.dispatcher.sweep)
     timers.subscribe(
-        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
+        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.state)
     )
     timers.subscribe(REQUEST_COUNT_INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_PERIOD_S, node.callers.sweep)
@@ -186,7 +186,7 @@
     timers.subscribe(SWEEP_PERIOD_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_PERIOD_S, node.forget_routes)
     timers.subscribe(SWEEP_PERIOD_S, node.ingress.lineage.forget_answers)
-    timers.subscribe(SWEEP_PERIOD_S, node.beliefs.completed.decay)
+    timers.subscribe(SWEEP_PERIOD_S, node.state.completed.decay)
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
@@ -194,18 +194,20 @@
     steps = itertools.count(1)
 
     def step() -> None:
-        graph = node.beliefs.graph
-        if not graph.has_learned_calls() or next(steps) % VECTOR_STEPS == 0:
-            update_call_graph(node.beliefs)
+        graph = node.state.graph
+        if not graph.has_learned_calls() or next(steps) % LEARNING_INTERVAL_STEPS == 0:
+            update_call_graph(node.state)
 
     return step
 
 
-async def _follow(node: RelayNode, topic: str) -> None:
-    take = node.take_configuration
+async def _follow_topic(node: RelayNode, topic: str) -> None:
+    take = node.apply_configuration_records
     if topic == NODES_TOPIC:
-        take = node.take_nodes
-    follower = TopicFollower(node.store, topic, take, node.rng, node.note_unreadable)
+        take = node.apply_node_records
+    follower = TopicFollower(
+        node.store, topic, take, node.rng, node.count_unreadable_records
+    )
     if topic == NODES_TOPIC:
         follower.on_read = node.readers.note_read
         follower.next_offset = node.readers.book.next_offset or None
@@ -215,25 +217,25 @@
     await follower.run()
 
 
-async def _join(node: RelayNode) -> None:
+async def _join_cluster(node: RelayNode) -> None:
     """Write this node's record unless it stands there, then follow the others.
 
     Without the log, a node goes by what those say that open links to it, and its record
     may be known to them.
     """
-    own = make_own_record(node)
-    backoff = Backoff(node.rng, RECORD_RETRY_S, RECORD_RETRY_LIMIT_S)
-    while not await _put_record(node, own):
+    own = make_local_record(node)
+    backoff = Backoff(node.rng, MIN_RECORD_RETRY_DELAY_S, MAX_RECORD_RETRY_DELAY_S)
+    while not await _ensure_local_record(node, own):
         node.readers.begin()
         await anyio.sleep(backoff.fail())
         # a copy under another key would not lead anybody here
         if node.readers.book.find(own.key) == own:
             break
     node.readers.begin()
-    await _follow(node, NODES_TOPIC)
+    await _follow_topic(node, NODES_TOPIC)
 
 
-def make_own_record(node: RelayNode) -> StoredRecord:
+def make_local_record(node: RelayNode) -> StoredRecord:
     """Return the record by which other nodes find this one."""
     settings = node.settings
     record = ttypes.NodeRecord(
@@ -245,7 +247,7 @@
     return StoredRecord(settings.name, encode_struct(record))
 
 
-async def _put_record(node: RelayNode, own: StoredRecord) -> bool:
+async def _ensure_local_record(node: RelayNode, own: StoredRecord) -> bool:
     """Read the records of all nodes, and append this node's unless it stands there.
 
     Return whether it does now.
@@ -254,7 +256,7 @@
     snapshot = await node.store.read_newest(NODES_TOPIC)
     if isinstance(snapshot, StoreFailure):
         return False
-    node.take_nodes(snapshot.records)
+    node.apply_node_records(snapshot.records)
     book.take(snapshot.records, snapshot.end)
     if book.find(own.key) == own:
         return True
@@ -265,24 +267,24 @@
     return True
 
 
-async def _keep_records(node: RelayNode) -> None:
+async def _maintain_records(node: RelayNode) -> None:
     """Write what has to stand on the log, again if it is gone."""
-    beliefs = node.beliefs
+    state = node.state
     own = OwnRecord(
-        make_own_record(node),
+        make_local_record(node),
         node.readers.book,
-        lambda: len(beliefs.members.by_name),
-        beliefs.clock,
+        lambda: len(state.members.by_name),
+        state.clock,
         node.rng,
     )
     while True:
         await anyio.sleep(PERIOD_S)
-        await _keep_learned(node)
-        if node.readers.begun and not beliefs.stopping and own.is_due():
-            await _write_own(node, own.record)
+        await _write_learned_calls(node)
+        if node.readers.begun and not state.stopping and own.is_due():
+            await _write_local_record(node, own.record)
 
 
-async def _write_own(node: RelayNode, record: StoredRecord) -> None:
+async def _write_local_record(node: RelayNode, record: StoredRecord) -> None:
     offset = await node.store.append(NODES_TOPIC, record.key, record.value)
     if isinstance(offset, StoreFailure):
         logger.warning("own record not written", kind=offset.kind)
@@ -291,7 +293,7 @@
     node.readers.book.put(evolve(record, offset=offset))
 
 
-async def _keep_learned(node: RelayNode) -> None:
+async def _write_learned_calls(node: RelayNode) -> None:
     """Write what all nodes have learned when it has changed for good."""
     value = node.learned.find_record() if node.readers.is_reader else None
     if value is None:
--- a/eelgrassmount/keys/entry_codec.py
+++ b/eelgrassmount/keys/entry_codec.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-COPIES_AT_ONCE = 100
-_BATCH_BYTES = 256 * 1024
+MAX_BATCH_ENTRIES = 100
+_MAX_BATCH_BYTES = 256 * 1024
 
 
 def encode_entry(entry: Entry, now_s: float) -> KeyMark:
@@ -51,7 +51,9 @@
     size = 0
     for mark in marks:
         body = mark.outcome.body if mark.outcome and mark.outcome.body else b""
-        if batch and (len(batch) >= COPIES_AT_ONCE or size + len(body) > _BATCH_BYTES):
+        if batch and (
+            len(batch) >= MAX_BATCH_ENTRIES or size + len(body) > _MAX_BATCH_BYTES
+        ):
             yield batch
             batch = []
             size = 0
--- a/eelgrassmount/keys/follower.py
+++ b/eelgrassmount/keys/follower.py
@@ -17,7 +17,7 @@
     SlotView,
 )
 from eelgrassmount.keys.placement import NO_NODE, SLOT_COUNT, NodeId
-from eelgrassmount.keys.planning import SlotStanding, plan_proposals
+from eelgrassmount.keys.planning import SlotStatus, plan_proposals
 from eelgrassmount.keys.views import (
     Proposal,
     View,
@@ -38,13 +38,13 @@
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.planning import Roster
 
-PAGE_LIMIT = 200
-POLL_WAIT_S = 2.0
-ASK_TIMEOUT_S = 0.5
-TICK_S = 0.5
-LISTEN_S = 5.0
-LISTEN_SHARE_S = 0.1
-FIRST_BACKOFF_S = 0.5
+MAX_PAGE_RECORDS = 200
+LONG_POLL_TIMEOUT_S = 2.0
+PEER_TIMEOUT_S = 0.5
+TICK_INTERVAL_S = 0.5
+MIN_REFRESH_INTERVAL_S = 5.0
+REFRESH_INTERVAL_PER_MEMBER_S = 0.1
+MIN_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 10.0
 
 
@@ -56,11 +56,11 @@
     fold: ViewFold = field(factory=ViewFold)
     caught_up: bool = False
     _written_s: dict[int, float] = field(factory=dict)
-    _idle_basis: tuple[Roster, list[SlotStanding]] | None = None
+    _idle_inputs: tuple[Roster, list[SlotStatus]] | None = None
     _proposing: bool = False
-    _backoff_s: float = FIRST_BACKOFF_S
+    _backoff_s: float = MIN_BACKOFF_S
     _retry_s: float = -math.inf
-    _listened_s: float = -math.inf
+    _refreshed_s: float = -math.inf
 
     @property
     def stream(self) -> str:
@@ -70,19 +70,19 @@
     async def catch_up(self, wait_s: float = 0.0) -> bool:
         """Read the stream to its end; tell whether the log answered."""
         while True:
-            asked_s = self.core.timers.read()
+            requested_s = self.core.timers.read()
             page = await self.core.log.read(
-                self.stream, self.fold.next, PAGE_LIMIT, wait_s
+                self.stream, self.fold.next, MAX_PAGE_RECORDS, wait_s
             )
             if isinstance(page, LogFailure):
                 self.core.count("view-read-failed")
                 return False
-            self._take_page(page)
+            self._apply_page(page)
             if self.fold.next >= page.next:
-                self._reach_end(asked_s)
+                self._handle_stream_end(requested_s)
                 return True
 
-    def _take_page(self, page: object) -> None:
+    def _apply_page(self, page: object) -> None:
         now_s = self.core.timers.read()
         before = dict(self.fold.written)
         self.core.adopt(fold_page(self.fold, page))
@@ -90,20 +90,20 @@
             if before.get(slot) != offset:
                 self._written_s[slot] = now_s
 
-    def _reach_end(self, asked_s: float) -> None:
+    def _handle_stream_end(self, requested_s: float) -> None:
         self.caught_up = True
-        self.core.confirm_views(asked_s)
-        self.core.lone_s = max(self.core.lone_s, asked_s)
+        self.core.confirm_views(requested_s)
+        self.core.log_confirmed_s = max(self.core.log_confirmed_s, requested_s)
 
-    async def ask_peer(self, address: str) -> bool:
+    async def fetch_views(self, address: str) -> bool:
         """Take over the views that another node of the failure domain knows."""
-        asked_s = self.core.timers.read()
+        requested_s = self.core.timers.read()
         domain = self.core.board.identity.failure_domain
-        digest = compute_digest(holder.view for holder in self.core.holders)
+        digest = compute_digest(slot_state.view for slot_state in self.core.slot_states)
         question = Message(
             slot_question=SlotQuestion(failure_domain=domain, digest=digest)
         )
-        reply = await self.core.peers.ask(address, question, ASK_TIMEOUT_S)
+        reply = await self.core.peers.ask(address, question, PEER_TIMEOUT_S)
         if isinstance(reply, PeerFailure) or reply.slot_answer is None:
             return False
         views = reply.slot_answer.views
@@ -111,26 +111,32 @@
         if reply.slot_answer.failure_domain != domain or not (views or same):
             return False
         self.core.adopt([decode_view(view) for view in views or () if _is_valid(view)])
-        self.core.confirm_views(asked_s)
+        self.core.confirm_views(requested_s)
         return True
 
     async def refresh(self) -> bool:
         """Hear of the present views, from the log or else from a reader of it."""
         readers = self.core.read_roster().readers
-        reads = self.core.me in readers
+        reads = self.core.node_id in readers
         if reads and await self.catch_up():
             return True
         for reader in self.core.rng.sample(readers, len(readers)):
-            if reader != self.core.me and await self.ask_peer(reader.address):
+            if reader != self.core.node_id and await self.fetch_views(reader.address):
                 return True
         return not reads and await self.catch_up()
 
-    async def answer(self, sender: Hello, message: Message) -> Message | None:
+    async def answer_view_request(
+        self, sender: Hello, message: Message
+    ) -> Message | None:
         """Answer a question for the views; a stalled node knows none."""
         domain = self.core.board.identity.failure_domain
         views = []
         if not self.core.is_stalled():
-            views = [holder.view for holder in self.core.holders if holder.view.version]
+            views = [
+                slot_state.view
+                for slot_state in self.core.slot_states
+                if slot_state.view.version
+            ]
         same = bool(views) and message.slot_question.digest == compute_digest(views)
         answer = SlotAnswer(
             failure_domain=domain,
@@ -139,32 +145,34 @@
         )
         return Message(slot_answer=answer)
 
-    async def tail(self) -> None:
+    async def follow_stream(self) -> None:
         """Follow the stream while this node is one of its readers."""
         await self.refresh()
         while True:
-            if self.core.me in self.core.read_roster().readers:
-                ok = await self.catch_up(POLL_WAIT_S)
-                await anyio.sleep(0.0 if ok else FIRST_BACKOFF_S)
+            if self.core.node_id in self.core.read_roster().readers:
+                ok = await self.catch_up(LONG_POLL_TIMEOUT_S)
+                await anyio.sleep(0.0 if ok else MIN_BACKOFF_S)
             else:
-                await anyio.sleep(TICK_S)
-                await self._listen()
+                await anyio.sleep(TICK_INTERVAL_S)
+                await self._refresh_if_due()
 
-    async def _listen(self) -> None:
+    async def _refresh_if_due(self) -> None:
         now_s = self.core.timers.read()
         # however many members ask, the readers answer equally often
         members = len(self.core.read_roster().known)
-        interval_s = max(LISTEN_S, LISTEN_SHARE_S * members)
+        interval_s = max(
+            MIN_REFRESH_INTERVAL_S, REFRESH_INTERVAL_PER_MEMBER_S * members
+        )
         interval_s *= self.core.rng.uniform(0.8, 1.2)
         stalled = self.core.is_stalled()
-        if stalled or now_s - self._listened_s >= interval_s:
-            self._listened_s = now_s
+        if stalled or now_s - self._refreshed_s >= interval_s:
+            self._refreshed_s = now_s
             await self.refresh()
 
-    async def steward(self) -> None:
+    async def propose_periodically(self) -> None:
         """Propose views where this node should, for as long as it runs."""
         while True:
-            await anyio.sleep(TICK_S * self.core.rng.uniform(0.8, 1.2))
+            await anyio.sleep(TICK_INTERVAL_S * self.core.rng.uniform(0.8, 1.2))
             await self.propose_due()
 
     async def propose_due(self) -> None:
@@ -193,19 +201,21 @@
         if self.core.is_stalled():
             return []
         now_s = self.core.timers.read()
-        standings = [
-            SlotStanding(
-                holder.view, holder.synced, holder.is_waiting(self.core.me, now_s)
+        statuses = [
+            SlotStatus(
+                slot_state.view,
+                slot_state.synced,
+                slot_state.is_waiting(self.core.node_id, now_s),
             )
-            for holder in self.core.holders
+            for slot_state in self.core.slot_states
         ]
         # most of the time nothing has changed and nothing is due
-        basis = (roster, standings)
-        if basis == self._idle_basis:
+        inputs = (roster, statuses)
+        if inputs == self._idle_inputs:
             return self._plan_rewrites(roster, now_s)
         from_start = self.caught_up and self.fold.first == 0
-        proposals = plan_proposals(standings, roster, from_start)
-        self._idle_basis = None if proposals else basis
+        proposals = plan_proposals(statuses, roster, from_start)
+        self._idle_inputs = None if proposals else inputs
         return proposals or self._plan_rewrites(roster, now_s)
 
     def _plan_rewrites(self, roster: Roster, now_s: float) -> list[Proposal]:
@@ -223,29 +233,29 @@
         self.core.count("view-proposed")
         result = await self.core.log.append(self.stream, encode_proposals(proposals))
         if isinstance(result, Appended):
-            self._backoff_s = FIRST_BACKOFF_S
+            self._backoff_s = MIN_BACKOFF_S
             await self.catch_up()
-            self._tell_holders(proposals)
+            self._notify_holders(proposals)
             return
         # the record may stand or may still come: it names its base, so writing
         # it a second time can't set a view twice
         self._back_off()
         await self.catch_up()
 
-    def _tell_holders(self, proposals: list[Proposal]) -> None:
+    def _notify_holders(self, proposals: list[Proposal]) -> None:
         """Let new holders know at once: a question of a later version does so."""
-        told = {self.core.me, NO_NODE}
+        notified = {self.core.node_id, NO_NODE}
         for proposal in proposals:
-            view = self.core.holders[proposal.slot].view
+            view = self.core.slot_states[proposal.slot].view
             for node in (view.primary, view.backup):
-                if node not in told:
-                    told.add(node)
-                    self.core.tasks.start_soon(self._tell, node, view)
+                if node not in notified:
+                    notified.add(node)
+                    self.core.tasks.start_soon(self._notify, node, view)
 
-    async def _tell(self, node: NodeId, view: View) -> None:
+    async def _notify(self, node: NodeId, view: View) -> None:
         question = MarkQuestion(slot=view.slot, version=view.version, marks=[])
         message = Message(mark_question=question)
-        await self.core.peers.ask(node.address, message, ASK_TIMEOUT_S)
+        await self.core.peers.ask(node.address, message, PEER_TIMEOUT_S)
 
     def _back_off(self) -> None:
         now_s = self.core.timers.read()
--- a/eelgrassmount/keys/minted.py
+++ b/eelgrassmount/keys/minted.py
@@ -11,11 +11,11 @@
 from eelgrassmount.errors import BadFrameError
 from eelgrassmount.gen.ttypes import MarkAnswer, Message, SlotTransfer
 from eelgrassmount.keys.entry_codec import decode_entry, encode_entry, split_batches
-from eelgrassmount.keys.owner import repeat_entry, run_guarded, wait_ticket
-from eelgrassmount.keys.placement import choose_heirs
-from eelgrassmount.keys.slot_state import Ledger, has_runs
-from eelgrassmount.keys.syntax import check_identity, compute_seal, format_minted
-from eelgrassmount.keys.table import Entry, KeyTable, Stage, take_copy
+from eelgrassmount.keys.owner import get_or_await_outcome, run_guarded, wait_for_outcome
+from eelgrassmount.keys.placement import choose_successors
+from eelgrassmount.keys.slot_state import KeyStore, has_local_runs
+from eelgrassmount.keys.syntax import check_identity, compute_mac, format_minted
+from eelgrassmount.keys.table import Entry, KeyTable, Stage, apply_copy
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason
 
@@ -26,31 +26,31 @@
     from eelgrassmount.keys.syntax import MintedKey
 
 MINTED_SLOT = -1
-CHECKPOINTS = 16
+CHECKPOINTS_PER_WINDOW = 16
 TRANSFER_TIMEOUT_S = 2.0
 _SECRET_BYTES = 16
 
 
 @frozen
 class Checkpoint:
-    """The numbers below ``number`` had been minted at ``taken_s``."""
+    """The numbers below ``number`` had been minted at ``recorded_s``."""
 
-    taken_s: float
+    recorded_s: float
     number: int
 
 
 @define
-class Inheritance:
+class ReceivedHandover:
     """What an incarnation that has left for good handed over.
 
     A number from ``horizon`` on without an entry was never run, and never
-    will be, once ``whole`` is set.
+    will be, once ``complete`` is set.
     """
 
-    ledger: Ledger
+    key_store: KeyStore
     horizon: int
-    taken_s: float
-    whole: bool = False
+    recorded_s: float
+    complete: bool = False
 
 
 @define
@@ -58,9 +58,9 @@
     """Mints keys, runs their calls and answers for those who have left."""
 
     core: Core
-    ledger: Ledger = field(init=False)
-    inherited: dict[str, Inheritance] = field(factory=dict)
-    sealed: bool = False
+    key_store: KeyStore = field(init=False)
+    handovers: dict[str, ReceivedHandover] = field(factory=dict)
+    closed: bool = False
     _secret: bytes = field(init=False, repr=False)
     _next: int = 0
     _checkpoints: deque[Checkpoint] = field(factory=deque)
@@ -68,22 +68,22 @@
     def __attrs_post_init__(self) -> None:
         """Choose the secret of this incarnation."""
         check_identity(self.core.board.identity)
-        self.ledger = Ledger(KeyTable(self.core.budget))
+        self.key_store = KeyStore(KeyTable(self.core.budget))
         self._secret = self.core.rng.randbytes(_SECRET_BYTES)
 
     def mint(self) -> str:
         """Return a new key, empty once this node answers for no new ones."""
-        if self.sealed or self.core.leaving:
+        if self.closed or self.core.leaving:
             return ""
         number = self._next
         self._next += 1
         return format_minted(self.core.board.identity, number, self._secret)
 
-    def note_checkpoint(self) -> None:
+    def record_checkpoint(self) -> None:
         """Note which numbers are minted by now."""
         now_s = self.core.timers.read()
-        interval_s = self.core.settings.window_s / CHECKPOINTS
-        if self._checkpoints and now_s - self._checkpoints[-1].taken_s < interval_s:
+        interval_s = self.core.settings.window_s / CHECKPOINTS_PER_WINDOW
+        if self._checkpoints and now_s - self._checkpoints[-1].recorded_s < interval_s:
             return
         self._checkpoints.append(Checkpoint(now_s, self._next))
 
@@ -95,29 +95,29 @@
         """
         oldest_s = self.core.timers.read() - self.core.settings.window_s
         for checkpoint in self._checkpoints:
-            if checkpoint.taken_s >= oldest_s:
+            if checkpoint.recorded_s >= oldest_s:
                 return checkpoint.number
         return self._next
 
     def expire(self, now_s: float, window_s: float) -> None:
         """Forget what was done a window ago."""
-        self.ledger.table.expire(now_s, window_s)
+        self.key_store.table.expire(now_s, window_s)
         while len(self._checkpoints) > 1:
-            if self._checkpoints[0].taken_s >= now_s - window_s:
+            if self._checkpoints[0].recorded_s >= now_s - window_s:
                 break
             self._checkpoints.popleft()
-        for incarnation, inheritance in list(self.inherited.items()):
-            if now_s - inheritance.taken_s >= window_s:
-                inheritance.ledger.table.clear()
-                del self.inherited[incarnation]
+        for incarnation, handover in list(self.handovers.items()):
+            if now_s - handover.recorded_s >= window_s:
+                handover.key_store.table.clear()
+                del self.handovers[incarnation]
 
     async def run(self, key: MintedKey, call: Call) -> Outcome:
         """Run the call of a key that this incarnation minted."""
         while True:
-            entry = self.ledger.table.find(key.text)
+            entry = self.key_store.table.find(key.text)
             if entry is None:
                 return await self._run_new(key, call)
-            outcome = await repeat_entry(self.core, self.ledger, entry, call)
+            outcome = await get_or_await_outcome(self.core, self.key_store, entry, call)
             if outcome is not None:
                 return outcome
 
@@ -129,25 +129,23 @@
         entry = Entry(
             key=key.text,
             digest=call.context.digest,
-            runner=self.core.me.incarnation,
-            mark=self.core.number_mark(),
+            runner=self.core.node_id.incarnation,
+            mark=self.core.allocate_mark_number(),
             stage=Stage.RUNNING,
             since_s=self.core.timers.read(),
         )
-        self.ledger.table.put(entry)
-        ticket = self.ledger.find_ticket(entry.key)
+        self.key_store.table.put(entry)
+        pending_outcome = self.key_store.get_pending_outcome(entry.key)
         self.core.tasks.start_soon(self._execute, entry, call)
-        outcome = await wait_ticket(self.core, ticket, call)
+        outcome = await wait_for_outcome(self.core, pending_outcome, call)
         return outcome or Outcome(MayHaveRun(Reason.INTERNAL))
 
     def _refuse_new(self, key: MintedKey) -> NotRun | MayHaveRun | None:
-        if key.number >= self._next or key.seal != compute_seal(
-            key.number, self._secret
-        ):
+        if key.number >= self._next or key.mac != compute_mac(key.number, self._secret):
             return NotRun(Reason.KEY_MALFORMED)
         if key.number < self.find_horizon():
             return MayHaveRun(Reason.KEY_EXPIRED)
-        if self.sealed:
+        if self.closed:
             return NotRun(Reason.DRAINING)
         if self.core.budget.full:
             return NotRun(Reason.KEY_TABLE_FULL)
@@ -155,38 +153,42 @@
 
     async def _execute(self, entry: Entry, call: Call) -> None:
         outcome = await run_guarded(self.core, call)
-        self.ledger.settle(entry, outcome, self.core.timers.read())
+        self.key_store.complete(entry, outcome, self.core.timers.read())
 
-    async def answer_for(self, key: MintedKey, call: Call) -> Outcome | None:
+    async def answer_for_departed(self, key: MintedKey, call: Call) -> Outcome | None:
         """Answer for an incarnation that has left, if its answers are here."""
-        inheritance = self.inherited.get(key.incarnation)
-        if inheritance is None or not inheritance.whole:
+        handover = self.handovers.get(key.incarnation)
+        if handover is None or not handover.complete:
             return None
-        entry = inheritance.ledger.table.find(key.text)
+        entry = handover.key_store.table.find(key.text)
         if entry is not None:
-            return await repeat_entry(self.core, inheritance.ledger, entry, call)
+            return await get_or_await_outcome(
+                self.core, handover.key_store, entry, call
+            )
         self.core.count("minted-heir-expired")
-        if key.number < inheritance.horizon:
+        if key.number < handover.horizon:
             return Outcome(MayHaveRun(Reason.KEY_EXPIRED))
         return Outcome(NotRun(Reason.KEY_EXPIRED))
 
     @property
     def idle(self) -> bool:
         """Tell whether no call of a minted key is under way."""
-        return not has_runs(self.ledger)
+        return not has_local_runs(self.key_store)
 
     async def hand_over(self) -> int:
         """Give the answers to the heirs; return how many heirs have them all.
 
         From now on this node runs no minted key any more.
         """
-        self.sealed = True
+        self.closed = True
         now_s = self.core.timers.read()
-        entries = list(self.ledger.table.entries.values())
+        entries = list(self.key_store.table.entries.values())
         batches = list(split_batches(encode_entry(entry, now_s) for entry in entries))
         served = 0
-        for heir in choose_heirs(self.core.me.incarnation, self.core.read_roster().fit):
-            if await self._send_all(heir.address, batches):
+        for successor in choose_successors(
+            self.core.node_id.incarnation, self.core.read_roster().eligible
+        ):
+            if await self._send_all(successor.address, batches):
                 served += 1
         return served
 
@@ -208,18 +210,18 @@
     def answer_transfer(self, sender: Hello, transfer: SlotTransfer) -> Message:
         """Take in a part of what a leaving incarnation hands over."""
         now_s = self.core.timers.read()
-        inheritance = self.inherited.get(sender.incarnation)
-        if inheritance is None:
-            ledger = Ledger(KeyTable(self.core.budget))
-            inheritance = Inheritance(ledger, transfer.version, now_s)
-            self.inherited[sender.incarnation] = inheritance
+        handover = self.handovers.get(sender.incarnation)
+        if handover is None:
+            key_store = KeyStore(KeyTable(self.core.budget))
+            handover = ReceivedHandover(key_store, transfer.version, now_s)
+            self.handovers[sender.incarnation] = handover
         try:
             for mark in transfer.marks or ():
-                take_copy(inheritance.ledger.table, decode_entry(mark, now_s))
+                apply_copy(handover.key_store.table, decode_entry(mark, now_s))
         except (BadFrameError, ValueError):
             # never whole: what is missing must not be called "not run"
             return _reply(False)
-        inheritance.whole = inheritance.whole or bool(transfer.last)
+        handover.complete = handover.complete or bool(transfer.last)
         return _reply(True)
 
 
--- a/eelgrassmount/keys/owner.py
+++ b/eelgrassmount/keys/owner.py
@@ -19,9 +19,9 @@
     from eelgrassmount.calls.request import Call
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.follower import Follower
-    from eelgrassmount.keys.slot_state import Ledger, SlotHolder
+    from eelgrassmount.keys.slot_state import KeyStore, SlotState
 
-PAUSE_S = 0.02
+RETRY_DELAY_S = 0.02
 
 
 @define
@@ -31,109 +31,113 @@
     core: Core
     follower: Follower
 
-    async def run(self, holder: SlotHolder, call: Call) -> Outcome:
+    async def run(self, slot_state: SlotState, call: Call) -> Outcome:
         """Return the outcome of a call, running it if its key is new.
 
         The answer is `Reason.OWNER_CHANGING`, without a time to come back, if
         this node is not, or no longer, the primary and has not run the call.
         """
         while True:
-            entry = holder.table.find(call.context.key)
+            entry = slot_state.table.find(call.context.key)
             if entry is not None:
-                outcome = await self._repeat(holder, entry, call)
+                outcome = await self._replay(slot_state, entry, call)
                 if outcome is not None:
                     return outcome
                 continue
-            outcome = await self._await_ready(holder, call)
+            outcome = await self._wait_until_ready(slot_state, call)
             if outcome is not None:
                 return outcome
             # nothing may be awaited between finding no entry and adding one
-            if holder.table.find(call.context.key) is None:
-                return await self._run_new(holder, call)
+            if slot_state.table.find(call.context.key) is None:
+                return await self._run_new(slot_state, call)
 
-    async def _repeat(
-        self, holder: SlotHolder, entry: Entry, call: Call
+    async def _replay(
+        self, slot_state: SlotState, entry: Entry, call: Call
     ) -> Outcome | None:
         if entry.stage is Stage.ELSEWHERE and self._is_runner_gone(entry):
             if entry.digest != call.context.digest:
                 return refuse_reused(self.core)
             self.core.count("key-unknown-result")
             return Outcome(MayHaveRun(Reason.OWNER_UNREACHABLE))
-        return await repeat_entry(self.core, holder.ledger, entry, call)
+        return await get_or_await_outcome(self.core, slot_state.key_store, entry, call)
 
     def _is_runner_gone(self, entry: Entry) -> bool:
         roster = self.core.read_roster()
         staying = roster.known - roster.gone
         return all(node.incarnation != entry.runner for node in staying)
 
-    async def _await_ready(self, holder: SlotHolder, call: Call) -> Outcome | None:
+    async def _wait_until_ready(
+        self, slot_state: SlotState, call: Call
+    ) -> Outcome | None:
         core = self.core
         now_s = core.timers.read()
         limit_s = min(call.context.deadline_s, now_s + core.settings.change_wait_s)
-        while holder.view.primary == core.me:
+        while slot_state.view.primary == core.node_id:
             now_s = core.timers.read()
-            if holder.is_waiting(core.me, now_s):
+            if slot_state.is_waiting(core.node_id, now_s):
                 core.count("key-owner-waiting")
-                wait_s = holder.open_s - now_s
+                wait_s = slot_state.opens_at_s - now_s
                 return Outcome(MayHaveRun(Reason.OWNER_CHANGING, wait_s))
-            if holder.synced and not core.is_stalled():
+            if slot_state.synced and not core.is_stalled():
                 return None
-            if now_s >= limit_s or not self._can_change(holder):
+            if now_s >= limit_s or not self._can_backup_change(slot_state):
                 core.count("key-backup-unreachable")
                 return Outcome(MayHaveRun(Reason.OWNER_UNREACHABLE))
-            await wait_change(holder, limit_s - now_s)
+            await wait_change(slot_state, limit_s - now_s)
         return Outcome(MayHaveRun(Reason.OWNER_CHANGING))
 
-    def _can_change(self, holder: SlotHolder) -> bool:
+    def _can_backup_change(self, slot_state: SlotState) -> bool:
         # without the log a dead backup can't be replaced: waiting is no use
-        backup_gone = self.core.read_roster().is_gone(holder.view.backup)
+        backup_gone = self.core.read_roster().is_gone(slot_state.view.backup)
         return self.core.board.log_reachable or not backup_gone
 
-    async def _run_new(self, holder: SlotHolder, call: Call) -> Outcome:
+    async def _run_new(self, slot_state: SlotState, call: Call) -> Outcome:
         context = call.context
         if self.core.budget.full:
-            return await self._refuse_full(holder, call)
+            return await self._refuse_full(slot_state, call)
         entry = Entry(
             key=context.key,
             digest=context.digest,
-            runner=self.core.me.incarnation,
-            mark=self.core.number_mark(),
+            runner=self.core.node_id.incarnation,
+            mark=self.core.allocate_mark_number(),
             stage=Stage.MARKED,
             since_s=self.core.timers.read(),
         )
-        holder.table.put(entry)
-        ticket = holder.ledger.find_ticket(entry.key)
-        self.core.tasks.start_soon(self._execute, holder, entry, call)
-        return await wait_ticket(self.core, ticket, call) or Outcome(
+        slot_state.table.put(entry)
+        pending_outcome = slot_state.key_store.get_pending_outcome(entry.key)
+        self.core.tasks.start_soon(self._execute, slot_state, entry, call)
+        return await wait_for_outcome(self.core, pending_outcome, call) or Outcome(
             MayHaveRun(Reason.OWNER_CHANGING)
         )
 
-    async def _refuse_full(self, holder: SlotHolder, call: Call) -> Outcome:
+    async def _refuse_full(self, slot_state: SlotState, call: Call) -> Outcome:
         # "not run" must be true: the backup confirms that nobody took over
-        refusal = await self._mark(holder, [], call)
+        refusal = await self._mark(slot_state, [], call)
         if refusal is not None:
             return Outcome(refusal)
         self.core.count("key-table-full")
         return Outcome(NotRun(Reason.KEY_TABLE_FULL))
 
-    async def _execute(self, holder: SlotHolder, entry: Entry, call: Call) -> None:
+    async def _execute(self, slot_state: SlotState, entry: Entry, call: Call) -> None:
         """Mark a key and then run its call, whether or not the caller waits."""
-        refusal = await self._mark(holder, [entry], call)
+        refusal = await self._mark(slot_state, [entry], call)
         if refusal is not None:
-            self._give_up(holder, entry, Outcome(refusal))
+            self._abandon(slot_state, entry, Outcome(refusal))
             return
         entry.stage = Stage.RUNNING
         outcome = await run_guarded(self.core, call)
-        holder.ledger.settle(entry, outcome, self.core.timers.read())
-        self._report(holder, entry, outcome)
-
-    def _give_up(self, holder: SlotHolder, entry: Entry, outcome: Outcome) -> None:
-        holder.table.release(entry)
-        holder.ledger.resolve(entry.key, outcome)
-        self._report(holder, entry, Outcome(NotRun(Reason.CANCELLED)))
-
-    def _report(self, holder: SlotHolder, entry: Entry, outcome: Outcome) -> None:
-        fact = Entry(
+        slot_state.key_store.complete(entry, outcome, self.core.timers.read())
+        self._queue_result(slot_state, entry, outcome)
+
+    def _abandon(self, slot_state: SlotState, entry: Entry, outcome: Outcome) -> None:
+        slot_state.table.release(entry)
+        slot_state.key_store.resolve(entry.key, outcome)
+        self._queue_result(slot_state, entry, Outcome(NotRun(Reason.CANCELLED)))
+
+    def _queue_result(
+        self, slot_state: SlotState, entry: Entry, outcome: Outcome
+    ) -> None:
+        result = Entry(
             key=entry.key,
             digest=entry.digest,
             runner=entry.runner,
@@ -142,38 +146,38 @@
             since_s=self.core.timers.read(),
             outcome=outcome,
         )
-        if holder.view.backup or holder.view.primary != self.core.me:
-            self.core.add_fact(holder, fact)
+        if slot_state.view.backup or slot_state.view.primary != self.core.node_id:
+            self.core.queue_result(slot_state, result)
 
     async def _mark(
-        self, holder: SlotHolder, entries: list[Entry], call: Call
+        self, slot_state: SlotState, entries: list[Entry], call: Call
     ) -> NotRun | MayHaveRun | None:
         """Get marks acknowledged; ``None`` means that the call may run now."""
         while True:
-            refusal = await self._await_ready(holder, call)
+            refusal = await self._wait_until_ready(slot_state, call)
             if refusal is not None:
                 return refusal.verdict
-            view = holder.view
+            view = slot_state.view
             if not view.backup:
-                if self.core.may_run_alone():
+                if self.core.may_run_without_backup():
                     return None
                 if not await self.follower.catch_up():
                     self.core.count("key-owner-alone")
                     return MayHaveRun(Reason.OWNER_UNREACHABLE)
                 continue
-            answer = await self._ask_backup(holder, entries)
+            answer = await self._send_marks(slot_state, entries)
             if answer is not None and answer.accepted:
                 # under a later view the mark must be acknowledged anew
-                if holder.view == view and not self.core.is_stalled():
+                if slot_state.view == view and not self.core.is_stalled():
                     return None
                 continue
-            refusal = await self._judge_refusal(holder, view, answer, call)
+            refusal = await self._handle_refusal(slot_state, view, answer, call)
             if refusal is not None:
                 return refusal
 
-    async def _ask_backup(self, holder: SlotHolder, entries: list[Entry]) -> object:
+    async def _send_marks(self, slot_state: SlotState, entries: list[Entry]) -> object:
         now_s = self.core.timers.read()
-        view = holder.view
+        view = slot_state.view
         marks = [encode_entry(entry, now_s) for entry in entries]
         question = MarkQuestion(slot=view.slot, version=view.version, marks=marks)
         reply = await self.core.peers.ask(
@@ -183,8 +187,8 @@
         )
         return None if isinstance(reply, PeerFailure) else reply.mark_answer
 
-    async def _judge_refusal(
-        self, holder: SlotHolder, view: object, answer: object, call: Call
+    async def _handle_refusal(
+        self, slot_state: SlotState, view: object, answer: object, call: Call
     ) -> NotRun | MayHaveRun | None:
         core = self.core
         if answer is not None and answer.version == view.version:
@@ -192,20 +196,20 @@
             return NotRun(Reason.KEY_TABLE_FULL)
         if answer is not None and answer.version > view.version:
             await self.follower.refresh()
-        elif not self._can_change(holder):
+        elif not self._can_backup_change(slot_state):
             core.count("key-backup-unreachable")
             return MayHaveRun(Reason.OWNER_UNREACHABLE)
-        left_s = call.context.deadline_s - core.timers.read()
-        if left_s <= 0:
+        remaining_s = call.context.deadline_s - core.timers.read()
+        if remaining_s <= 0:
             core.count("key-backup-unreachable")
             return MayHaveRun(Reason.OWNER_UNREACHABLE)
-        if holder.view == view:
-            await wait_change(holder, min(left_s, PAUSE_S))
+        if slot_state.view == view:
+            await wait_change(slot_state, min(remaining_s, RETRY_DELAY_S))
         return None
 
 
-async def repeat_entry(
-    core: Core, ledger: Ledger, entry: Entry, call: Call
+async def get_or_await_outcome(
+    core: Core, key_store: KeyStore, entry: Entry, call: Call
 ) -> Outcome | None:
     """Return the outcome of a key met before; ``None`` means to look again."""
     if entry.digest != call.context.digest:
@@ -214,7 +218,7 @@
         core.count("key-repeated")
         return entry.outcome
     core.count("key-joined")
-    return await wait_ticket(core, ledger.find_ticket(entry.key), call)
+    return await wait_for_outcome(core, key_store.get_pending_outcome(entry.key), call)
 
 
 def refuse_reused(core: Core) -> Outcome:
@@ -223,23 +227,25 @@
     return Outcome(MayHaveRun(Reason.KEY_REUSED))
 
 
-async def wait_ticket(core: Core, ticket: object, call: Call) -> Outcome | None:
+async def wait_for_outcome(
+    core: Core, pending_outcome: object, call: Call
+) -> Outcome | None:
     """Wait for the outcome of a key until the call's own deadline.
 
     ``None`` means that the key is free again without a run.
     """
     with anyio.move_on_after(call.context.deadline_s - core.timers.read()):
-        await ticket.event.wait()
-    if not ticket.event.is_set():
+        await pending_outcome.event.wait()
+    if not pending_outcome.event.is_set():
         core.count("key-in-progress")
         return Outcome(MayHaveRun(Reason.KEY_IN_PROGRESS))
-    return ticket.outcome
+    return pending_outcome.outcome
 
 
-async def wait_change(holder: SlotHolder, limit_s: float) -> None:
+async def wait_change(slot_state: SlotState, limit_s: float) -> None:
     """Wait until something about a slot changes, for a limited time."""
     with anyio.move_on_after(max(0.0, limit_s)):
-        await holder.changed.wait()
+        await slot_state.changed.wait()
 
 
 async def run_guarded(core: Core, call: Call) -> Outcome:
--- a/eelgrassmount/keys/owner_router.py
+++ b/eelgrassmount/keys/owner_router.py
@@ -12,8 +12,8 @@
 from eelgrassmount.errors import BadFrameError
 from eelgrassmount.gen.ttypes import Message, Route
 from eelgrassmount.keys.owner import wait_change
-from eelgrassmount.keys.placement import choose_heirs, find_home, find_slot
-from eelgrassmount.keys.syntax import BadKey, MintedKey, OwnKey, parse_key
+from eelgrassmount.keys.placement import choose_successors, find_home, find_slot
+from eelgrassmount.keys.syntax import BadKey, CallerKey, MintedKey, parse_key
 from eelgrassmount.peer.codec import decode_outcome, encode_call
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.verdict import MayHaveRun, NotRun, Reason
@@ -24,18 +24,18 @@
     from eelgrassmount.keys.follower import Follower
     from eelgrassmount.keys.minted import Minter
     from eelgrassmount.keys.owner import Owner
-    from eelgrassmount.keys.slot_state import SlotHolder
+    from eelgrassmount.keys.slot_state import SlotState
     from eelgrassmount.keys.views import View
 
-RELAYS = 2
-ROUTE_ATTEMPTS = 8
-RETRY_S = 0.5
-ASK_AGAIN_S = 0.1
-ASK_LIMIT_S = 1.0
+MAX_RELAY_ATTEMPTS = 2
+MAX_ROUTE_ATTEMPTS = 8
+ATTEMPT_TIMEOUT_S = 0.5
+LOOKUP_RETRY_DELAY_S = 0.1
+MAX_LOOKUP_RETRY_S = 1.0
 
 
 @define
-class OwnerRoutes:
+class OwnerRouter:
     """Finds the owner of a key, here, in this failure domain or in another."""
 
     core: Core
@@ -52,18 +52,18 @@
         """
         started_s = self.core.timers.read()
         outcome = await self.run(call)
-        while _is_unfound(outcome) and self._may_ask_again(call, started_s):
-            await anyio.sleep(ASK_AGAIN_S)
+        while _is_owner_unknown(outcome) and self._may_retry_lookup(call, started_s):
+            await anyio.sleep(LOOKUP_RETRY_DELAY_S)
             outcome = await self.run(call)
         return outcome
 
-    def _may_ask_again(self, call: Call, started_s: float) -> bool:
+    def _may_retry_lookup(self, call: Call, started_s: float) -> bool:
         # without the log, no owner is replaced and nothing is to be hoped for
         if not self.core.board.log_reachable:
             return False
         now_s = self.core.timers.read()
-        in_time = now_s + ASK_AGAIN_S < call.context.deadline_s
-        return in_time and now_s - started_s < ASK_LIMIT_S
+        in_time = now_s + LOOKUP_RETRY_DELAY_S < call.context.deadline_s
+        return in_time and now_s - started_s < MAX_LOOKUP_RETRY_S
 
     async def run(self, call: Call) -> Outcome:
         """Find the owner of the call's key and let it run the call.
@@ -72,7 +72,7 @@
         have been run, also when this very sending certainly was not.
         """
         late = call.context.deadline_s <= self.core.timers.read()
-        if late or self.core.may_be_backlog():
+        if late or self.core.may_be_backlogged():
             self.core.count("key-late")
             return Outcome(MayHaveRun(Reason.DEADLINE))
         match parse_key(call.context.key):
@@ -81,8 +81,8 @@
                 return Outcome(NotRun(Reason.KEY_MALFORMED))
             case MintedKey() as key:
                 return await self._run_minted(key, call)
-            case OwnKey() as key:
-                return await self._run_own(key, call)
+            case CallerKey() as key:
+                return await self._run_caller_key(key, call)
 
     async def receive(self, call: Call) -> Outcome:
         """Act on a call that another node sent to the owner of its key."""
@@ -92,7 +92,7 @@
             return Outcome(MayHaveRun(Reason.OWNER_CHANGING))
         return await self.run(call)
 
-    async def _run_own(self, key: OwnKey, call: Call) -> Outcome:
+    async def _run_caller_key(self, key: CallerKey, call: Call) -> Outcome:
         domains = self.core.board.configuration.document.failure_domains
         home = find_home(key.text, key.failure_domain, domains)
         if not domains:
@@ -103,29 +103,29 @@
             return Outcome(NotRun(Reason.KEY_MALFORMED))
         if home != self.core.board.identity.failure_domain:
             return await self._relay(home, "", call)
-        return await self._run_in_slot(self.core.holders[find_slot(key.text)], call)
+        return await self._run_in_slot(self.core.slot_states[find_slot(key.text)], call)
 
-    async def _run_in_slot(self, holder: SlotHolder, call: Call) -> Outcome:
-        for _ in range(ROUTE_ATTEMPTS):
-            view = holder.view
-            outcome = await self._try_slot(holder, call)
-            if not _is_changing(outcome):
+    async def _run_in_slot(self, slot_state: SlotState, call: Call) -> Outcome:
+        for _ in range(MAX_ROUTE_ATTEMPTS):
+            view = slot_state.view
+            outcome = await self._try_slot(slot_state, call)
+            if not _is_owner_changing(outcome):
                 break
-            if not await self._await_later(holder, view, call):
+            if not await self._wait_for_newer_view(slot_state, view, call):
                 break
         return outcome or self._refuse_unreachable()
 
-    async def _try_slot(self, holder: SlotHolder, call: Call) -> Outcome | None:
-        view = holder.view
-        if view.primary == self.core.me:
-            return await self.owner.run(holder, call)
+    async def _try_slot(self, slot_state: SlotState, call: Call) -> Outcome | None:
+        view = slot_state.view
+        if view.primary == self.core.node_id:
+            return await self.owner.run(slot_state, call)
         if not view.version:
             return Outcome(MayHaveRun(Reason.OWNER_CHANGING))
-        if view.primary.address == self.core.me.address:
+        if view.primary.address == self.core.node_id.address:
             return None
         gone = self.core.read_roster().is_gone(view.primary)
         # a dead address may swallow everything until the deadline
-        limit_s = RETRY_S if gone else math.inf
+        limit_s = ATTEMPT_TIMEOUT_S if gone else math.inf
         return await self._forward(view.primary.address, call, limit_s)
 
     def _refuse_unreachable(self) -> Outcome:
@@ -133,19 +133,21 @@
         self.core.count("owner-unreachable")
         return Outcome(MayHaveRun(Reason.OWNER_UNREACHABLE))
 
-    async def _await_later(self, holder: SlotHolder, tried: View, call: Call) -> bool:
+    async def _wait_for_newer_view(
+        self, slot_state: SlotState, tried: View, call: Call
+    ) -> bool:
         """Wait for a later view than the one tried; tell whether to try again."""
-        left_s = call.context.deadline_s - self.core.timers.read()
-        if left_s <= 0:
+        remaining_s = call.context.deadline_s - self.core.timers.read()
+        if remaining_s <= 0:
             return False
-        if holder.view == tried:
+        if slot_state.view == tried:
             await self.follower.refresh()
-        if holder.view != tried:
+        if slot_state.view != tried:
             return True
         gone = self.core.read_roster().is_gone(tried.primary)
         if gone and not self.core.board.log_reachable:
             return False
-        await wait_change(holder, min(left_s, RETRY_S))
+        await wait_change(slot_state, min(remaining_s, ATTEMPT_TIMEOUT_S))
         return True
 
     async def _run_minted(self, key: MintedKey, call: Call) -> Outcome:
@@ -156,9 +158,9 @@
             return await self._relay(key.failure_domain, key.address, call)
         if self._is_live(key):
             outcome = await self._forward(key.address, call)
-            if not _is_changing(outcome):
+            if not _is_owner_changing(outcome):
                 return outcome
-        return await self._ask_heirs(key, call)
+        return await self._ask_successors(key, call)
 
     def _is_live(self, key: MintedKey) -> bool:
         roster = self.core.read_roster()
@@ -168,14 +170,16 @@
             for node in live
         )
 
-    async def _ask_heirs(self, key: MintedKey, call: Call) -> Outcome:
-        outcome = await self.minter.answer_for(key, call)
+    async def _ask_successors(self, key: MintedKey, call: Call) -> Outcome:
+        outcome = await self.minter.answer_for_departed(key, call)
         if outcome is not None:
             return outcome
-        for heir in choose_heirs(key.incarnation, self.core.read_roster().fit):
-            if heir != self.core.me:
-                outcome = await self._forward(heir.address, call)
-                if not _is_changing(outcome):
+        for successor in choose_successors(
+            key.incarnation, self.core.read_roster().eligible
+        ):
+            if successor != self.core.node_id:
+                outcome = await self._forward(successor.address, call)
+                if not _is_owner_changing(outcome):
                     return outcome
         return self._refuse_unreachable()
 
@@ -184,7 +188,7 @@
         addresses = self._find_relays(domain)
         if preferred in addresses:
             addresses = [preferred, *addresses]
-        for address in addresses[:RELAYS]:
+        for address in addresses[:MAX_RELAY_ATTEMPTS]:
             outcome = await self._forward(address, call)
             if outcome is not None:
                 return outcome
@@ -228,11 +232,11 @@
         self, address: str, call: Call, limit_s: float
     ) -> Message | PeerFailure:
         now_s = self.core.timers.read()
-        left_s = call.context.deadline_s - now_s
-        if left_s <= 0:
+        remaining_s = call.context.deadline_s - now_s
+        if remaining_s <= 0:
             return PeerFailure(address, sent=True)
         message = Message(call=encode_call(call, Route.OWN, now_s))
-        return await self.core.peers.ask(address, message, min(left_s, limit_s))
+        return await self.core.peers.ask(address, message, min(remaining_s, limit_s))
 
     def _read_reply(self, reply: Message | PeerFailure) -> Outcome | None:
         if isinstance(reply, PeerFailure) or reply.outcome is None:
@@ -244,11 +248,11 @@
             return Outcome(MayHaveRun(Reason.BAD_ANSWER))
 
 
-def _is_unfound(outcome: Outcome) -> bool:
+def _is_owner_unknown(outcome: Outcome) -> bool:
     unreachable = outcome.verdict == MayHaveRun(Reason.OWNER_UNREACHABLE)
-    return unreachable or _is_changing(outcome)
+    return unreachable or _is_owner_changing(outcome)
 
 
-def _is_changing(outcome: Outcome | None) -> bool:
+def _is_owner_changing(outcome: Outcome | None) -> bool:
     """Tell whether the owner was not found: no answer, or not from the owner."""
     return outcome is None or outcome.verdict == MayHaveRun(Reason.OWNER_CHANGING)
--- a/eelgrassmount/keys/placement.py
+++ b/eelgrassmount/keys/placement.py
@@ -14,7 +14,7 @@
 
 SLOT_COUNT = 64
 READER_COUNT = 3
-HEIR_COUNT = 2
+SUCCESSOR_COUNT = 2
 
 
 @frozen(order=True)
@@ -53,7 +53,7 @@
         return named if named in failure_domains else ""
     if not failure_domains:
         return ""
-    return max(sorted(failure_domains), key=lambda name: _weigh(key, name))
+    return max(sorted(failure_domains), key=lambda name: _compute_weight(key, name))
 
 
 def sort_nodes(nodes: Iterable[NodeId]) -> list[NodeId]:
@@ -69,7 +69,7 @@
     """
     return sorted(
         sort_nodes(nodes),
-        key=lambda node: _weigh(subject, node.incarnation),
+        key=lambda node: _compute_weight(subject, node.incarnation),
         reverse=True,
     )
 
@@ -84,15 +84,15 @@
     return rank_nodes("readers", nodes)[:READER_COUNT]
 
 
-def choose_heirs(incarnation: str, nodes: Iterable[NodeId]) -> list[NodeId]:
+def choose_successors(incarnation: str, nodes: Iterable[NodeId]) -> list[NodeId]:
     """Return the nodes that answer for an incarnation which has left.
 
     The answers are given to more than one, so that a node which joins later
     and takes the first rank does not hide them.
     """
     others = (node for node in nodes if node.incarnation != incarnation)
-    return rank_nodes(f"heirs {incarnation}", others)[:HEIR_COUNT]
+    return rank_nodes(f"heirs {incarnation}", others)[:SUCCESSOR_COUNT]
 
 
-def _weigh(subject: str, name: str) -> int:
+def _compute_weight(subject: str, name: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{subject}\0{name}".encode())
--- a/eelgrassmount/keys/replica.py
+++ b/eelgrassmount/keys/replica.py
@@ -11,8 +11,8 @@
 from eelgrassmount.gen.ttypes import MarkAnswer, MarkQuestion, Message, SlotTransfer
 from eelgrassmount.keys.entry_codec import decode_entry, encode_entry, split_batches
 from eelgrassmount.keys.placement import SLOT_COUNT
-from eelgrassmount.keys.slot_state import list_copies
-from eelgrassmount.keys.table import Entry, take_copy, take_fact, take_mark
+from eelgrassmount.keys.slot_state import list_entries
+from eelgrassmount.keys.table import Entry, apply_copy, apply_mark, apply_result
 from eelgrassmount.peer.port import PeerFailure
 from eelgrassmount.verdict import NotRun
 
@@ -22,10 +22,10 @@
     from eelgrassmount.gen.ttypes import Hello
     from eelgrassmount.keys.core import Core
     from eelgrassmount.keys.follower import Follower
-    from eelgrassmount.keys.slot_state import SlotHolder
+    from eelgrassmount.keys.slot_state import SlotState
 
-FLUSH_S = 0.05
-RETRY_S = 0.2
+RESULT_BATCH_DELAY_S = 0.05
+RETRY_DELAY_S = 0.2
 TRANSFER_TIMEOUT_S = 2.0
 _UNKNOWN_VERSION = -1
 
@@ -36,7 +36,7 @@
 
     core: Core
     follower: Follower
-    _busy: set[int] = field(factory=set)
+    _active_slots: set[int] = field(factory=set)
 
     async def answer_marks(self, sender: Hello, message: Message) -> Message | None:
         """Acknowledge marks of a slot's primary, or say why not.
@@ -48,50 +48,52 @@
         question = message.mark_question
         if not _is_slot(question.slot):
             return _reply(False, _UNKNOWN_VERSION)
-        holder = self.core.holders[question.slot]
-        await self._hear_version(holder, question.version, sender.address)
+        slot_state = self.core.slot_states[question.slot]
+        await self._fetch_newer_views(slot_state, question.version, sender.address)
         entries = self._decode(question.marks)
-        facts = [entry for entry in entries if entry.outcome is not None]
+        results = [entry for entry in entries if entry.outcome is not None]
         marks = [entry for entry in entries if entry.outcome is None]
-        for fact in facts:
-            self._take_fact(holder, fact)
-        if facts and not marks:
-            return _reply(True, holder.view.version)
-        if not self._is_backup_for(holder, question.version, sender):
+        for result in results:
+            self._apply_result(slot_state, result)
+        if results and not marks:
+            return _reply(True, slot_state.view.version)
+        if not self._is_backup_for(slot_state, question.version, sender):
             self.core.count("mark-refused")
-            return _reply(False, _name_later(holder, question.version))
-        return self._take_marks(holder, marks)
+            return _reply(False, _get_newer_version(slot_state, question.version))
+        return self._apply_marks(slot_state, marks)
 
-    def _take_marks(self, holder: SlotHolder, marks: list[Entry]) -> Message:
-        version = holder.view.version
-        if not holder.synced:
+    def _apply_marks(self, slot_state: SlotState, marks: list[Entry]) -> Message:
+        version = slot_state.view.version
+        if not slot_state.synced:
             return _reply(False, _UNKNOWN_VERSION)
         for entry in marks:
-            if self.core.budget.full and holder.table.find(entry.key) is None:
+            if self.core.budget.full and slot_state.table.find(entry.key) is None:
                 self.core.count("mark-refused-full")
                 return _reply(False, version)
-            if not take_mark(holder.table, entry):
+            if not apply_mark(slot_state.table, entry):
                 return _reply(False, _UNKNOWN_VERSION)
-        holder.opened = True
+        slot_state.primary_active = True
         return _reply(True, version)
 
-    def _take_fact(self, holder: SlotHolder, fact: Entry) -> None:
-        free = isinstance(fact.outcome.verdict, NotRun)
-        outcome = fact.outcome
+    def _apply_result(self, slot_state: SlotState, result: Entry) -> None:
+        free = isinstance(result.outcome.verdict, NotRun)
+        outcome = result.outcome
         if free:
-            fact.outcome = None
-        if not take_fact(holder.table, fact, self.core.timers.read()):
+            result.outcome = None
+        if not apply_result(slot_state.table, result, self.core.timers.read()):
             return
-        holder.ledger.resolve(fact.key, None)
-        if holder.view.primary == self.core.me:
-            fact.outcome = outcome
-            self.core.add_fact(holder, fact)
+        slot_state.key_store.resolve(result.key, None)
+        if slot_state.view.primary == self.core.node_id:
+            result.outcome = outcome
+            self.core.queue_result(slot_state, result)
 
-    def _is_backup_for(self, holder: SlotHolder, version: int, sender: Hello) -> bool:
-        view = holder.view
+    def _is_backup_for(
+        self, slot_state: SlotState, version: int, sender: Hello
+    ) -> bool:
+        view = slot_state.view
         return (
             view.version == version
-            and view.backup == self.core.me
+            and view.backup == self.core.node_id
             and view.primary.incarnation == sender.incarnation
             and not self.core.is_stalled()
         )
@@ -101,25 +103,25 @@
         transfer = message.slot_transfer
         if not _is_slot(transfer.slot):
             return _reply(False, _UNKNOWN_VERSION)
-        holder = self.core.holders[transfer.slot]
-        await self._hear_version(holder, transfer.version, sender.address)
-        if not self._is_backup_for(holder, transfer.version, sender):
-            return _reply(False, _name_later(holder, transfer.version))
-        if holder.staged != transfer.version:
-            holder.staged = transfer.version
-            holder.table.clear()
+        slot_state = self.core.slot_states[transfer.slot]
+        await self._fetch_newer_views(slot_state, transfer.version, sender.address)
+        if not self._is_backup_for(slot_state, transfer.version, sender):
+            return _reply(False, _get_newer_version(slot_state, transfer.version))
+        if slot_state.receiving_version != transfer.version:
+            slot_state.receiving_version = transfer.version
+            slot_state.table.clear()
         for entry in self._decode(transfer.marks):
-            take_copy(holder.table, entry)
+            apply_copy(slot_state.table, entry)
         if transfer.last:
-            holder.synced = True
-            holder.announce()
-        return _reply(True, holder.view.version)
+            slot_state.synced = True
+            slot_state.notify_waiters()
+        return _reply(True, slot_state.view.version)
 
-    async def _hear_version(
-        self, holder: SlotHolder, version: int, address: str
+    async def _fetch_newer_views(
+        self, slot_state: SlotState, version: int, address: str
     ) -> None:
-        if version > holder.view.version:
-            await self.follower.ask_peer(address)
+        if version > slot_state.view.version:
+            await self.follower.fetch_views(address)
 
     def _decode(self, marks: list[object] | None) -> list[Entry]:
         now_s = self.core.timers.read()
@@ -136,101 +138,105 @@
         while True:
             await self.core.exchange_due.wait()
             self.core.exchange_due = anyio.Event()
-            for holder in self.core.holders:
-                if self._needs_sync(holder):
-                    self._begin(self._sync, holder)
-                elif holder.facts:
-                    self._begin(self._send_facts, holder)
+            for slot_state in self.core.slot_states:
+                if self._needs_sync(slot_state):
+                    self._start_exchange(self._sync, slot_state)
+                elif slot_state.results:
+                    self._start_exchange(self._send_results, slot_state)
 
-    def _begin(self, send: Callable, holder: SlotHolder) -> None:
+    def _start_exchange(self, send: Callable, slot_state: SlotState) -> None:
         # one exchange for each slot at a time; a dead partner of one slot
         # does not hold up the others
-        slot = holder.view.slot
-        if slot not in self._busy:
-            self._busy.add(slot)
-            self.core.tasks.start_soon(self._exchange, send, holder)
+        slot = slot_state.view.slot
+        if slot not in self._active_slots:
+            self._active_slots.add(slot)
+            self.core.tasks.start_soon(self._exchange, send, slot_state)
 
-    async def _exchange(self, send: Callable, holder: SlotHolder) -> None:
+    async def _exchange(self, send: Callable, slot_state: SlotState) -> None:
         try:
-            await send(holder)
+            await send(slot_state)
         finally:
-            self._busy.discard(holder.view.slot)
-            if self._needs_sync(holder) or holder.facts:
+            self._active_slots.discard(slot_state.view.slot)
+            if self._needs_sync(slot_state) or slot_state.results:
                 self.core.exchange_due.set()
 
-    def _needs_sync(self, holder: SlotHolder) -> bool:
-        return holder.view.primary == self.core.me and not holder.synced
+    def _needs_sync(self, slot_state: SlotState) -> bool:
+        return slot_state.view.primary == self.core.node_id and not slot_state.synced
 
-    async def _sync(self, holder: SlotHolder) -> None:
-        view = holder.view
+    async def _sync(self, slot_state: SlotState) -> None:
+        view = slot_state.view
         now_s = self.core.timers.read()
         # the copies contain all that these facts say
-        holder.facts.clear()
-        copies = [encode_entry(entry, now_s) for entry in list_copies(holder)]
+        slot_state.results.clear()
+        copies = [encode_entry(entry, now_s) for entry in list_entries(slot_state)]
         batches = list(split_batches(copies))
         for index, batch in enumerate(batches):
             last = index == len(batches) - 1
-            if not await self._send_copies(holder, batch, last):
+            if not await self._send_copies(slot_state, batch, last):
                 return
-            if holder.view != view:
+            if slot_state.view != view:
                 return
-        holder.synced = True
+        slot_state.synced = True
         self.core.count("slot-synced")
-        holder.announce()
+        slot_state.notify_waiters()
 
     async def _send_copies(
-        self, holder: SlotHolder, batch: list[object], last: bool
+        self, slot_state: SlotState, batch: list[object], last: bool
     ) -> bool:
-        view = holder.view
+        view = slot_state.view
         transfer = SlotTransfer(
             slot=view.slot, version=view.version, marks=batch, last=last
         )
         reply = await self.core.peers.ask(
             view.backup.address, Message(slot_transfer=transfer), TRANSFER_TIMEOUT_S
         )
-        return await self._check_reply(holder, reply)
+        return await self._check_reply(slot_state, reply)
 
-    async def _check_reply(self, holder: SlotHolder, reply: object) -> bool:
+    async def _check_reply(self, slot_state: SlotState, reply: object) -> bool:
         if isinstance(reply, PeerFailure) or reply.mark_answer is None:
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(RETRY_DELAY_S)
             return False
         answer = reply.mark_answer
-        if answer.version > holder.view.version:
+        if answer.version > slot_state.view.version:
             await self.follower.refresh()
         return bool(answer.accepted)
 
-    async def _send_facts(self, holder: SlotHolder) -> None:
+    async def _send_results(self, slot_state: SlotState) -> None:
         # gather what ends in the meantime
-        await anyio.sleep(FLUSH_S)
-        view = holder.view
-        target = view.backup if view.primary == self.core.me else view.primary
-        facts = list(holder.facts)
+        await anyio.sleep(RESULT_BATCH_DELAY_S)
+        view = slot_state.view
+        target = view.backup if view.primary == self.core.node_id else view.primary
+        results = list(slot_state.results)
         now_s = self.core.timers.read()
-        marks = [encode_entry(fact, now_s) for fact in facts]
+        marks = [encode_entry(result, now_s) for result in results]
         for batch in split_batches(marks):
-            if target and batch and not await self._send_batch(holder, target, batch):
+            if (
+                target
+                and batch
+                and not await self._send_batch(slot_state, target, batch)
+            ):
                 return
-        del holder.facts[: len(facts)]
+        del slot_state.results[: len(results)]
 
     async def _send_batch(
-        self, holder: SlotHolder, target: object, batch: list[object]
+        self, slot_state: SlotState, target: object, batch: list[object]
     ) -> bool:
         question = MarkQuestion(
-            slot=holder.view.slot, version=holder.view.version, marks=batch
+            slot=slot_state.view.slot, version=slot_state.view.version, marks=batch
         )
         reply = await self.core.peers.ask(
             target.address, Message(mark_question=question), TRANSFER_TIMEOUT_S
         )
-        return await self._check_reply(holder, reply)
+        return await self._check_reply(slot_state, reply)
 
 
 def _is_slot(slot: int | None) -> bool:
     return slot is not None and 0 <= slot < SLOT_COUNT
 
 
-def _name_later(holder: SlotHolder, version: int) -> int:
+def _get_newer_version(slot_state: SlotState, version: int) -> int:
     # a refusal under the very same version would mean a full table
-    later = holder.view.version
+    later = slot_state.view.version
     return later if later > version else _UNKNOWN_VERSION
 
 
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -8,12 +8,12 @@
 from attrs import define
 
 from eelgrassmount.keys.core import Core, KeySettings
-from eelgrassmount.keys.follower import TICK_S, Follower
+from eelgrassmount.keys.follower import TICK_INTERVAL_S, Follower
 from eelgrassmount.keys.minted import MINTED_SLOT, Minter
 from eelgrassmount.keys.owner import Owner
-from eelgrassmount.keys.owner_router import OwnerRoutes
+from eelgrassmount.keys.owner_router import OwnerRouter
 from eelgrassmount.keys.replica import Replica
-from eelgrassmount.keys.slot_state import has_runs
+from eelgrassmount.keys.slot_state import has_local_runs
 
 if TYPE_CHECKING:
     import random
@@ -25,13 +25,13 @@
     from eelgrassmount.calls.request import Call, Outcome
     from eelgrassmount.gen.ttypes import Hello, Message
     from eelgrassmount.keys.port import Runner
-    from eelgrassmount.keys.slot_state import SlotHolder
+    from eelgrassmount.keys.slot_state import SlotState
     from eelgrassmount.log_port import LogPort
     from eelgrassmount.peer.port import Handlers, PeerPort
     from eelgrassmount.timers import TimerService
 
-HAND_OVER_S = 20.0
-_POLL_S = 0.1
+HANDOVER_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.1
 
 
 def _ignore(name: str) -> None:
@@ -50,7 +50,7 @@
     follower: Follower
     replica: Replica
     minter: Minter
-    routes: OwnerRoutes
+    router: OwnerRouter
 
     @classmethod
     def create(
@@ -75,16 +75,16 @@
             follower=follower,
             replica=Replica(core, follower),
             minter=minter,
-            routes=OwnerRoutes(core, follower, owner, minter),
+            router=OwnerRouter(core, follower, owner, minter),
         )
 
     async def start(self, tasks: TaskGroup) -> None:
         """Begin to follow views, to keep backups and to expire keys."""
         self.core.tasks = tasks
-        self.minter.note_checkpoint()
-        self.core.timers.subscribe(TICK_S, self._tick)
-        tasks.start_soon(self.follower.tail)
-        tasks.start_soon(self.follower.steward)
+        self.minter.record_checkpoint()
+        self.core.timers.subscribe(TICK_INTERVAL_S, self._tick)
+        tasks.start_soon(self.follower.follow_stream)
+        tasks.start_soon(self.follower.propose_periodically)
         tasks.start_soon(self.replica.run)
 
     def _tick(self) -> None:
@@ -92,18 +92,18 @@
         window_s = self.core.settings.window_s
         self.core.is_stalled()
         self.core.read_roster()
-        self.minter.note_checkpoint()
+        self.minter.record_checkpoint()
         self.minter.expire(now_s, window_s)
-        for holder in self.core.holders:
-            holder.table.expire(now_s, window_s)
-            holder.ledger.drop_idle_tickets()
+        for slot_state in self.core.slot_states:
+            slot_state.table.expire(now_s, window_s)
+            slot_state.key_store.drop_idle_outcomes()
 
     def handlers(self) -> Handlers:
         """Return what answers the messages about slots."""
         return {
             "mark_question": self.replica.answer_marks,
             "slot_transfer": self._answer_transfer,
-            "slot_question": self.follower.answer,
+            "slot_question": self.follower.answer_view_request,
         }
 
     async def _answer_transfer(self, sender: Hello, message: Message) -> Message | None:
@@ -121,43 +121,43 @@
         Refusals are *may have run* wherever an earlier sending of the key may
         have been run, also when this very sending certainly was not.
         """
-        return await self.routes.enter(call)
+        return await self.router.enter(call)
 
-    async def handle_own(self, call: Call) -> Outcome:
+    async def handle_forwarded(self, call: Call) -> Outcome:
         """Act on a call that another node sent to the owner of its key."""
-        return await self.routes.receive(call)
+        return await self.router.receive(call)
 
-    def hear_version(self, version: int, address: str) -> None:
+    def handle_version(self, version: int, address: str) -> None:
         """Note that a node of this failure domain knows a view of ``version``."""
         if version > self.find_version() and self.core.tasks is not None:
-            self.core.tasks.start_soon(self.follower.ask_peer, address)
+            self.core.tasks.start_soon(self.follower.fetch_views, address)
 
     def find_version(self) -> int:
         """Return the latest version among all slots' views, for gossip."""
-        return max(holder.view.version for holder in self.core.holders)
+        return max(slot_state.view.version for slot_state in self.core.slot_states)
 
     async def hand_over(self) -> None:
         """Give slots and answers to others, as part of a graceful shutdown.
 
         Calls under way are finished first. Returns when no slot needs this
-        node any more, or after `HAND_OVER_S` at the latest.
+        node any more, or after `HANDOVER_TIMEOUT_S` at the latest.
         """
         self.core.leaving = True
-        with anyio.move_on_after(HAND_OVER_S):
+        with anyio.move_on_after(HANDOVER_TIMEOUT_S):
             await self._leave_slots()
             while not self.minter.idle:
-                await anyio.sleep(_POLL_S)
+                await anyio.sleep(_POLL_INTERVAL_S)
             await self.minter.hand_over()
 
     async def _leave_slots(self) -> None:
-        while any(self._is_needed(holder) for holder in self.core.holders):
+        while any(self._is_needed(slot_state) for slot_state in self.core.slot_states):
             await self.follower.propose_due()
-            await anyio.sleep(_POLL_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
 
-    def _is_needed(self, holder: SlotHolder) -> bool:
-        view = holder.view
-        if has_runs(holder.ledger) or holder.facts:
+    def _is_needed(self, slot_state: SlotState) -> bool:
+        view = slot_state.view
+        if has_local_runs(slot_state.key_store) or slot_state.results:
             return True
-        if len(self.core.read_roster().fit) == 0:
+        if len(self.core.read_roster().eligible) == 0:
             return False
-        return self.core.me in (view.primary, view.backup)
+        return self.core.node_id in (view.primary, view.backup)
--- a/eelgrassmount/keys/slot_state.py
+++ b/eelgrassmount/keys/slot_state.py
@@ -17,7 +17,7 @@
 
 
 @define
-class Ticket:
+class PendingOutcome:
     """Those who wait for the outcome of one key."""
 
     event: anyio.Event = field(factory=anyio.Event)
@@ -25,30 +25,30 @@
 
 
 @define
-class Ledger:
+class KeyStore:
     """A table of keys together with those who wait for outcomes."""
 
     table: KeyTable
-    tickets: dict[str, Ticket] = field(factory=dict)
+    pending_outcomes: dict[str, PendingOutcome] = field(factory=dict)
 
-    def find_ticket(self, key: str) -> Ticket:
+    def get_pending_outcome(self, key: str) -> PendingOutcome:
         """Return the ticket of a key, a new one if nobody waits yet."""
-        return self.tickets.setdefault(key, Ticket())
+        return self.pending_outcomes.setdefault(key, PendingOutcome())
 
     def resolve(self, key: str, outcome: Outcome | None) -> None:
         """Wake those who wait; without an outcome they begin anew."""
-        ticket = self.tickets.pop(key, None)
-        if ticket is not None:
-            ticket.outcome = outcome
-            ticket.event.set()
+        pending_outcome = self.pending_outcomes.pop(key, None)
+        if pending_outcome is not None:
+            pending_outcome.outcome = outcome
+            pending_outcome.event.set()
 
-    def drop_idle_tickets(self) -> None:
+    def drop_idle_outcomes(self) -> None:
         """Forget the tickets of keys that are no longer remembered."""
-        idle = [key for key in self.tickets if self.table.find(key) is None]
+        idle = [key for key in self.pending_outcomes if self.table.find(key) is None]
         for key in idle:
             self.resolve(key, None)
 
-    def settle(self, entry: Entry, outcome: Outcome, now_s: float) -> None:
+    def complete(self, entry: Entry, outcome: Outcome, now_s: float) -> None:
         """Keep how the call of an entry ended; a call not run frees its key."""
         if isinstance(outcome.verdict, NotRun):
             self.table.release(entry)
@@ -58,82 +58,84 @@
 
 
 @define
-class SlotHolder:
+class SlotState:
     """One slot as this node holds it.
 
     ``synced`` means, at the primary, that its backup has the whole table, and at
     the backup that it has received it under the present view. New keys run
-    from ``open_s`` on. ``opened`` tells a backup that its primary runs keys.
-    ``facts`` are endings that the other holder has not confirmed yet.
+    from ``opens_at_s`` on. ``primary_active`` tells a backup that its primary runs keys.
+    ``results`` are endings that the other holder has not confirmed yet.
     """
 
     view: View
-    ledger: Ledger
+    key_store: KeyStore
     synced: bool = False
-    opened: bool = False
-    staged: int = 0
-    open_s: float = 0.0
-    facts: list[Entry] = field(factory=list)
+    primary_active: bool = False
+    receiving_version: int = 0
+    opens_at_s: float = 0.0
+    results: list[Entry] = field(factory=list)
     changed: anyio.Event = field(factory=anyio.Event)
 
     @property
     def table(self) -> KeyTable:
         """The table of the slot."""
-        return self.ledger.table
+        return self.key_store.table
 
-    def is_waiting(self, me: NodeId, now_s: float) -> bool:
+    def is_waiting(self, node_id: NodeId, now_s: float) -> bool:
         """Tell whether a lost view's waiting time is not known to be over."""
         if not self.view.lost:
             return False
-        if self.view.primary == me:
-            return now_s < self.open_s
-        return not self.opened
+        if self.view.primary == node_id:
+            return now_s < self.opens_at_s
+        return not self.primary_active
 
-    def announce(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake everything that waits for a change of this slot."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 def adopt_view(
-    holder: SlotHolder, view: View, me: NodeId, now_s: float, window_s: float
+    slot_state: SlotState, view: View, node_id: NodeId, now_s: float, window_s: float
 ) -> bool:
     """Go over to a later view; tell whether it is one.
 
     From here on nothing is acknowledged or run under the earlier view.
     """
-    earlier = holder.view
+    earlier = slot_state.view
     if view.version <= earlier.version:
         return False
-    holder.view = view
-    holder.synced = False
-    holder.opened = False
-    holder.staged = 0
-    if view.primary == me:
-        holder.open_s = _find_opening(holder, earlier, me, now_s, window_s)
-        holder.synced = not view.backup
-    elif view.backup != me:
-        holder.table.clear()
-    holder.announce()
+    slot_state.view = view
+    slot_state.synced = False
+    slot_state.primary_active = False
+    slot_state.receiving_version = 0
+    if view.primary == node_id:
+        slot_state.opens_at_s = _find_opening_time(
+            slot_state, earlier, node_id, now_s, window_s
+        )
+        slot_state.synced = not view.backup
+    elif view.backup != node_id:
+        slot_state.table.clear()
+    slot_state.notify_waiters()
     return True
 
 
-def _find_opening(
-    holder: SlotHolder, earlier: View, me: NodeId, now_s: float, window_s: float
+def _find_opening_time(
+    slot_state: SlotState, earlier: View, node_id: NodeId, now_s: float, window_s: float
 ) -> float:
-    if not holder.view.lost:
+    if not slot_state.view.lost:
         return now_s
-    if earlier.primary == me and earlier.lost:
-        return holder.open_s
+    if earlier.primary == node_id and earlier.lost:
+        return slot_state.opens_at_s
     return now_s + window_s
 
 
-def list_copies(holder: SlotHolder) -> list[Entry]:
+def list_entries(slot_state: SlotState) -> list[Entry]:
     """Return what a new backup has to know, the keys at work included."""
-    return list(holder.table.entries.values())
+    return list(slot_state.table.entries.values())
 
 
-def has_runs(ledger: Ledger) -> bool:
+def has_local_runs(key_store: KeyStore) -> bool:
     """Tell whether a call of some key is under way at this node."""
     own = (Stage.MARKED, Stage.RUNNING)
-    return any(entry.stage in own for entry in ledger.table.entries.values())
+    return any(entry.stage in own for entry in key_store.table.entries.values())
--- a/eelgrassmount/keys/syntax.py
+++ b/eelgrassmount/keys/syntax.py
@@ -16,7 +16,7 @@
 _KEY_PATTERN = re.compile(r"(?:([A-Za-z0-9._-]{1,63}):)?[A-Za-z0-9._~-]{1,128}")
 _PART_PATTERN = re.compile(r"[A-Za-z0-9._-]+")
 _NONCE_PATTERN = re.compile(r"([0-9a-f]{1,12})-([0-9a-f]{16})")
-_SEAL_BYTES = 8
+_MAC_BYTES = 8
 
 
 @frozen
@@ -28,11 +28,11 @@
     failure_domain: str
     incarnation: str
     number: int
-    seal: str
+    mac: str
 
 
 @frozen
-class OwnKey:
+class CallerKey:
     """A key of the caller's own; ``failure_domain`` is empty if none is named."""
 
     text: str
@@ -46,7 +46,7 @@
     detail: str
 
 
-def parse_key(text: str) -> MintedKey | OwnKey | BadKey:
+def parse_key(text: str) -> MintedKey | CallerKey | BadKey:
     """Return what a key says, or why it is none.
 
     A caller's own key is kept under its whole text, so ``howrah:7`` and ``7``
@@ -57,7 +57,7 @@
     match = _KEY_PATTERN.fullmatch(text)
     if match is None:
         return BadKey(f"a key has 1 to {MAX_KEY_LENGTH} of A-Z a-z 0-9 . _ ~ -")
-    return OwnKey(text, match[1] or "")
+    return CallerKey(text, match[1] or "")
 
 
 def _parse_minted(text: str) -> MintedKey | BadKey:
@@ -74,7 +74,7 @@
         failure_domain=failure_domain,
         incarnation=incarnation,
         number=int(match[1], 16),
-        seal=match[2],
+        mac=match[2],
     )
 
 
@@ -84,15 +84,15 @@
         _encode_address(identity.address),
         identity.failure_domain,
         identity.incarnation,
-        f"{number:x}-{compute_seal(number, secret)}",
+        f"{number:x}-{compute_mac(number, secret)}",
     )
     return MINTED_PREFIX + "~".join(parts)
 
 
-def compute_seal(number: int, secret: bytes) -> str:
+def compute_mac(number: int, secret: bytes) -> str:
     """Return what proves that the owner of ``secret`` minted a number."""
     text = str(number).encode()
-    return hashlib.blake2s(text, digest_size=_SEAL_BYTES, key=secret).hexdigest()
+    return hashlib.blake2s(text, digest_size=_MAC_BYTES, key=secret).hexdigest()
 
 
 def check_identity(identity: Identity) -> None:
--- a/eelgrassmount/keys/table.py
+++ b/eelgrassmount/keys/table.py
@@ -137,7 +137,7 @@
         return len(old)
 
 
-def take_mark(table: KeyTable, entry: Entry) -> bool:
+def apply_mark(table: KeyTable, entry: Entry) -> bool:
     """Take in a mark of the slot's primary at its backup; tell whether it fits.
 
     A mark that arrives late never replaces a later one or the outcome that it
@@ -155,28 +155,28 @@
     return True
 
 
-def take_copy(table: KeyTable, entry: Entry) -> None:
+def apply_copy(table: KeyTable, entry: Entry) -> None:
     """Take in one entry of a whole table that another node sends."""
     if table.find(entry.key) is None:
         table.put(entry)
 
 
-def take_fact(table: KeyTable, fact: Entry, now_s: float) -> bool:
+def apply_result(table: KeyTable, result: Entry, now_s: float) -> bool:
     """Take in how a call ended that another node ran; tell whether it was new.
 
     ``fact.outcome`` is the outcome, ``None`` if the call was not run and the
     key is free again. A fact counts only for the very mark that it names, but
     then under any view: what happened does not depend on who is primary.
     """
-    present = table.find(fact.key)
+    present = table.find(result.key)
     if present is None or present.stage is not Stage.ELSEWHERE:
         return False
-    if (present.runner, present.mark) != (fact.runner, fact.mark):
+    if (present.runner, present.mark) != (result.runner, result.mark):
         return False
-    if fact.outcome is None:
-        table.drop(fact.key)
+    if result.outcome is None:
+        table.drop(result.key)
     else:
-        table.finish(present, fact.outcome, now_s)
+        table.finish(present, result.outcome, now_s)
     return True
 
 
--- a/eelgrassmount/keys/views.py
+++ b/eelgrassmount/keys/views.py
@@ -50,14 +50,14 @@
     """The views of all slots after reading the stream up to ``next``.
 
     ``first`` is the offset that reading began at, or went on at after records
-    were dropped unread; ``roots`` has the highest base of each slot that was
+    were dropped unread; ``initial_bases`` has the highest base of each slot that was
     set below it. ``written`` has the offset of each slot's latest valid record.
     """
 
     first: int = 0
     next: int = 0
     views: list[View] = field(factory=lambda: [View(s) for s in range(SLOT_COUNT)])
-    roots: dict[int, int] = field(factory=dict)
+    initial_bases: dict[int, int] = field(factory=dict)
     written: dict[int, int] = field(factory=dict)
 
 
@@ -78,7 +78,7 @@
 def _skip_dropped(fold: ViewFold, first: int) -> None:
     fold.first = first
     fold.next = first
-    fold.roots = {view.slot: view.version for view in fold.views}
+    fold.initial_bases = {view.slot: view.version for view in fold.views}
 
 
 def fold_record(fold: ViewFold, record: Record) -> list[View]:
@@ -105,8 +105,8 @@
     # rewrite names a lower one. The current view is always rewritten in time,
     # so a reader that has come to the end of the stream has met it.
     unseen = proposal.base <= fold.first
-    if unseen and proposal.base > fold.roots.get(proposal.slot, 0):
-        fold.roots[proposal.slot] = proposal.base
+    if unseen and proposal.base > fold.initial_bases.get(proposal.slot, 0):
+        fold.initial_bases[proposal.slot] = proposal.base
         return True
     return False
 
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -169,7 +169,7 @@
 
 def collect_status(node: RelayNode) -> NodeStatus:
     """Return the present status of a node."""
-    state = node.beliefs
+    state = node.state
     now_s = state.clock()
     routes = state.table.routes
     version_age_s = None
@@ -235,7 +235,7 @@
 
 
 def _collect_teams(node: RelayNode, now_s: float) -> TeamStatus:
-    teams = node.beliefs.table.teams.teams
+    teams = node.state.table.teams.teams
     held = []
     for name, quota in sorted(node.quotas.holder.held.items()):
         quota.bucket.refill(now_s)
@@ -254,7 +254,7 @@
 
 
 def _collect_server(node: RelayNode, now_s: float) -> ServerStatus:
-    server = node.beliefs.server
+    server = node.state.server
     dispatcher = node.dispatcher
     incarnation = server.incarnation or ServerIncarnation("")
     return ServerStatus(
--- a/eelgrassmount/util/background.py
+++ b/eelgrassmount/util/background.py
@@ -17,12 +17,12 @@
 class Background:
     """Starts tasks in a task group and keeps their errors from it.
 
-    A programming error in one task is logged and counted by ``note_error``;
+    A programming error in one task is logged and counted by ``count_error``;
     the others go on. Once the group is closing, nothing more is started.
     """
 
     group: TaskGroup
-    note_error: Callable[[], None]
+    count_error: Callable[[], None]
     closed: bool = False
 
     def start_soon(self, function: Callable[..., Awaitable[Any]], *args: Any) -> None:
@@ -36,7 +36,7 @@
         try:
             await function(*args)
         except Exception:
-            self.note_error()
+            self.count_error()
             logger.exception("a task failed")
 
     def close(self) -> None:
--- a/tests/cmd/test_explain.py
+++ b/tests/cmd/test_explain.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eelgrassmount.cmd.action import ExitCode
-from eelgrassmount.cmd.explain import MAX_AROUND, tell_story
+from eelgrassmount.cmd.explain import MAX_CONTEXT_LINES, build_request_timeline
 from eelgrassmount.cmd.main import main
 
 
@@ -31,14 +31,14 @@
 
 
 def test_lines_of_a_request_stand_in_order():
-    story = tell_story("a1", LINES)
-    assert [line.message for line in story.own] == ["sent again", "failed"]
-    assert story.left_out == 3
+    timeline = build_request_timeline("a1", LINES)
+    assert [line.message for line in timeline.own] == ["sent again", "failed"]
+    assert timeline.omitted == 3
 
 
 def test_what_happened_shortly_before_to_the_nodes_it_met_is_told():
-    around = tell_story("a1", LINES).around
-    assert [line.message for line in around] == ["server crashed", "link silent"]
+    context = build_request_timeline("a1", LINES).context
+    assert [line.message for line in context] == ["server crashed", "link silent"]
 
 
 def test_service_that_was_short_is_told():
@@ -47,23 +47,23 @@
         write_line(1, "overload begins", node="vm-9", service="book", demand=1.4),
         write_line(2, "refused", request="a1", outcome="overload", service="list"),
     ]
-    around = tell_story("a1", lines).around
-    assert [line.fields["service"] for line in around] == ["list"]
+    context = build_request_timeline("a1", lines).context
+    assert [line.fields["service"] for line in context] == ["list"]
 
 
 def test_no_more_than_the_nearest_lines_are_shown():
     lines = [write_line(1 + i / 50, "link silent", peer="vm-5") for i in range(50)]
     lines.append(write_line(3, "failed", request="a1", outcome="deadline"))
-    around = tell_story("a1", lines).around
-    assert len(around) == MAX_AROUND
-    assert around[-1].time.microsecond == 980_000
+    context = build_request_timeline("a1", lines).context
+    assert len(context) == MAX_CONTEXT_LINES
+    assert context[-1].time.microsecond == 980_000
 
 
 def test_other_lines_are_counted_and_a_leading_name_is_passed_over():
     texts = ["vm-1| " + LINES[0], "Traceback\n", "{broken\n", "[1]\n", "\n"]
-    story = tell_story("a1", texts)
-    assert len(story.own) == 1
-    assert story.unread == 3
+    timeline = build_request_timeline("a1", texts)
+    assert len(timeline.own) == 1
+    assert timeline.unparsed == 3
 
 
 @pytest.mark.parametrize(
@@ -96,9 +96,9 @@
         write_line(2.1, "server rejects calls", node="vm-7"),
         write_line(2.2, "server crashed", node="vm-8", requests=["a2"]),
     ]
-    story = tell_story("a1", lines)
-    assert [line.message for line in story.own] == ["failed", "server crashed"]
-    assert [line.message for line in story.around] == ["server rejects calls"]
+    timeline = build_request_timeline("a1", lines)
+    assert [line.message for line in timeline.own] == ["failed", "server crashed"]
+    assert [line.message for line in timeline.context] == ["server rejects calls"]
 
 
 def test_what_is_found_out_after_a_request_failed_is_told():
@@ -113,11 +113,11 @@
         write_line(3.6, "stopped", node="vm-7", cut=2),
         write_line(9, "server restarted", node="vm-7", ended="i1/9"),
     ]
-    story = tell_story("a1", lines)
-    assert [line.message for line in story.around] == ["server rejects calls"]
-    assert [line.message for line in story.later] == ["server restarted", "stopped"]
-    told = story.describe()
+    timeline = build_request_timeline("a1", lines)
+    assert [line.message for line in timeline.context] == ["server rejects calls"]
+    assert [line.message for line in timeline.later] == ["server restarted", "stopped"]
+    told = timeline.describe()
     assert "found out within 5 s after it\n" in told
     assert "vm-7 server restarted  ended=i1/1 incarnation=i1/9" in told
-    later = story.encode()["later"]
+    later = timeline.encode()["later"]
     assert [fields["message"] for fields in later] == ["server restarted", "stopped"]
--- a/tests/keys/test_decisions.py
+++ b/tests/keys/test_decisions.py
@@ -6,15 +6,15 @@
 
 from eelgrassmount.calls.request import Outcome
 from eelgrassmount.keys.placement import NO_NODE, NodeId
-from eelgrassmount.keys.planning import Roster, SlotStanding, plan_proposals
+from eelgrassmount.keys.planning import Roster, SlotStatus, plan_proposals
 from eelgrassmount.keys.table import (
     Budget,
     Entry,
     KeyTable,
     Stage,
-    take_copy,
-    take_fact,
-    take_mark,
+    apply_copy,
+    apply_mark,
+    apply_result,
 )
 from eelgrassmount.keys.views import View
 from eelgrassmount.verdict import Answered
@@ -44,8 +44,8 @@
 def test_repairs(primary, backup, gone, synced, waiting, proposed) -> None:
     nodes = {ME, P, Q}
     roster = Roster(ME, tuple(sorted(nodes - gone)), frozenset(nodes), frozenset(gone))
-    standing = SlotStanding(View(0, 5, primary, backup), synced, waiting)
-    proposals = plan_proposals([standing], roster, from_start=True)
+    status = SlotStatus(View(0, 5, primary, backup), synced, waiting)
+    proposals = plan_proposals([status], roster, from_start=True)
     if proposed is None or (proposed[0] == "anyone" and not roster.is_delegate):
         assert proposals == []
         return
@@ -57,9 +57,9 @@
 
 @pytest.mark.parametrize("from_start", [True, False])
 def test_first_views_count_as_lost_unless_read_from_the_start(from_start) -> None:
-    roster = Roster(ME, (ME,), frozenset({ME}), frozenset(), settled=True)
-    standing = SlotStanding(View(0), False, False)
-    (proposal,) = plan_proposals([standing], roster, from_start)
+    roster = Roster(ME, (ME,), frozenset({ME}), frozenset(), stable=True)
+    status = SlotStatus(View(0), False, False)
+    (proposal,) = plan_proposals([status], roster, from_start)
     assert proposal.lost is not from_start
 
 
@@ -92,13 +92,13 @@
         kind, number = event.split()
         match kind:
             case "mark":
-                assert take_mark(table, make_entry(int(number)))
+                assert apply_mark(table, make_entry(int(number)))
             case "copy":
-                take_copy(table, make_entry(int(number)))
+                apply_copy(table, make_entry(int(number)))
             case "free":
-                take_fact(table, make_entry(int(number)), 0.0)
+                apply_result(table, make_entry(int(number)), 0.0)
             case "done":
-                take_fact(table, make_entry(int(number), outcome=DONE), 0.0)
+                apply_result(table, make_entry(int(number), outcome=DONE), 0.0)
     entry = table.find("k")
     assert (entry and entry.stage, entry.mark if entry else 0) == (stage, mark)
     table.expire(9.0, 10.0)
--- a/tests/keys/test_machine.py
+++ b/tests/keys/test_machine.py
@@ -14,7 +14,7 @@
 ENTRY = st.integers(0, MAX_NODES - 1)
 # what fails is mostly one of those that hold the key sent last
 ROLE = st.sampled_from(("primary", "primary", "backup", "backup", "other"))
-CUTS = {
+PARTITIONS = {
     "both ways": {("howrah", "sealdah"), ("sealdah", "howrah")},
     "one way": {("sealdah", "howrah")},
     "healed": set(),
@@ -44,7 +44,7 @@
         others = (node for node in self.world.nodes.values() if node not in holders)
         return next((node for node in others if node.alive), None)
 
-    def spare(self) -> bool:
+    def can_lose_node(self) -> bool:
         return sum(node.alive for node in self.world.nodes.values()) > 2
 
     @rule(minter=ENTRY, entry=ENTRY, minted=st.booleans(), slow=st.booleans())
@@ -76,7 +76,7 @@
     @rule(role=ROLE, what=st.sampled_from(("kill", "replace", "leave")))
     def end(self, role: str, what: str) -> None:
         node = self.find(role)
-        if node is None or not self.spare():
+        if node is None or not self.can_lose_node():
             return
         if what == "leave":
             self.leave(node)
@@ -92,7 +92,7 @@
 
     async def stop(self, node: Node) -> None:
         await node.service.hand_over()
-        await node.stand()
+        await node.wait_while_frozen()
         node.alive = False
         for task in list(node.tasks):
             task.cancel()
@@ -123,7 +123,7 @@
             "leave": lambda: self.end(role, "leave"),
             "freeze": lambda: self.freeze(role),
             "suspect": lambda: self.suspect_falsely(role),
-            "cut": lambda: self.cut_from_log(role),
+            "cut": lambda: self.disconnect_from_log(role),
         }
         fail[what]()
         self.world.advance(4.0)
@@ -146,10 +146,10 @@
 
     @precondition(lambda self: self.keys)
     @rule(role=ROLE)
-    def cut_from_log(self, role: str) -> None:
+    def disconnect_from_log(self, role: str) -> None:
         node = self.find(role)
         if node is not None:
-            node.log_cut = True
+            node.log_disconnected = True
 
     @precondition(lambda self: len(self.world.nodes) < MAX_NODES)
     @rule(failure_domain=st.sampled_from(("howrah", "howrah", "sealdah")))
@@ -157,39 +157,41 @@
         self.world.start_node(failure_domain)
 
     @rule(up=st.booleans(), lost_answers=st.integers(0, 1))
-    def trouble_log(self, up: bool, lost_answers: int) -> None:
+    def disturb_log(self, up: bool, lost_answers: int) -> None:
         self.world.log.up = up
         self.world.log.lose_answers = lost_answers
 
-    @rule(loss=st.sampled_from((0.1, 0.4)), way=st.sampled_from(sorted(CUTS)))
-    def trouble_network(self, loss: float, way: str) -> None:
+    @rule(loss=st.sampled_from((0.1, 0.4)), way=st.sampled_from(sorted(PARTITIONS)))
+    def disturb_network(self, loss: float, way: str) -> None:
         self.world.loss = loss
-        self.world.cuts = CUTS[way]
+        self.world.partitions = PARTITIONS[way]
 
     @rule()
     def heal(self) -> None:
         self.world.loss = 0.0
-        self.world.cuts = set()
+        self.world.partitions = set()
         self.world.log.up = True
         for node in self.world.nodes.values():
-            node.log_cut = False
+            node.log_disconnected = False
 
     @rule()
     def shed(self) -> None:
         self.world.shed_next = True
 
     @invariant()
-    def keeps_promises(self) -> None:
+    def check_keys_ran_once(self) -> None:
         self.world.check_all()
-        assert not self.world.faults, self.world.faults
+        assert not self.world.task_errors, self.world.task_errors
 
     def teardown(self) -> None:
         try:
             self.heal()
             self.thaw_all()
             self.world.advance(25.0)
-            self.keeps_promises()
-            assert all(sending.verdict for sending in self.world.sendings_to_living())
+            self.check_keys_ran_once()
+            assert all(
+                attempt.verdict for attempt in self.world.list_attempts_at_live_nodes()
+            )
         finally:
             self.world.close()
 
--- a/tests/keys/test_scenarios.py
+++ b/tests/keys/test_scenarios.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.gen.ttypes import Message, SlotQuestion
 from eelgrassmount.keys.follower import compute_digest
-from eelgrassmount.keys.syntax import BadKey, MintedKey, OwnKey, parse_key
+from eelgrassmount.keys.syntax import BadKey, CallerKey, MintedKey, parse_key
 from eelgrassmount.verdict import Answered, MayHaveRun, NotRun, Reason
 from tests.keys.world import HOP_S, WINDOW_S, World
 
@@ -26,7 +26,7 @@
     world.advance(6.0)
     yield world
     world.check_all()
-    assert not world.faults
+    assert not world.task_errors
     world.close()
 
 
@@ -48,25 +48,29 @@
 
 def test_same_answer_from_every_node_and_after_the_primary_is_killed(world) -> None:
     entry = find_entry(world)
-    told = [world.tell(node, KEY) for node in list(world.nodes.values())]
+    verdicts = [world.send_and_wait(node, KEY) for node in list(world.nodes.values())]
     primary, _ = world.find_holders(KEY)
     world.kill(primary)
     world.advance(4.0)
-    told += [world.tell(node, KEY) for node in world.nodes.values() if node.alive]
-    assert isinstance(told[0], Answered)
-    assert set(told) == {told[0]}
-    assert world.tell(entry, KEY, b"other") == MayHaveRun(Reason.KEY_REUSED)
+    verdicts += [
+        world.send_and_wait(node, KEY) for node in world.nodes.values() if node.alive
+    ]
+    assert isinstance(verdicts[0], Answered)
+    assert set(verdicts) == {verdicts[0]}
+    assert world.send_and_wait(entry, KEY, b"other") == MayHaveRun(Reason.KEY_REUSED)
 
 
 def test_views_are_sent_only_to_those_that_hold_others(world) -> None:
     home = [n for n in world.nodes.values() if n.identity.failure_domain == "howrah"]
     follower = home[0].service.follower
-    views = [holder.view for holder in home[1].service.core.holders]
+    views = [holder.view for holder in home[1].service.core.slot_states]
     answers = []
     for digest in (compute_digest(views), compute_digest(views[1:]), None):
         question = SlotQuestion(failure_domain="howrah", digest=digest)
         message = Message(slot_question=question)
-        answers.append(anyio.run(follower.answer, None, message).slot_answer)
+        answers.append(
+            anyio.run(follower.answer_view_request, None, message).slot_answer
+        )
     assert [(answer.same, len(answer.views)) for answer in answers] == [
         (True, 0),
         (False, len(views)),
@@ -84,11 +88,11 @@
     getattr(world, fail)(primary)
     world.advance(4.0)
     assert world.find_holders(KEY)[0] is not primary
-    assert world.tell(entry, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
+    assert world.send_and_wait(entry, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
     if fail == "freeze":
         world.thaw(primary)
         world.advance(2.0)
-        assert isinstance(world.tell(entry, KEY), Answered)
+        assert isinstance(world.send_and_wait(entry, KEY), Answered)
 
 
 def test_nodes_that_do_not_read_the_log_hear_of_new_holders(world) -> None:
@@ -100,24 +104,24 @@
     world.advance(3.5)
     keys = [f"howrah:{number}" for number in range(40)]
     nodes = [node for node in world.nodes.values() if node.alive]
-    told = [world.send(nodes[n % len(nodes)], key) for n, key in enumerate(keys)]
+    verdicts = [world.send(nodes[n % len(nodes)], key) for n, key in enumerate(keys)]
     world.advance(1.0)
-    assert all(isinstance(sending.verdict, Answered) for sending in told)
+    assert all(isinstance(attempt.verdict, Answered) for attempt in verdicts)
     primaries = {world.find_holders(key)[0] for key in keys}
     assert len(primaries) >= 5
 
 
 def test_call_not_run_frees_its_key(world) -> None:
     world.shed_next = True
-    assert world.tell(find_entry(world), KEY) == NotRun(Reason.OVERLOAD)
-    assert isinstance(world.tell(find_entry(world), KEY), Answered)
+    assert world.send_and_wait(find_entry(world), KEY) == NotRun(Reason.OVERLOAD)
+    assert isinstance(world.send_and_wait(find_entry(world), KEY), Answered)
 
 
 def test_repeat_of_a_running_call_waits_for_it(world) -> None:
     world.run_s = 2.0
     first = world.send(find_entry(world), KEY)
     world.advance(0.1)
-    again = world.tell(world.find_holders(KEY)[1], KEY)
+    again = world.send_and_wait(world.find_holders(KEY)[1], KEY)
     assert isinstance(again, Answered)
     assert first.verdict == again
 
@@ -132,30 +136,30 @@
     key = nodes[0].service.mint() if minted else KEY
     if minted and entry is nodes[0]:
         entry = nodes[1]
-    world.silence()
-    sending = world.send(entry, key)
+    world.drop_next_requests()
+    attempt = world.send(entry, key)
     world.advance(5.0)
-    assert isinstance(sending.verdict, Answered)
+    assert isinstance(attempt.verdict, Answered)
 
 
 def test_long_outage_of_the_log(world) -> None:
     world.log.up = False
     world.advance(3 * WINDOW_S)
     assert all(
-        isinstance(world.tell(node, f"howrah:{number}"), Answered)
+        isinstance(world.send_and_wait(node, f"howrah:{number}"), Answered)
         for number, node in enumerate(world.nodes.values())
     )
     entry = find_entry(world)
     world.kill(world.find_holders(KEY)[1])
     world.advance(3.0)
     started_s = world.loop.time()
-    sending = world.send(entry, KEY)
+    attempt = world.send(entry, KEY)
     world.advance(1.0)
-    assert sending.verdict == MayHaveRun(Reason.OWNER_UNREACHABLE)
+    assert attempt.verdict == MayHaveRun(Reason.OWNER_UNREACHABLE)
     assert world.loop.time() - started_s <= 1.0 + HOP_S
     world.log.up = True
     world.advance(15.0)
-    assert isinstance(world.tell(entry, KEY), Answered)
+    assert isinstance(world.send_and_wait(entry, KEY), Answered)
 
 
 def test_slot_whose_holders_both_died_opens_after_a_window(world) -> None:
@@ -163,11 +167,11 @@
     for node in world.find_holders(KEY):
         world.kill(node)
     world.advance(5.0)
-    told = world.tell(entry, KEY)
-    assert explain(told) is Reason.OWNER_CHANGING
-    assert 0 < told.retry_after_s < WINDOW_S
+    verdicts = world.send_and_wait(entry, KEY)
+    assert explain(verdicts) is Reason.OWNER_CHANGING
+    assert 0 < verdicts.retry_after_s < WINDOW_S
     world.advance(WINDOW_S)
-    assert isinstance(world.tell(entry, KEY), Answered)
+    assert isinstance(world.send_and_wait(entry, KEY), Answered)
 
 
 def test_frozen_pair_asks_for_the_views_when_it_wakes(world) -> None:
@@ -176,19 +180,19 @@
     for node in pair:
         world.freeze(node)
     world.advance(WINDOW_S + 10.0)
-    assert isinstance(world.tell(entry, KEY), Answered)
+    assert isinstance(world.send_and_wait(entry, KEY), Answered)
     for node in pair:
-        node.log_cut = True
+        node.log_disconnected = True
         world.thaw(node)
     world.advance(2.5)
-    told = [world.send(node, KEY) for node in pair]
+    verdicts = [world.send(node, KEY) for node in pair]
     world.advance(8.0)
-    assert [explain(sending.verdict) for sending in told] == ["answered"] * 2
+    assert [explain(attempt.verdict) for attempt in verdicts] == ["answered"] * 2
 
 
 def test_request_that_waited_in_a_frozen_node_is_not_taken_for_a_new_one(world) -> None:
     entry = find_entry(world)
-    assert isinstance(world.tell(entry, KEY), Answered)
+    assert isinstance(world.send_and_wait(entry, KEY), Answered)
     world.freeze(entry)
     waiting = world.send(entry, KEY)
     world.advance(WINDOW_S + 5.0)
@@ -199,73 +203,75 @@
 
 def test_replaced_primary_with_a_full_table_does_not_say_not_run(world) -> None:
     primary, backup = world.find_holders(KEY)
-    primary.log_cut = True
+    primary.log_disconnected = True
     primary.service.core.budget.max_keys = 0
     primary.suspected_s = world.loop.time() + 5.0
     world.advance(5.0)
     assert world.find_holders(KEY)[0] is backup
-    assert isinstance(world.tell(backup, KEY), Answered)
-    assert not isinstance(world.tell(primary, KEY), NotRun)
+    assert isinstance(world.send_and_wait(backup, KEY), Answered)
+    assert not isinstance(world.send_and_wait(primary, KEY), NotRun)
 
 
 def test_primary_alone_stops_without_the_log(world) -> None:
     lone = next(
         n for n in world.nodes.values() if n.identity.failure_domain != "howrah"
     )
-    assert isinstance(world.tell(lone, "sealdah:1"), Answered)
-    lone.log_cut = True
+    assert isinstance(world.send_and_wait(lone, "sealdah:1"), Answered)
+    lone.log_disconnected = True
     world.advance(WINDOW_S / 2 + 1.0)
-    assert world.tell(lone, "sealdah:2") == MayHaveRun(Reason.OWNER_UNREACHABLE)
-    assert isinstance(world.tell(lone, "sealdah:1"), Answered)
+    assert world.send_and_wait(lone, "sealdah:2") == MayHaveRun(
+        Reason.OWNER_UNREACHABLE
+    )
+    assert isinstance(world.send_and_wait(lone, "sealdah:1"), Answered)
 
 
 def test_cut_between_failure_domains(world) -> None:
-    world.cuts = {("howrah", "sealdah"), ("sealdah", "howrah")}
+    world.partitions = {("howrah", "sealdah"), ("sealdah", "howrah")}
     far = next(n for n in world.nodes.values() if n.identity.failure_domain != "howrah")
-    assert world.tell(far, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
-    assert isinstance(world.tell(find_entry(world), KEY), Answered)
+    assert world.send_and_wait(far, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
+    assert isinstance(world.send_and_wait(find_entry(world), KEY), Answered)
 
 
 def test_planned_stop_loses_nothing(world) -> None:
     entry = find_entry(world)
     primary, _ = world.find_holders(KEY)
     used, unused = primary.service.mint(), primary.service.mint()
-    answers = [world.tell(entry, key) for key in (KEY, used)]
+    answers = [world.send_and_wait(entry, key) for key in (KEY, used)]
     primary.spawn(primary.service.hand_over())
     world.advance(8.0)
     assert primary not in world.find_holders(KEY)
     world.kill(primary)
     world.advance(3.0)
-    assert [world.tell(entry, key) for key in (KEY, used)] == answers
-    assert world.tell(entry, unused) == NotRun(Reason.KEY_EXPIRED)
-    assert isinstance(world.tell(entry, "howrah:booking-2"), Answered)
+    assert [world.send_and_wait(entry, key) for key in (KEY, used)] == answers
+    assert world.send_and_wait(entry, unused) == NotRun(Reason.KEY_EXPIRED)
+    assert isinstance(world.send_and_wait(entry, "howrah:booking-2"), Answered)
 
 
 @pytest.mark.parametrize(
-    ("spoil", "told"),
+    ("spoil", "verdicts"),
     [
         (lambda world, node, key: world.kill(node), Reason.OWNER_UNREACHABLE),
         (lambda world, node, key: world.advance(WINDOW_S + 5.0), Reason.KEY_EXPIRED),
     ],
 )
-def test_minted_key_whose_owner_is_gone_or_which_is_old(world, spoil, told) -> None:
+def test_minted_key_whose_owner_is_gone_or_which_is_old(world, spoil, verdicts) -> None:
     node, entry = list(world.nodes.values())[:2]
     key = node.service.mint()
     spoil(world, node, key)
     world.advance(3.0)
-    assert world.tell(entry, key) == MayHaveRun(told)
+    assert world.send_and_wait(entry, key) == MayHaveRun(verdicts)
     forged = entry.service.mint()[:-1] + "x"
-    assert world.tell(entry, forged) == NotRun(Reason.KEY_MALFORMED)
+    assert world.send_and_wait(entry, forged) == NotRun(Reason.KEY_MALFORMED)
 
 
 def test_full_table_refuses_new_keys_only(world) -> None:
     for node in world.nodes.values():
         node.service.core.budget.max_keys = 1
     entry = find_entry(world)
-    first = world.tell(entry, KEY)
-    told = [world.tell(entry, f"howrah:{number}") for number in range(12)]
-    assert NotRun(Reason.KEY_TABLE_FULL) in told
-    assert world.tell(entry, KEY) == first
+    first = world.send_and_wait(entry, KEY)
+    verdicts = [world.send_and_wait(entry, f"howrah:{number}") for number in range(12)]
+    assert NotRun(Reason.KEY_TABLE_FULL) in verdicts
+    assert world.send_and_wait(entry, KEY) == first
 
 
 def test_views_lost_from_the_log_count_as_lost() -> None:
@@ -273,15 +279,15 @@
     world.log.drop_before("slots.howrah", 9)
     node = world.start_node("howrah")
     world.advance(6.0)
-    assert explain(world.tell(node, KEY)) is Reason.OWNER_CHANGING
+    assert explain(world.send_and_wait(node, KEY)) is Reason.OWNER_CHANGING
     world.close()
 
 
 @pytest.mark.parametrize(
     ("text", "kind"),
     [
-        ("7", OwnKey),
-        ("howrah:7", OwnKey),
+        ("7", CallerKey),
+        ("howrah:7", CallerKey),
         ("em1~127.0.0.1_7~howrah~ab12~0-0123456789abcdef", MintedKey),
         ("em1~127.0.0.1_7~howrah~ab12~0", BadKey),
         ("em1~x", BadKey),
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -45,8 +45,8 @@
 
 WINDOW_S = 60.0
 HOP_S = 0.001
-SILENCE_S = 0.4
-SUSPECT_S = 2.0
+SILENCE_TIMEOUT_S = 0.4
+SUSPECT_AFTER_S = 2.0
 
 
 class _Selector(selectors.DefaultSelector):
@@ -90,7 +90,7 @@
 
 
 @define
-class Sending:
+class Attempt:
     key: str
     call_id: str
     started_s: float
@@ -122,8 +122,8 @@
     node: Node
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
-        await self.node.stand()
-        if not self.log.up or self.node.log_cut:
+        await self.node.wait_while_frozen()
+        if not self.log.up or self.node.log_disconnected:
             await anyio.sleep(0.5)
             return LogFailure("down", False)
         records = self.log.records.setdefault(stream, [])
@@ -131,7 +131,7 @@
         records.append(Record(offset, body))
         self.log.appends += 1
         await anyio.sleep(HOP_S)
-        await self.node.stand()
+        await self.node.wait_while_frozen()
         if self.log.lose_answers:
             self.log.lose_answers -= 1
             return LogFailure("answer lost", True)
@@ -142,8 +142,8 @@
     ) -> Page | LogFailure:
         end_s = self.node.clock.loop.time() + wait_s
         while True:
-            await self.node.stand()
-            if not self.log.up or self.node.log_cut:
+            await self.node.wait_while_frozen()
+            if not self.log.up or self.node.log_disconnected:
                 await anyio.sleep(0.2)
                 return LogFailure("down", False)
             first = self.log.first.get(stream, 0)
@@ -151,7 +151,7 @@
             after = records[-1].offset + 1 if records else first
             found = [r for r in records if r.offset >= offset][:limit]
             if found or self.node.clock.loop.time() >= end_s:
-                await self.node.stand()
+                await self.node.wait_while_frozen()
                 return Page(first, after, tuple(found))
             await anyio.sleep(0.2)
 
@@ -166,7 +166,7 @@
     service: KeyService = field(init=False)
     thawed: anyio.Event = field(factory=anyio.Event)
     alive: bool = True
-    log_cut: bool = False
+    log_disconnected: bool = False
     suspected_s: float = -1.0
     tasks: set[asyncio.Task] = field(factory=set)
 
@@ -184,14 +184,14 @@
             self._run_call,
             world.rng,
             KeySettings(window_s=WINDOW_S, table_size=world.table_size),
-            world.note,
+            world.count_event,
         )
 
     @property
     def frozen(self) -> bool:
         return self.clock.frozen_s is not None
 
-    async def stand(self) -> None:
+    async def wait_while_frozen(self) -> None:
         """Stand still while the process is frozen."""
         while not self.thawed.is_set():
             await self.thawed.wait()
@@ -213,27 +213,27 @@
     def _end_task(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.world.faults.append(repr(task.exception()))
+            self.world.task_errors.append(repr(task.exception()))
 
     async def _run_call(self, call: Call) -> Outcome:
-        await self.stand()
+        await self.wait_while_frozen()
         world = self.world
         await anyio.sleep(HOP_S)
-        await self.stand()
+        await self.wait_while_frozen()
         if world.shed_next:
             world.shed_next = False
             return Outcome(NotRun(Reason.OVERLOAD))
         key = call.context.key
         world.runs.append(Run(key, call.context.call_id, world.loop.time()))
         await anyio.sleep(world.run_s)
-        await self.stand()
+        await self.wait_while_frozen()
         return Outcome(Answered(200, (), f"{key} {len(world.runs)}".encode()))
 
     # the peer port
     async def ask(
         self, address: str, message: Message, timeout_s: float
     ) -> Message | PeerFailure:
-        await self.stand()
+        await self.wait_while_frozen()
         start_s = self.world.loop.time()
         message.sequence = 1
         copy = decode_payload(encode_frame(message)[FRAME_HEADER_BYTES:])
@@ -243,20 +243,23 @@
             return PeerFailure(address, False)
         reply = None
         if self.world.is_silent(self, address):
-            await anyio.sleep(min(timeout_s, SILENCE_S))
+            await anyio.sleep(min(timeout_s, SILENCE_TIMEOUT_S))
             return PeerFailure(address, True)
-        if not self.world.is_cut(self, target) and not self.world.loses():
+        if (
+            not self.world.is_partitioned(self, target)
+            and not self.world.drops_message()
+        ):
             work = target.spawn(target.handle(self.hello(), copy))
             with anyio.move_on_after(timeout_s):
                 reply = await asyncio.wait([work]) and await _result(work)
-        lost = self.world.is_cut(target, self) or self.world.loses()
+        lost = self.world.is_partitioned(target, self) or self.world.drops_message()
         if reply is None or lost:
-            left_s = timeout_s - (self.world.loop.time() - start_s)
-            await anyio.sleep(max(0.0, min(left_s, 1.0)))
-            await self.stand()
+            remaining_s = timeout_s - (self.world.loop.time() - start_s)
+            await anyio.sleep(max(0.0, min(remaining_s, 1.0)))
+            await self.wait_while_frozen()
             return PeerFailure(address, True)
         await anyio.sleep(HOP_S)
-        await self.stand()
+        await self.wait_while_frozen()
         return reply
 
     async def tell(self, address: str, message: Message) -> bool:
@@ -273,10 +276,10 @@
         )
 
     async def handle(self, sender: Hello, message: Message) -> Message | None:
-        await self.stand()
+        await self.wait_while_frozen()
         if message.call is not None:
             call = decode_call(message.call, self.clock.read())
-            outcome = await self.service.handle_own(call)
+            outcome = await self.service.handle_forwarded(call)
             return Message(outcome=encode_outcome(call.context.call_id, outcome))
         for name, handler in self.service.handlers().items():
             if getattr(message, name) is not None:
@@ -298,27 +301,27 @@
     loop: VirtualLoop = field(factory=VirtualLoop)
     nodes: dict[str, Node] = field(factory=dict)
     runs: list[Run] = field(factory=list)
-    sendings: list[Sending] = field(factory=list)
+    attempts: list[Attempt] = field(factory=list)
     counts: dict[str, int] = field(factory=dict)
-    cuts: set[tuple[str, str]] = field(factory=set)
+    partitions: set[tuple[str, str]] = field(factory=set)
     loss: float = 0.0
     silent: set[tuple[str, str]] = field(factory=set)
     run_s: float = 0.05
     shed_next: bool = False
-    faults: list[str] = field(factory=list)
+    task_errors: list[str] = field(factory=list)
     log: FakeLog = field(init=False)
     _numbers: count = field(factory=lambda: count(1))
 
     def __attrs_post_init__(self) -> None:
         self.log = FakeLog(self)
 
-    def note(self, name: str) -> None:
+    def count_event(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def loses(self) -> bool:
+    def drops_message(self) -> bool:
         return self.rng.random() < self.loss
 
-    def silence(self) -> None:
+    def drop_next_requests(self) -> None:
         """Let every link lose the next question, and be a new one after that."""
         pairs = itertools.permutations(self.nodes, 2)
         self.silent = set(pairs)
@@ -330,9 +333,9 @@
         self.silent.discard(pair)
         return True
 
-    def is_cut(self, source: Node, target: Node) -> bool:
+    def is_partitioned(self, source: Node, target: Node) -> bool:
         ends = (source.identity.failure_domain, target.identity.failure_domain)
-        return ends in self.cuts
+        return ends in self.partitions
 
     def start_node(self, failure_domain: str, address: str = "") -> Node:
         number = next(self._numbers)
@@ -363,9 +366,9 @@
         end_s = self.loop.time() + seconds
         while True:
             self.detect()
-            left_s = end_s - self.loop.time()
-            self.loop.run_until_complete(asyncio.sleep(min(0.5, max(0.0, left_s))))
-            if left_s <= 0:
+            remaining_s = end_s - self.loop.time()
+            self.loop.run_until_complete(asyncio.sleep(min(0.5, max(0.0, remaining_s))))
+            if remaining_s <= 0:
                 return
 
     def detect(self) -> None:
@@ -373,7 +376,7 @@
             if not observer.alive or observer.frozen:
                 continue
             board = observer.service.core.board
-            board.log_reachable = self.log.up and not observer.log_cut
+            board.log_reachable = self.log.up and not observer.log_disconnected
             for node in self.nodes.values():
                 self._note_member(board, observer, node)
 
@@ -394,7 +397,7 @@
             return
         member = Member(identity, server_state=ServerState.SERVING)
         frozen_s = node.clock.frozen_s
-        silent = frozen_s is not None and self.loop.time() - frozen_s > SUSPECT_S
+        silent = frozen_s is not None and self.loop.time() - frozen_s > SUSPECT_AFTER_S
         suspected = self.loop.time() < node.suspected_s
         if not node.alive or ((silent or suspected) and node is not observer):
             member = evolve(member, state=MemberState.DEAD)
@@ -419,32 +422,32 @@
         request = Request("jobdesk", "POST", "/jobdesk/bookings", (), body)
         return Call(context, request)
 
-    def send(self, node: Node, key: str, body: bytes = b"") -> Sending:
+    def send(self, node: Node, key: str, body: bytes = b"") -> Attempt:
         """Send a request to a node; `settle` or `advance` brings the answer."""
         call = self.make_call(key, body)
-        sending = Sending(key, call.context.call_id, self.loop.time(), node)
-        self.sendings.append(sending)
-        node.spawn(self._deliver(node, sending, call))
-        return sending
+        attempt = Attempt(key, call.context.call_id, self.loop.time(), node)
+        self.attempts.append(attempt)
+        node.spawn(self._deliver(node, attempt, call))
+        return attempt
 
-    async def _deliver(self, node: Node, sending: Sending, call: Call) -> None:
-        await node.stand()
+    async def _deliver(self, node: Node, attempt: Attempt, call: Call) -> None:
+        await node.wait_while_frozen()
         # a request that waited in a socket gets its deadline when it is read
         deadline_s = self.loop.time() + 20.0
         call = evolve(call, context=evolve(call.context, deadline_s=deadline_s))
         outcome = await node.service.run(call)
-        await node.stand()
-        sending.verdict = outcome.verdict
-        self.check(sending)
+        await node.wait_while_frozen()
+        attempt.verdict = outcome.verdict
+        self.check(attempt)
 
-    def tell(self, node: Node, key: str, body: bytes = b"") -> Verdict | None:
+    def send_and_wait(self, node: Node, key: str, body: bytes = b"") -> Verdict | None:
         """Send a request and return what its caller was told."""
-        sending = self.send(node, key, body)
+        attempt = self.send(node, key, body)
         for _ in range(50):
             self.advance(0.5)
-            if sending.verdict is not None:
+            if attempt.verdict is not None:
                 break
-        return sending.verdict
+        return attempt.verdict
 
     def find_holders(self, key: str) -> tuple[Node | None, Node | None]:
         """Return the primary and the backup of a key, as far as anyone knows."""
@@ -453,7 +456,7 @@
             return self.find_node(parsed.incarnation), None
         home = find_home(key, parsed.failure_domain, self.failure_domains)
         views = [
-            node.service.core.holders[find_slot(key)].view
+            node.service.core.slot_states[find_slot(key)].view
             for node in self.nodes.values()
             if node.identity.failure_domain == home
         ]
@@ -461,8 +464,8 @@
         primary = self.find_node(latest.primary.incarnation)
         return primary, self.find_node(latest.backup.incarnation)
 
-    def sendings_to_living(self) -> list[Sending]:
-        return [sending for sending in self.sendings if sending.node.alive]
+    def list_attempts_at_live_nodes(self) -> list[Attempt]:
+        return [attempt for attempt in self.attempts if attempt.node.alive]
 
     def find_node(self, incarnation: str) -> Node | None:
         for node in self.nodes.values():
@@ -470,26 +473,26 @@
                 return node
         return None
 
-    def check(self, sending: Sending) -> None:
+    def check(self, attempt: Attempt) -> None:
         """Check what a caller was told against what was run."""
-        runs = [run for run in self.runs if run.key == sending.key]
-        assert len(runs) <= 1, f"{sending.key} ran twice: {runs}"
-        match sending.verdict:
+        runs = [run for run in self.runs if run.key == attempt.key]
+        assert len(runs) <= 1, f"{attempt.key} ran twice: {runs}"
+        match attempt.verdict:
             case NotRun():
                 false = [
                     run
                     for run in runs
-                    if run.at_s < sending.started_s or run.call_id == sending.call_id
+                    if run.at_s < attempt.started_s or run.call_id == attempt.call_id
                 ]
-                assert not false, f"a false 'not run': {sending}, {false}"
+                assert not false, f"a false 'not run': {attempt}, {false}"
             case Answered(_, _, body):
-                assert body.split()[0].decode() == sending.key
-                told = {
+                assert body.split()[0].decode() == attempt.key
+                answers = {
                     other.verdict
-                    for other in self.sendings
-                    if other.key == sending.key and isinstance(other.verdict, Answered)
+                    for other in self.attempts
+                    if other.key == attempt.key and isinstance(other.verdict, Answered)
                 }
-                assert len(told) == 1, f"different answers: {told}"
+                assert len(answers) == 1, f"different answers: {answers}"
             case MayHaveRun():
                 pass
 
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -182,7 +182,7 @@
                 await anyio.sleep(0.02)
 
     def _is_connected(self, vm: Vm) -> bool:
-        state = vm.node.beliefs
+        state = vm.node.state
         called_services = {
             target.service
             for route in state.table.routes.values()
--- a/tests/relay/lone_node.py
+++ b/tests/relay/lone_node.py
@@ -57,7 +57,7 @@
 
     def read_server_view(self) -> tuple[Any, ...]:
         """Return the node's state of the server, and what it reports to other nodes."""
-        state = self.node.beliefs
+        state = self.node.state
         server = state.server
         local = state.members.by_name[SETTINGS.name]
         return (
--- a/tests/relay/test_announcements.py
+++ b/tests/relay/test_announcements.py
@@ -55,9 +55,7 @@
         assert (await lone.announce("i-2", service="nobody")).status == 421
         assert lone.read_server_view() == before
         assert (await lone.announce()).status == 200
-        assert not lone.node.beliefs.server.find_refusal_reason(
-            lone.node.beliefs.clock()
-        )
+        assert not lone.node.state.server.find_refusal_reason(lone.node.state.clock())
 
     run(scenario)
 
@@ -105,18 +103,18 @@
         await lone.announce()
         lone.change_settings(service="ledger")
         # the settings alone change nothing: the earlier server may still run
-        assert lone.node.beliefs.server.service == "desk"
+        assert lone.node.state.server.service == "desk"
         assert (await lone.announce(sequence=2)).status == 421
         assert (await lone.announce("i-2", service="ledger")).status == 200
-        assert lone.node.beliefs.server.service == "ledger"
-        assert lone.node.beliefs.make_hello().service_name == "ledger"
+        assert lone.node.state.server.service == "ledger"
+        assert lone.node.state.make_hello().service_name == "ledger"
 
     run(scenario)
 
 
 def test_settings_are_reloaded_before_a_service_is_rejected():
     async def scenario(lone: LoneNode) -> None:
-        lone.node.look_at_settings = lambda: lone.change_settings(service="ledger")
+        lone.node.check_settings = lambda: lone.change_settings(service="ledger")
         assert (await lone.announce("i-2", service="ledger")).status == 200
 
     run(scenario)
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -109,11 +109,11 @@
         await deployment.wait_until_connected()
         deployment.configure(5, BOOK)
         with anyio.fail_after(2):
-            while vm.node.beliefs.table.version != 5:
+            while vm.node.state.table.version != 5:
                 await anyio.sleep(0.01)
         deployment.configure(3, LIST)
         await anyio.sleep(0.5)
-        assert vm.node.beliefs.table.version == 5
+        assert vm.node.state.table.version == 5
 
     run(scenario, LIST)
 
@@ -129,7 +129,7 @@
         )
         other = deployment.vms[1]
         with anyio.fail_after(3):
-            while other.node.beliefs.table.version != 7:
+            while other.node.state.table.version != 7:
                 await anyio.sleep(0.01)
 
     run(scenario, LIST)
@@ -190,7 +190,7 @@
         deployment.log.trouble = Trouble.NONE
         deployment.configure(2, LIST, BOOK)
         with anyio.fail_after(4):
-            while front.node.beliefs.table.version != 2:
+            while front.node.state.table.version != 2:
                 await anyio.sleep(0.01)
 
     run(scenario, LIST)
@@ -206,7 +206,7 @@
         deployment.log.forget_history("keyed.op")
         deployment.log.trouble = Trouble.NONE
         with anyio.fail_after(4):
-            while vm.node.beliefs.table.version != 2:
+            while vm.node.state.table.version != 2:
                 await anyio.sleep(0.01)
 
     run(scenario, LIST)
@@ -409,7 +409,7 @@
         )
         for _ in range(3):
             await send_as_client(front, "/book/1", "POST")
-        load = front.node.beliefs.members.by_name["node-2"].load
+        load = front.node.state.members.by_name["node-2"].load
         with anyio.fail_after(3):
             while not (load.run_s and load.failure_share):
                 await anyio.sleep(0.01)
@@ -436,7 +436,7 @@
         await anyio.sleep(0.05)
         back.node = build_relay(back.settings)
         await start_relay(back.node, deployment.group)
-        server = back.node.beliefs.server
+        server = back.node.state.server
         with anyio.fail_after(3):
             # the health check names the identity without the start
             while server.incarnation is None:
@@ -485,7 +485,7 @@
             deployment.log.put("keyed.nodes", key, b"\xff\xff no record")
         await deployment.add("front")
         await deployment.wait_until_connected()
-        assert vm.node.beliefs.members.by_name.keys() == {"node-1", "node-2"}
+        assert vm.node.state.members.by_name.keys() == {"node-1", "node-2"}
 
     run(scenario, LIST)
 
@@ -499,7 +499,7 @@
         deployment.log.put("keyed.nodes", LEARNED_KEY, encode_struct(record))
         late = await deployment.add("front")
         for vm in (late, first):
-            graph = vm.node.beliefs.graph
+            graph = vm.node.state.graph
             with anyio.fail_after(3):
                 while graph.calls_per_run != calls:
                     await anyio.sleep(0.02)
@@ -520,7 +520,7 @@
         with anyio.fail_after(2):
             while not back.server.runs:
                 await anyio.sleep(0.01)
-        front.node.beliefs.stopping = True
+        front.node.state.stopping = True
         front.node.callers.ending = True
         ready = await request(front.settings.ready_address, "GET", "/ready")
         assert ready.status == 503
@@ -570,7 +570,7 @@
         await anyio.sleep(0.05)
         restarted = build_relay(late.settings)
         await start_relay(restarted, deployment.group)
-        restarted.beliefs.server.apply_answer_identity(late.server.incarnation)
+        restarted.state.server.apply_answer_identity(late.server.incarnation)
         with anyio.fail_after(5):
             while not restarted.is_ready():
                 await anyio.sleep(0.02)
@@ -585,7 +585,7 @@
         front = await deployment.add("front")
         back = await deployment.add("list")
         await deployment.wait_until_connected()
-        member = front.node.beliefs.members.by_name["node-2"]
+        member = front.node.state.members.by_name["node-2"]
         member.link.close()
         member.link = None
         assert (await send_as_client(front, "/list/1")).status == 200
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -38,11 +38,11 @@
     def __init__(self):
         self.node = build_relay(evolve(SETTINGS, service="list"))
         self.node.timers = TimerService(ManualClock(0.0), random.Random(3))
-        self.node.beliefs.clock = self.node.timers.read
+        self.node.state.clock = self.node.timers.read
         subscribe_timers(self.node)
         self.pool = self.node.dispatcher.pool = FakePool()
         self.pool.sweep = lambda: None
-        server = self.node.beliefs.server
+        server = self.node.state.server
         incarnation = ServerIncarnation("i1")
         server.apply_heartbeat(Heartbeat(incarnation, service="list", slots=8))
         self.configure(1, LIST, PART)
@@ -52,7 +52,7 @@
 
     @property
     def routes(self):
-        return self.node.beliefs.table.routes.values()
+        return self.node.state.table.routes.values()
 
     def configure(self, version: int, *rules) -> None:
         self.node.apply_document(make_document(version, *rules))
@@ -62,8 +62,8 @@
 
     def start(self, name: str) -> None:
         """Send a request from the VM and start its run."""
-        self.node.beliefs.record_call(name)
-        route = self.node.beliefs.find_route(name, True)
+        self.node.state.record_call(name)
+        route = self.node.state.find_route(name, True)
         call = make_call(route, now_s=self.node.dispatcher.clock())
         self.node.dispatcher.submit(Job(call, self.check_reply))
 
@@ -116,17 +116,17 @@
 
 def test_nothing_is_dropped_without_a_configuration(setup):
     setup.run(setup.part_name)
-    setup.node.beliefs.table = RouteTable()
+    setup.node.state.table = RouteTable()
     setup.wait(3.0)
     assert setup.part_name in setup.node.dispatcher.measures.routes
 
 
 def test_counts_of_the_busiest_routes_are_reported_first(setup):
     for number in range(MAX_ROWS):
-        setup.node.beliefs.record_call(f"shop/{number}/")
+        setup.node.state.record_call(f"shop/{number}/")
     for _ in range(3):
-        setup.node.beliefs.record_call(setup.list_name)
-    update_request_counts(setup.node.beliefs)
+        setup.node.state.record_call(setup.list_name)
+    update_request_counts(setup.node.state)
     counts = setup.node.controllers.make_report(True).counts
     assert len(counts) == MAX_ROWS
     assert counts[0].route_name == setup.list_name
@@ -138,7 +138,7 @@
     Routes that only a removed route called would count as internal for good, and the
     requests of clients for them would be admitted as calls of servers.
     """
-    graph = setup.node.beliefs.graph
+    graph = setup.node.state.graph
     learned = {setup.part_name: {setup.list_name: 2.0}}
     for name, calls in learned.items():
         graph.set_calls(name, calls)
@@ -157,7 +157,7 @@
 
 
 def test_routes_that_only_other_nodes_know_are_not_stored(setup):
-    beliefs = setup.node.beliefs
+    beliefs = setup.node.state
     route = weakref.ref(beliefs.find_route("shop/new/", True))
     assert route() is None
     assert beliefs.find_route("shop/new/", False).name == "shop/new/"
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -363,15 +363,15 @@
 @given(st.lists(random_records(), max_size=8))
 def test_invalid_records_change_no_other_state(records):
     node = build_relay(SETTINGS)
-    node.put_own()
+    node.register_local_node()
     good = ttypes.NodeRecord("n3", "127.0.0.3:7620", "a", "list")
-    node.take_nodes((StoredRecord("n3", encode_struct(good)),))
-    node.take_nodes(tuple(records))
-    node.take_configuration(tuple(records))
-    found = node.beliefs.members.by_name
+    node.apply_node_records((StoredRecord("n3", encode_struct(good)),))
+    node.apply_node_records(tuple(records))
+    node.apply_configuration_records(tuple(records))
+    found = node.state.members.by_name
     assert found[SETTINGS.name].service == SETTINGS.service
     assert found["n3"].address == "127.0.0.3:7620"
-    assert node.beliefs.table.version == 0
+    assert node.state.table.version == 0
     for member in found.values():
         assert str(parse_address(member.address)) == member.address
         assert member.name
--- a/tests/relay/test_link_faults.py
+++ b/tests/relay/test_link_faults.py
@@ -137,7 +137,7 @@
             assert len(inbound.connections) <= len(self.deployment.vms)
         for vm in self.entry_vms:
             assert vm.node.ingress.answers.open_flows == 0
-            for member in vm.node.beliefs.members.by_name.values():
+            for member in vm.node.state.members.by_name.values():
                 assert member.link is None or not member.link.pending_calls
 
 
--- a/tests/relay/test_peer_updates.py
+++ b/tests/relay/test_peer_updates.py
@@ -26,19 +26,19 @@
 def test_crashes_of_two_incarnations_with_one_identity_count_twice(node):
     job = Job(make_call(), lambda reply: None)
     for started_ms in (STARTED_MS, STARTED_MS, STARTED_MS + 1):
-        node.news.handle_crash(ServerIncarnation("i1", started_ms), [job])
-    (suspect,) = node.news.quarantine.suspects.values()
+        node.peer_updates.handle_crash(ServerIncarnation("i1", started_ms), [job])
+    (suspect,) = node.peer_updates.quarantine.suspects.values()
     assert suspect.crashes == 2
 
 
 def test_report_replaces_values_of_an_earlier_incarnation(node):
-    member = node.beliefs.members.put("node-2", "127.77.4.2:7620", "a", "list")
+    member = node.state.members.put("node-2", "127.77.4.2:7620", "a", "list")
     times = [ttypes.RouteTime("shop/list/", 900.0)]
     load = (False, 7, 3, 90, 2000, 1, times, [], 500_000, [], 1000, 250_000)
     report = ttypes.RelayReport(*load)
-    node.news.handle_report(member, report)
+    node.peer_updates.handle_report(member, report)
     assert member.load.run_s == {"shop/list/": 0.9}
-    node.news.handle_report(
+    node.peer_updates.handle_report(
         member, ttypes.RelayReport(True, 0, 0, 14, 0, 1, [], [], 0, [], 0, 0)
     )
     load = member.load
@@ -50,7 +50,7 @@
 
 
 def test_measurements_are_reset_when_the_server_restarts(node):
-    server = node.beliefs.server
+    server = node.state.server
     server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=5))
     node.dispatcher.measures.failure_share = 0.5
     server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", STARTED_MS + 1)))
@@ -61,7 +61,7 @@
 def test_log_line_of_a_server_restart_names_both_incarnations(node):
     lines = []
     handler = logger.add(lambda line: lines.append(line.record))
-    server = node.beliefs.server
+    server = node.state.server
     for started_ms in (STARTED_MS, STARTED_MS + 1, STARTED_MS):
         server.apply_heartbeat(Heartbeat(ServerIncarnation("i1", started_ms)))
     logger.remove(handler)
--- a/tests/relay/test_silent_peer.py
+++ b/tests/relay/test_silent_peer.py
@@ -244,7 +244,7 @@
 
     async def scenario(setup: SingleServerScenario) -> None:
         setup.server_vm.server.work_s = 0.0
-        member = setup.entry_vm.node.beliefs.members.by_name["node-2"]
+        member = setup.entry_vm.node.state.members.by_name["node-2"]
         ids = []
         for target in ("/book/1", "/list/1"):
             for _ in range(2):
@@ -368,7 +368,7 @@
         await anyio.sleep(0.5)
         assert not setup.future.done()
         name = setup.server_vm.settings.name
-        link = setup.entry_vm.node.beliefs.members.by_name[name].link
+        link = setup.entry_vm.node.state.members.by_name[name].link
         (sequence,) = link.pending_calls
         link._handle_reply(
             ttypes.RelayReply(sequence, fate, "overload", 0, b"", b"", 0, 0)
@@ -417,7 +417,7 @@
 
     async def scenario(setup: SingleServerScenario) -> None:
         setup.deployment.configure(2, LIST, BOOK, LONG)
-        while setup.entry_vm.node.beliefs.table.version < 2:
+        while setup.entry_vm.node.state.table.version < 2:
             await anyio.sleep(0.01)
         future = await setup.send_and_wait_for_run(target="/long/1")
         for link in setup.network.list_open(setup.place):
@@ -462,7 +462,7 @@
         for link in setup.network.list_open(setup.place):
             link.client_end.reset()
         await anyio.sleep(LATENCY_S / 2)
-        assert not setup.entry_vm.node.beliefs.members.by_name["node-2"].is_connected()
+        assert not setup.entry_vm.node.state.members.by_name["node-2"].is_connected()
         asyncio.get_running_loop().now_s += CONNECT_TIMEOUT_S + 0.1
         assert (await asyncio.wait_for(future, 3)).status == 200
         assert setup.server_vm.server.runs == ["a1"]
@@ -477,7 +477,7 @@
     async def scenario(setup: SingleServerScenario) -> None:
         setup.server_vm.server.work_s = 0.5
         future = await setup.send_and_wait_for_run(target=target)
-        members = setup.entry_vm.node.beliefs.members
+        members = setup.entry_vm.node.state.members
         known = members.by_name["node-2"]
         members.put(known.name, known.address, known.failure_domain, "other")
         assert (await asyncio.wait_for(future, 1)).status == 200
@@ -491,12 +491,12 @@
 def test_call_to_a_removed_and_unreachable_node_fails_soon():
     async def scenario(setup: SingleServerScenario) -> None:
         future = await setup.send_and_wait_for_run()
-        setup.entry_vm.node.beliefs.members.remove("node-2")
+        setup.entry_vm.node.state.members.remove("node-2")
         setup.network.mute(setup.place)
         setup.network.listeners[setup.place].close()
         answer = await asyncio.wait_for(future, SILENCE_TIMEOUT_S + 2 * SLACK_S)
         assert answer.status == 502
-        assert setup.entry_vm.node.beliefs.members.list_retired() == []
+        assert setup.entry_vm.node.state.members.list_retired() == []
 
     run_scenario(scenario)
 
--- a/tests/relay/test_status.py
+++ b/tests/relay/test_status.py
@@ -42,7 +42,7 @@
 
 
 def test_status_shows_the_start_of_the_server(node, show):
-    node.beliefs.server.apply_heartbeat(
+    node.state.server.apply_heartbeat(
         Heartbeat(ServerIncarnation("i1", STARTED_MS), sequence=1)
     )
     assert f"i1, started {STARTED}, takes work" in show()
@@ -53,14 +53,14 @@
 def test_status_shows_that_the_server_or_its_start_is_unknown(node, show):
     assert "server         not known, no work: server-starting" in show()
     assert json.loads(show("--json"))["server"]["started_ms"] == 0
-    node.beliefs.server.apply_answer_identity("i1")
+    node.state.server.apply_answer_identity("i1")
     assert "i1, start not known, takes work" in show()
 
 
 def test_status_lists_the_nodes_that_forward_the_log(node, show):
-    node.put_own()
+    node.register_local_node()
     assert "log            heard from nobody" in show()
-    reader = Subscription(heard_s=node.beliefs.clock(), reads=True)
+    reader = Subscription(heard_s=node.state.clock(), reads=True)
     node.readers.subscriptions = {"n7": reader, "n9": Subscription()}
     text = show()
     assert "heard from n7 (0.0" in text
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -181,7 +181,7 @@
         started = await deployment.add("list", "a")
         # it knows no other node, and none opens a link to one that it can't know
         for vm in deployment.vms[:-1]:
-            vm.node.beliefs.members.put(
+            vm.node.state.members.put(
                 started.settings.name, str(started.settings.peer_address), "a", "list"
             )
         await anyio.sleep(APPLY_S)
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -152,7 +152,7 @@
 
 def set_draining(deployment: Deployment, draining: bool) -> None:
     for vm in deployment.vms:
-        vm.node.beliefs.server.draining = draining
+        vm.node.state.server.draining = draining
 
 
 # A request that no server takes has not run, and does not count.
--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -17,9 +17,9 @@
 
 ABLATIONS[{name!r}]()
 node = build_relay(SETTINGS)
-node.put_own()
-member = node.beliefs.members.put("node-2", "127.0.0.1:7620", "a", "list")
-member.load = MemberLoad(limit=4, demand=2.0, reported_s=node.beliefs.clock())
+node.register_local_node()
+member = node.state.members.put("node-2", "127.0.0.1:7620", "a", "list")
+member.load = MemberLoad(limit=4, demand=2.0, reported_s=node.state.clock())
 node.controllers.step()
 print("done")
 """
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -63,7 +63,7 @@
 
 
 def list_versions(deployment: Deployment) -> set[int]:
-    return {vm.node.beliefs.table.version for vm in deployment.vms}
+    return {vm.node.state.table.version for vm in deployment.vms}
 
 
 def list_eras(deployment: Deployment) -> set[int]:
@@ -121,11 +121,11 @@
         topic.records = [one for one in topic.records if one[0] <= "node-3"]
         await come_back(deployment, copy)
         for vm in deployment.vms:
-            assert names <= vm.node.beliefs.members.by_name.keys()
+            assert names <= vm.node.state.members.by_name.keys()
         await anyio.sleep(6.0)
         assert names <= list_written(deployment)
         for vm in deployment.vms:
-            assert names <= vm.node.beliefs.members.by_name.keys()
+            assert names <= vm.node.state.members.by_name.keys()
             assert (await send_as_client(vm, "/list/1")).status == 200
 
     play(scenario)
@@ -144,10 +144,10 @@
         await come_back(deployment, copy)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-6" in vm.node.beliefs.members.by_name
+            assert "node-6" in vm.node.state.members.by_name
         await anyio.sleep(10.0)
         for vm in deployment.vms:
-            assert "node-6" not in vm.node.beliefs.members.by_name
+            assert "node-6" not in vm.node.state.members.by_name
 
     play(scenario)
 
@@ -156,7 +156,7 @@
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for vm in deployment.vms:
-            vm.node.beliefs.graph.set_calls(
+            vm.node.state.graph.set_calls(
                 "shop.example/list/", {"shop.example/desk/": 2.0}
             )
         await anyio.sleep(15.0)
@@ -222,15 +222,15 @@
 
 def test_node_whose_server_has_left_drops_its_record():
     async def scenario(deployment: Deployment) -> None:
-        deployment.vms[5].node.beliefs.server.left = True
+        deployment.vms[5].node.state.server.left = True
         await stop_node(deployment, 5)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-6" not in vm.node.beliefs.members.by_name
+            assert "node-6" not in vm.node.state.members.by_name
         # one whose server goes on is started again
         await stop_node(deployment, 4)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-5" in vm.node.beliefs.members.by_name
+            assert "node-5" in vm.node.state.members.by_name
 
     play(scenario)
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -67,7 +67,7 @@
         return [
             vm.settings.name
             for vm in (self.vms if vms is None else vms)
-            if vm.node.beliefs.table.version < version
+            if vm.node.state.table.version < version
         ]
 
     async def expect_version(self, version: int, vms: list[Vm] | None = None) -> None:
@@ -145,7 +145,7 @@
         names = {vm.settings.name for vm in fleet.vms}
         assert late.settings.name in names
         for vm in fleet.vms:
-            assert vm.node.beliefs.members.by_name.keys() == names
+            assert vm.node.state.members.by_name.keys() == names
 
     play(scenario)
 
@@ -266,10 +266,10 @@
         with anyio.fail_after(6.0):
             while not again.node.is_ready():
                 await anyio.sleep(0.05)
-        assert again.node.beliefs.table.version == 1
+        assert again.node.state.table.version == 1
         await anyio.sleep(2.0)
         names = {one.settings.name for one in fleet.vms}
-        assert again.node.beliefs.members.by_name.keys() == names
+        assert again.node.state.members.by_name.keys() == names
 
     play(scenario)
 
@@ -280,7 +280,7 @@
         await fleet.expect_version(5)
         fleet.configure(3)
         await anyio.sleep(3.0)
-        versions = {vm.node.beliefs.table.version for vm in fleet.vms}
+        versions = {vm.node.state.table.version for vm in fleet.vms}
         assert versions == {5}
 
     play(scenario)
@@ -295,7 +295,7 @@
             vm.node.readers.make_tally = make_tally
         await anyio.sleep(4.0)
         for vm in fleet.vms:
-            outlook = vm.node.beliefs.cluster_counts
+            outlook = vm.node.state.cluster_counts
             assert outlook.nodes == len(fleet.vms)
             assert outlook.offered[DEMAND] == pytest.approx(2.0 * len(fleet.vms))
 
@@ -308,7 +308,7 @@
             fleet.stop(vm)
         await anyio.sleep(2 * HEARD_S + 3.0)
         for vm in fleet.vms:
-            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
+            assert vm.node.state.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -325,7 +325,7 @@
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
             # calls are known, and no service is short
-            vm.node.beliefs.graph.set_calls(
+            vm.node.state.graph.set_calls(
                 "shop.example/list/", {"shop.example/part/": 1.0}
             )
         await anyio.sleep(CALM_PERIOD_S)
@@ -333,7 +333,7 @@
             await anyio.sleep(4 * CALM_PERIOD_S)
         assert 0.0 < sum(asked) / len(asked) < 1.5 * PERIOD_S / CALM_PERIOD_S
         for vm in fleet.vms:
-            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
+            assert vm.node.state.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -343,7 +343,7 @@
         far = 0
         for vm in fleet.vms:
             domains = {
-                vm.node.beliefs.members.by_name[name].failure_domain
+                vm.node.state.members.by_name[name].failure_domain
                 for name in vm.node.readers.subscriptions
             }
             far += len(domains - {vm.settings.failure_domain})
