--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -27,7 +27,7 @@
 @pytest.fixture
 def node():
     node = build_relay(SETTINGS)
-    node.put_own()
+    node.register_local_node()
     return node
 
 
@@ -48,7 +48,7 @@
 
 
 def list_members(node) -> list[tuple[str, str, str]]:
-    found = node.beliefs.members.by_name.values()
+    found = node.state.members.by_name.values()
     return [(one.name, one.address, one.service) for one in found]
 
 
@@ -74,36 +74,36 @@
 # entered a member called None; a link to an address that is none ended a timer's step.
 @pytest.mark.parametrize("record", BAD_NODES, ids=lambda one: repr(one)[:60])
 def test_bad_record_of_a_node_leaves_the_others_and_what_was_known(node, record):
-    node.take_nodes((make_record(),))
+    node.apply_node_records((make_record(),))
     before = list_members(node)
-    node.take_nodes((record, make_record("n4")))
+    node.apply_node_records((record, make_record("n4")))
     known = [*before, ("n4", "127.0.0.2:7620", "list")]
     assert list_members(node) == known
     assert node.refused.totals == {"node-record": 1}
-    assert node.found_nodes
+    assert node.has_node_records
 
 
 # A record with an empty value drops a key; one for the node's own name made it forget
 # itself, so that it no longer gave its own server any work.
 def test_nobody_drops_the_node_itself(node):
     before = list_members(node)
-    node.take_nodes((StoredRecord(SETTINGS.name, b""),))
-    node.take_nodes((make_record(SETTINGS.name, address="127.0.0.9:1"),))
+    node.apply_node_records((StoredRecord(SETTINGS.name, b""),))
+    node.apply_node_records((make_record(SETTINGS.name, address="127.0.0.9:1"),))
     assert list_members(node) == before
-    node.take_nodes((make_record(), StoredRecord("n2", b"")))
+    node.apply_node_records((make_record(), StoredRecord("n2", b"")))
     assert list_members(node) == before
 
 
 def test_number_of_members_is_bounded(node):
     records = [make_record(f"n{number}") for number in range(members.MAX_MEMBERS + 50)]
-    node.take_nodes(tuple(records))
-    assert len(node.beliefs.members.by_name) == members.MAX_MEMBERS
+    node.apply_node_records(tuple(records))
+    assert len(node.state.members.by_name) == members.MAX_MEMBERS
     assert node.refused.totals == {"node-record": 51}
     # those that are known may still change and leave
-    node.take_nodes((make_record("n1", address="127.0.0.3:7620"),))
-    assert node.beliefs.members.by_name["n1"].address == "127.0.0.3:7620"
-    node.take_nodes((StoredRecord("n1", b""), make_record("n-late")))
-    assert "n-late" in node.beliefs.members.by_name
+    node.apply_node_records((make_record("n1", address="127.0.0.3:7620"),))
+    assert node.state.members.by_name["n1"].address == "127.0.0.3:7620"
+    node.apply_node_records((StoredRecord("n1", b""), make_record("n-late")))
+    assert "n-late" in node.state.members.by_name
 
 
 @pytest.mark.parametrize(
@@ -122,10 +122,10 @@
     ids=lambda one: repr(one.value)[:60],
 )
 def test_bad_record_of_learned_calls_changes_nothing(node, record):
-    node.take_nodes((make_learned(("shop/a/", "shop/b/", 2.0)),))
-    assert node.beliefs.graph.calls_per_run == CALLS
-    node.take_nodes((record, make_record()))
-    assert node.beliefs.graph.calls_per_run == CALLS
+    node.apply_node_records((make_learned(("shop/a/", "shop/b/", 2.0)),))
+    assert node.state.graph.calls_per_run == CALLS
+    node.apply_node_records((record, make_record()))
+    assert node.state.graph.calls_per_run == CALLS
     assert len(list_members(node)) == 2
     assert node.refused.totals == {"learned-calls": 1}
 
@@ -133,8 +133,8 @@
 def test_number_of_learned_routes_is_bounded(node):
     for start in range(0, 3 * learned.MAX_ROUTES, 4000):
         rows = [(f"shop/{start + number}/", "", 0.0) for number in range(4000)]
-        node.take_nodes((make_learned(*rows),))
-    assert len(node.beliefs.graph.calls_per_run) == learned.MAX_ROUTES
+        node.apply_node_records((make_learned(*rows),))
+    assert len(node.state.graph.calls_per_run) == learned.MAX_ROUTES
 
 
 @pytest.mark.parametrize(
@@ -167,14 +167,18 @@
     ids=lambda one: repr(one[:20]) + repr(one[-40:]),
 )
 def test_bad_configuration_leaves_the_one_in_force(node, document):
-    node.take_configuration((StoredRecord(CONFIGURATION_KEY, make_document(3, LIST)),))
-    table = node.beliefs.table
+    node.apply_configuration_records(
+        (StoredRecord(CONFIGURATION_KEY, make_document(3, LIST)),)
+    )
+    table = node.state.table
     assert table.version == 3
-    node.take_configuration((StoredRecord(CONFIGURATION_KEY, document),))
-    assert node.beliefs.table is table
+    node.apply_configuration_records((StoredRecord(CONFIGURATION_KEY, document),))
+    assert node.state.table is table
     assert node.refused.totals == {"configuration": 1}
-    node.take_configuration((StoredRecord(CONFIGURATION_KEY, make_document(8, LIST)),))
-    assert node.beliefs.table.version == 8
+    node.apply_configuration_records(
+        (StoredRecord(CONFIGURATION_KEY, make_document(8, LIST)),)
+    )
+    assert node.state.table.version == 8
 
 
 class ScriptedLog:
@@ -245,7 +249,7 @@
 
     async def main() -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(relay_run._join, node)
+            group.start_soon(relay_run._join_cluster, node)
             with anyio.fail_after(10):
                 while not node.followers:
                     await anyio.sleep(0.01)
