--- a/eelgrassmount/admin/__init__.py
+++ b/eelgrassmount/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The listener for operators."""
+"""The admin interface: HTTP listener, routes and handlers for operators."""
--- a/eelgrassmount/admin/config.py
+++ b/eelgrassmount/admin/config.py
@@ -1,4 +1,4 @@
-"""Operators' requests that concern the configuration."""
+"""Handlers of the admin interface for reading and publishing the configuration."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class JsonReply:
-    """A status and a JSON text."""
+    """An HTTP status and a JSON body."""
 
     status: int
     body: bytes
 
 
 def show_config(board: Blackboard) -> JsonReply:
-    """Answer ``GET /config``: the version in force here, and its text."""
-    own = board.configuration
+    """Answer ``GET /config``: the version in force at this node and its text."""
+    current = board.configuration
     return _reply(
         200,
         {
-            "version": own.version,
-            "text": own.text,
+            "version": current.version,
+            "text": current.text,
             "log_reachable": board.log_reachable,
         },
     )
@@ -54,8 +54,8 @@
 ) -> JsonReply:
     """Answer ``POST /config?base=N&id=REQUEST``, whose body is the text.
 
-    A repeat of a request with the same ``id`` gets the outcome of the first; the
-    id is optional.
+    ``id`` is optional. A retry with the same id returns the outcome of the first
+    attempt and publishes nothing again.
     """
     if base is None or not base.isascii() or not base.isdigit():
         return _refuse_request("name the version to replace, as base=7")
--- a/eelgrassmount/admin/json.py
+++ b/eelgrassmount/admin/json.py
@@ -1,4 +1,4 @@
-"""JSON answers of the admin interface."""
+"""JSON replies of the admin interface."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 
 def make_json_reply(status: int, content: Any) -> HttpReply:
-    """Return an answer with a JSON body that ends with a line feed."""
+    """Return a reply with a JSON body that ends with a line feed."""
     body = json.dumps(content, indent=2).encode() + b"\n"
     return HttpReply(status, (_CONTENT_TYPE,), body)
--- a/eelgrassmount/admin/listener.py
+++ b/eelgrassmount/admin/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listener for operators and programs."""
+"""The HTTP listener of the admin interface."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 @define(eq=False)
 class AdminListener:
-    """The ASGI application for operators."""
+    """The ASGI application of the admin interface."""
 
     max_body_bytes: int
     _handlers: dict[AdminRoute, AdminHandler] = field(factory=dict)
 
     def add(self, method: str, path: str, handler: AdminHandler) -> None:
-        """Answer requests of this method and path by ``handler``."""
+        """Register the handler of a method and path."""
         self._handlers[AdminRoute(method, path)] = handler
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
-        """Answer one request of an operator."""
+        """Handle one admin request."""
         try:
             request = await read_request(scope, receive, self.max_body_bytes)
         except BodyTooLongError:
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -1,4 +1,4 @@
-"""What a node shows of itself and of the members it knows."""
+"""Handlers of the admin interface for state, members, metrics and drain."""
 
 from __future__ import annotations
 
--- a/eelgrassmount/cmd/action.py
+++ b/eelgrassmount/cmd/action.py
@@ -1,4 +1,4 @@
-"""What a command line asks for, and how it ends."""
+"""Actions that commands return, and exit codes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended, as the exit code of the process."""
+    """Exit codes of the process."""
 
     DONE = 0
     REFUSED = 1
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """A command with all its arguments read, and not yet run.
+    """A command with parsed arguments that has not run yet.
 
-    `fire` calls a function before it has looked at every argument, so a command
-    only returns what is to be done: a misspelt flag then changes nothing.
+    `fire` calls a function before it has checked all arguments. Commands therefore
+    return an action, so that a misspelt flag has no effect.
     """
 
     start: Callable[[], ExitCode]
 
 
 def print_result(text: str, content: Any, as_json: bool) -> None:
-    """Print a result for people, or for programs as one JSON value."""
+    """Print a result as text, or as one JSON value."""
     print(json.dumps(content, indent=2) if as_json else text)
 
 
 def is_set(name: str, value: Any) -> bool:
-    """Tell whether a flag that takes no value was given."""
+    """Return whether a flag without a value was given; reject any value."""
     if not isinstance(value, bool):
         raise SettingError(name, str(value), "no value")
     return value
--- a/eelgrassmount/cmd/client.py
+++ b/eelgrassmount/cmd/client.py
@@ -1,4 +1,4 @@
-"""Calls of a node's admin listener."""
+"""Client of a node's admin listener."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 TIMEOUT_S = 10.0
 
 _ALLOWED = f"the IPv4 address and port of a node's admin listener, or {ADMIN_VARIABLE}"
-# raised before anything of the request was sent
+# raised before any byte of the request was sent
 _UNSENT = (httpcore.ConnectError, httpcore.ConnectTimeout)
 _FAILURES = (
     httpcore.NetworkError,
@@ -33,21 +33,21 @@
 
 @frozen
 class AdminReply:
-    """The status of an answer and its JSON content."""
+    """The status and JSON content of a reply."""
 
     status: int
     content: Any
 
 
 def read_admin_address(text: str) -> Address:
-    """Return the address given by flag or else by environment variable."""
+    """Return the address given by flag, or by environment variable."""
     return read_address("admin", text or os.environ.get(ADMIN_VARIABLE, ""), _ALLOWED)
 
 
 def read_address(
     flag: str, text: str, allowed: str = "an IPv4 address and port"
 ) -> Address:
-    """Return the address given by a flag; ``allowed`` is what an error says of it."""
+    """Return the address given by a flag; errors show ``allowed``."""
     try:
         return parse_address(text)
     except AddressError:
@@ -61,9 +61,9 @@
     body: bytes = b"",
     timeout_s: float = TIMEOUT_S,
 ) -> AdminReply:
-    """Send one request and return the answer, whatever its status.
+    """Send one request and return the reply with any status.
 
-    Raises `NodeUnreachableError` when no JSON answer comes in ``timeout_s``.
+    Raises `NodeUnreachableError` without a JSON reply within ``timeout_s``.
     """
     timeouts = dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)
     try:
@@ -84,12 +84,12 @@
 
 
 def read_admin(address: Address, path: str) -> Any:
-    """Return the content of a page; raise `AdminRefusedError` if there is none."""
+    """Return the content at a path; raise `AdminRefusedError` for an error status."""
     return require_success(address, call_admin(address, "GET", path))
 
 
 def require_success(address: Address, reply: AdminReply) -> Any:
-    """Return the content of a successful answer or raise `AdminRefusedError`."""
+    """Return the content of a successful reply or raise `AdminRefusedError`."""
     if 200 <= reply.status < 300:
         return reply.content
     detail = reply.content
--- a/eelgrassmount/cmd/config.py
+++ b/eelgrassmount/cmd/config.py
@@ -35,15 +35,15 @@
 def publish(file: str, admin: str = "", base: str = "", json: bool = False) -> Action:
     """Publish a configuration.
 
-    It replaces the version that is in force; if another operator is faster, nothing
-    is changed and the command ends with 1. An answer that was lost is asked for
-    again; if the outcome stays unknown it ends with 4, and `config show` tells later.
+    It replaces the version in force. If another operator publishes first, nothing
+    changes and the exit code is 1. The request is retried after a lost reply; if the
+    outcome stays unknown, the exit code is 4, and `config show` shows it later.
 
     Args:
         file: The TOML file, or - for standard input.
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
         base: The version to replace; else the one in force. Give the version that
-            the file was made from, so that no other operator's change is undone.
+            the file is based on, so that no other operator's change is reverted.
         json: Print JSON.
     """
 
@@ -81,7 +81,7 @@
 def validate(file: str, json: bool = False) -> Action:
     """Check a configuration file without a node.
 
-    Every error is printed with its line; the command ends with 1 if there is one.
+    Errors are printed with their lines; the exit code is 1 if there are any.
 
     Args:
         file: The TOML file, or - for standard input.
@@ -103,7 +103,7 @@
 
 
 def history(admin: str = "", json: bool = False) -> Action:
-    """List the versions that the log still holds, oldest first.
+    """List the versions that the log still contains, oldest first.
 
     Args:
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
@@ -124,25 +124,30 @@
 
 
 def rollback(version: str, admin: str = "", json: bool = False) -> Action:
-    """Publish an old version's content as a new version.
+    """Publish the content of an earlier version as a new version.
 
     Args:
-        version: The version to bring back, as listed by `config history`.
+        version: The version to restore, as listed by `config history`.
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
         json: Print JSON.
     """
 
     def start() -> ExitCode:
-        wanted = read_version("version", version)
+        requested = read_version("version", version)
         address = read_admin_address(admin)
         base = _read_in_force(address)
         entries = read_admin(address, "/config/history")["versions"]
         texts = {entry["version"]: entry["text"] for entry in entries}
-        if wanted not in texts:
-            print(f"version {wanted} is not kept, see: config history", file=sys.stderr)
+        if requested not in texts:
+            print(
+                f"version {requested} is not stored, see: config history",
+                file=sys.stderr,
+            )
             return ExitCode.REFUSED
-        name = f"version {wanted}"
-        return _publish_text(address, texts[wanted], base, is_set("json", json), name)
+        name = f"version {requested}"
+        return _publish_text(
+            address, texts[requested], base, is_set("json", json), name
+        )
 
     return Action(start)
 
@@ -171,10 +176,9 @@
 
 
 def _publish_until_settled(address: Address, text: str, base: int) -> AdminReply:
-    """Send a publish until its outcome is known or the time is over.
+    """Retry a publish until its outcome is known or `PUBLISH_TIMEOUT_S` is over.
 
-    All sendings carry one id, so that a node that got the first one answers for
-    that one and publishes nothing twice.
+    All attempts carry one id, so that the node publishes the text at most once.
     """
     path = f"/config?base={base}&id={secrets.token_hex(_ID_BYTES)}"
     end_s = time.monotonic() + PUBLISH_TIMEOUT_S
--- a/eelgrassmount/cmd/explain.py
+++ b/eelgrassmount/cmd/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells the story of one request from log lines."""
+"""The command that reconstructs the timeline of one request from log lines."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# what happened to a node or service this long before a request may have caused its end
+# earlier events at a node or service that may have caused the outcome of a request
 WINDOW_BEFORE = timedelta(seconds=5)
-# why a call ended is found out so much later at most: by the next heartbeat, the next
-# connection or the end of the node's stop
+# the cause of an outcome may be logged only at the next heartbeat, the next connection
+# or the end of a shutdown
 WINDOW_AFTER = timedelta(seconds=5)
-# lines that say why calls before them ended
+# messages that give the cause of earlier outcomes
 _LATER_MESSAGES = frozenset(
     ("server crashed", "server restarted", "node unreachable", "stopped")
 )
-# lines on nodes and services that are shown at most, those nearest to the end
+# lines on nodes and services; of more lines, the nearest to the outcome are shown
 MAX_CONTEXT_LINES = 20
-# fields that are told at the start of a line or not at all
+# fields that stand at the start of a line or are hidden
 _PRESENTED_FIELDS = ("time", "level", "module", "message", "node", "request", "outcome")
 # fields of a decision that name other nodes
 _NODE_FIELDS = ("node", "after", "server", "peer")
@@ -33,14 +33,14 @@
 
 @frozen
 class LogLine:
-    """One line of a node's log; ``fields`` holds it as it was written."""
+    """One line of a node's log; ``fields`` is its JSON object."""
 
     time: datetime
     message: str
     fields: dict[str, Any]
 
     def names_request(self, request_id: str) -> bool:
-        """Tell whether the line is on a request, or on several with it."""
+        """Return whether the line names a request, alone or in a list."""
         if self.fields.get("request") == request_id:
             return True
         named = self.fields.get("requests")
@@ -53,7 +53,7 @@
         return {name for name in names if name}
 
     def describe(self) -> str:
-        """Return the line for people."""
+        """Return the line as text."""
         fields = self.fields
         outcome = f": {fields['outcome']}" if "outcome" in fields else ""
         rest = " ".join(
@@ -67,23 +67,23 @@
 
 @frozen
 class RequestTimeline:
-    """The lines on one request, and those on the nodes and services it met."""
+    """The lines on one request, and related lines on its nodes and services."""
 
     request_id: str
-    own: list[LogLine] = field(factory=list)
+    request_lines: list[LogLine] = field(factory=list)
     context: list[LogLine] = field(factory=list)
     later: list[LogLine] = field(factory=list)
     omitted: int = 0
     unparsed: int = 0
 
     def describe(self) -> str:
-        """Return the story for people."""
+        """Return the timeline as text."""
         parts = [f"request {self.request_id}"]
-        parts += [f"  {line.describe()}" for line in self.own]
-        if not self.own:
+        parts += [f"  {line.describe()}" for line in self.request_lines]
+        if not self.request_lines:
             parts.append("  no line names it")
         if self.context:
-            parts.append("on the nodes and services it met, shortly before")
+            parts.append("shortly before, on its nodes and services")
             parts += [f"  {line.describe()}" for line in self.context]
         if self.later:
             parts.append(f"found out within {WINDOW_AFTER.seconds} s after it")
@@ -95,10 +95,10 @@
         return "\n".join(parts)
 
     def encode(self) -> dict[str, Any]:
-        """Return the story as one JSON value."""
+        """Return the timeline as one JSON value."""
         return {
             "request": self.request_id,
-            "lines": [line.fields for line in self.own],
+            "lines": [line.fields for line in self.request_lines],
             "around": [line.fields for line in self.context],
             "later": [line.fields for line in self.later],
             "left_out": self.omitted,
@@ -107,28 +107,28 @@
 
 
 def explain(request: str, json: bool = False) -> Action:
-    """Tell what happened to a request, from log lines on standard input.
+    """Show what happened to a request, from log lines on standard input.
 
-    Give it the lines of all nodes, in any order.
+    Pass the lines of all nodes, in any order.
 
     Args:
-        request: Id of the request, as its client was told it.
+        request: Id of the request, as returned to its client.
         json: Print JSON.
     """
 
     def start() -> ExitCode:
         timeline = build_request_timeline(request, sys.stdin)
         print_result(timeline.describe(), timeline.encode(), is_set("json", json))
-        return ExitCode.DONE if timeline.own else ExitCode.UNKNOWN
+        return ExitCode.DONE if timeline.request_lines else ExitCode.UNKNOWN
 
     return Action(start)
 
 
 def build_request_timeline(request_id: str, texts: Iterable[str]) -> RequestTimeline:
-    """Pick the lines that matter for one request.
+    """Return the timeline of one request.
 
-    Lines that can't be read are counted; what stands before the JSON object of a
-    line, such as the name of a VM, is passed over.
+    Lines that can't be parsed are counted. Text before the JSON object of a line,
+    such as the name of a VM, is ignored.
     """
     lines = []
     unparsed = 0
@@ -139,15 +139,15 @@
         else:
             lines.append(line)
     lines.sort(key=lambda line: line.time)
-    own = [line for line in lines if line.names_request(request_id)]
+    request_lines = [line for line in lines if line.names_request(request_id)]
     omitted = sum(
         line.fields.get("count", 0)
         for line in lines
         if line.message == "lines left out"
     )
-    context = _find_context(own, lines)
-    later = _find_later(own, lines)
-    return RequestTimeline(request_id, own, context, later, omitted, unparsed)
+    context = _find_context(request_lines, lines)
+    later = _find_later(request_lines, lines)
+    return RequestTimeline(request_id, request_lines, context, later, omitted, unparsed)
 
 
 def _read_line(text: str) -> LogLine | None:
@@ -158,34 +158,36 @@
             datetime.fromisoformat(fields["time"]), str(fields["message"]), fields
         )
     except (ValueError, KeyError, TypeError):
-        # counted by the caller, who says how many there were
+        # the caller counts unparsed lines
         return None
 
 
-def _find_context(own: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
-    if not own:
+def _find_context(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+    if not request_lines:
         return []
-    nodes = _list_involved_nodes(own)
-    services = {line.fields["service"] for line in own if "service" in line.fields}
-    first = own[0].time - WINDOW_BEFORE
-    last = own[-1].time
+    nodes = _list_involved_nodes(request_lines)
+    services = {
+        line.fields["service"] for line in request_lines if "service" in line.fields
+    }
+    first = request_lines[0].time - WINDOW_BEFORE
+    last = request_lines[-1].time
     found = [
         line
         for line in lines
         if first <= line.time <= last
-        and line not in own
+        and line not in request_lines
         and "request" not in line.fields
         and (line.list_nodes() & nodes or line.fields.get("service") in services)
     ]
     return found[-MAX_CONTEXT_LINES:]
 
 
-def _find_later(own: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
-    """Return what was found out about the nodes that a request met, after its end."""
-    if not own:
+def _find_later(request_lines: list[LogLine], lines: list[LogLine]) -> list[LogLine]:
+    """Return later lines that give the cause of a request's outcome."""
+    if not request_lines:
         return []
-    nodes = _list_involved_nodes(own)
-    last = own[-1].time
+    nodes = _list_involved_nodes(request_lines)
+    last = request_lines[-1].time
     found = [
         line
         for line in lines
@@ -196,5 +198,5 @@
     return found[:MAX_CONTEXT_LINES]
 
 
-def _list_involved_nodes(own: list[LogLine]) -> set[str]:
-    return {name for line in own for name in line.list_nodes()}
+def _list_involved_nodes(request_lines: list[LogLine]) -> set[str]:
+    return {name for line in request_lines for name in line.list_nodes()}
--- a/eelgrassmount/cmd/main.py
+++ b/eelgrassmount/cmd/main.py
@@ -1,4 +1,4 @@
-"""Reads the command line and runs one command."""
+"""The command line: parse it and run one command."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 def relay() -> Action:
     """Run a node beside a backend server on the users' platform.
 
-    It takes no flags: the platform's settings file says everything, and its path
-    stands in the environment. It runs until SIGTERM.
+    It takes no flags: all settings are in the platform's settings file, whose path
+    is in the environment. It runs until SIGTERM.
     """
 
     def start() -> int:
-        # a node imports what the other commands don't need
+        # imported on demand: other commands don't need the modules of a node
         from eelgrassmount.cmd.relay import run_relay
 
         return run_relay()
@@ -66,7 +66,7 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the command that the arguments name and return the exit code."""
     words = list(sys.argv[1:] if arguments is None else arguments)
-    # otherwise help on a terminal is shown by a pager, a process of its own
+    # print help directly instead of starting a pager process
     os.environ["PAGER"] = "-"
     try:
         action = fire.Fire(
@@ -80,10 +80,10 @@
 
 
 def _prepare_arguments(words: list[str]) -> list[str]:
-    """Return the words so that `fire` reads them as people mean them.
+    """Return the arguments in the form that `fire` parses correctly.
 
-    Help is asked of the command instead of passed to it, a flag without a value
-    does not swallow the word after it, and each value stays the text that it is.
+    A help flag becomes a request for help on the command, a boolean flag doesn't
+    consume the following argument, and each value stays a string.
     """
     path, command = _find_command(words)
     if any(word in _HELP_FLAGS for word in words):
@@ -103,7 +103,7 @@
 
 
 def _find_command(words: list[str]) -> tuple[list[str], Any]:
-    """Return the leading words that name a command, and the command or group."""
+    """Return the leading words that select a command, and the command or group."""
     path: list[str] = []
     command: Any = COMMANDS
     for word in words:
--- a/eelgrassmount/cmd/node.py
+++ b/eelgrassmount/cmd/node.py
@@ -16,21 +16,21 @@
 
 _INTRODUCTION = """Run a node beside this VM's backend server.
 
-    It runs until SIGTERM, SIGINT or `drain`, then ends every request in flight and
+    It runs until SIGTERM, SIGINT or `drain`, then finishes every request in flight and
     exits with 0. Each flag may also be given as an environment variable, in capitals
     with EELGRASSMOUNT_ before it, for example EELGRASSMOUNT_PEERS; the flag wins.
-    A wrong setting ends the process at once with exit code 2.
+    An invalid setting ends the process at once with exit code 2.
 
     Args:
 """
 
 
 def node(**flags: str) -> Action:
-    """Run a node; its help and its flags are made from the settings."""
+    """Run a node; help and flags are generated from `Settings`."""
 
     def start() -> ExitCode:
         settings = load_settings(flags, os.environ)
-        # the parts of a node take long to import, other commands need none
+        # imported on demand: slow to import, and other commands don't need them
         from eelgrassmount.compose.main import run_node
         from eelgrassmount.logs import setup_logs
 
--- a/eelgrassmount/cmd/relay.py
+++ b/eelgrassmount/cmd/relay.py
@@ -15,14 +15,14 @@
 from eelgrassmount.logs import setup_logs
 from eelgrassmount.platform.settings import find_settings_file
 
-# objects before a collection of the youngest, middle and oldest generation: the
-# collector's pauses are latency, and calls leave few cycles behind
+# collection thresholds of the young, middle and old generation: collector pauses add
+# latency, and calls create few reference cycles
 GC_THRESHOLDS = (50_000, 20, 50)
 
 
 def run_relay() -> int:
-    """Run a node as the platform's settings file says, until SIGTERM."""
-    # until the settings are watched, a signal that they have changed says nothing
+    """Run a node with the platform's settings file until SIGTERM."""
+    # ignore reload signals until the settings file is watched
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     setup_logs("info", sys.stdout)
     gc.collect()
@@ -42,10 +42,10 @@
 
 
 async def _serve_and_exit(path: str) -> None:
-    """Run a node and end the process at once when it has ended in order.
+    """Run a node and exit the process immediately after its shutdown.
 
-    Nothing is left that a loop or an interpreter would have to clean up, and the
-    grace time is nearly over when calls were open until its end.
+    Cleanup by the event loop and the interpreter is skipped, since it could exceed
+    the rest of the grace period.
     """
     await serve_relay(path)
     sys.stdout.flush()
--- a/eelgrassmount/cmd/status.py
+++ b/eelgrassmount/cmd/status.py
@@ -1,4 +1,4 @@
-"""Commands that look at a node or stop it."""
+"""Commands that show the state of a node or stop it."""
 
 from __future__ import annotations
 
@@ -21,8 +21,6 @@
 )
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _SUMMARY_COLUMNS = ("failure_domain", "service", "servers", "headroom")
-
-
 _PEER_COLUMNS = (
     *("name", "service", "failure_domain", "linked", "accepting"),
     *("in_flight", "queued", "limit", "failure_share", "age_s"),
@@ -32,7 +30,7 @@
 
 
 def status(admin: str = "", json: bool = False, relay: str = "") -> Action:
-    """Show the state of a node and the members that it knows.
+    """Show the state of a node and its known members.
 
     Args:
         admin: Admin address (ip:port) of the node; else EELGRASSMOUNT_ADMIN.
@@ -57,9 +55,9 @@
 
 
 def drain(admin: str = "", json: bool = False) -> Action:
-    """Stop a node gracefully: no new work, then exit when all in flight is done.
+    """Stop a node gracefully: refuse new requests, finish those in flight, then exit.
 
-    The command returns at once; `status` shows how far it is.
+    The command returns at once; `status` shows the progress.
 
     Args:
         admin: Admin address (ip:port) of the node; else EELGRASSMOUNT_ADMIN.
@@ -103,7 +101,7 @@
         f"configuration  version {state['version']}{age}, {state['routes']} routes",
         f"log            {_format_log(state['log'], lost)}",
         f"server         {_format_start(server)}, {work}",
-        f"gate           {server['in_flight']} of {server['limit']} in flight "
+        f"dispatcher     {server['in_flight']} of {server['limit']} in flight "
         f"({server['slots']} slots), {server['queued']} queued",
         f"counts         requests of {state['log']['counted_nodes']} nodes",
         f"load           demand {server['demand']}, wait {server['wait']}, failures "
@@ -111,15 +109,17 @@
     ]
     teams = state["teams"]
     if teams["teams"]:
-        holders = ", ".join(teams["holders"]) or "nobody"
-        lines.append(f"teams          {teams['teams']}, quotas held by {holders}")
+        allocators = ", ".join(teams["holders"]) or "nobody"
+        lines.append(f"teams          {teams['teams']}, quotas held by {allocators}")
     refused = state["refused"]
     if refused:
         counts = ", ".join(f"{count} {kind}" for kind, count in refused.items())
         lines.append(f"not taken up   {counts}")
-    for name, level in state["levels"].items():
-        if level < 1.0:
-            lines.append(f"short          {name}: {level} of what is offered admitted")
+    for name, fraction in state["levels"].items():
+        if fraction < 1.0:
+            lines.append(
+                f"overloaded     {name}: {fraction} of the offered load admitted"
+            )
     lines += [
         f"refused partly {one['route']} of rank {one['rank']}: {one['share']} admitted"
         for one in state["shares"]
@@ -137,17 +137,17 @@
 
 
 def _format_log(log: dict[str, Any], lost: str) -> str:
-    """Return how the log is known: by own reads, or from which nodes."""
+    """Describe the source of log records: local reads, or other nodes."""
     era = "" if log["era"] < 0 else f", era {log['era']}"
     if log["reading"]:
         reach = f"lost: {lost}" if lost else "reachable"
         return f"{reach}, read for {log['subscribers']} nodes{era}"
-    heard = [
+    readers = [
         f"{one['name']} ({_format_age(one['age_s'])}"
         f"{'' if one['reads'] or one['hears'] else ', can not read it'})"
         for one in log["readers"]
     ]
-    return f"heard from {', '.join(heard) or 'nobody'}{era}"
+    return f"heard from {', '.join(readers) or 'nobody'}{era}"
 
 
 def _format_age(age_s: float | None) -> str:
@@ -155,7 +155,7 @@
 
 
 def _format_start(server: dict[str, Any]) -> str:
-    """Return the identity of a server, and when it was started."""
+    """Return the identity and start time of a server."""
     identity = server["incarnation"]
     if not identity:
         return "not known"
--- a/eelgrassmount/cmd/text.py
+++ b/eelgrassmount/cmd/text.py
@@ -1,4 +1,4 @@
-"""Files that commands read and tables that they print."""
+"""Input files and output tables of commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_text(path: str) -> str:
-    """Return the text of a file, or of standard input for ``-``."""
+    """Return the text of a file, or of standard input if the path is ``-``."""
     try:
         if path == STANDARD_INPUT:
             return sys.stdin.read()
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -1,4 +1,4 @@
-"""What the parts of a node are built on."""
+"""Shared services of a node: settings, timers, metrics, log and peer connections."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class Base:
-    """What every part is built on."""
+    """Services that all parts of a node use."""
 
     settings: Settings
     board: Blackboard
@@ -45,7 +45,7 @@
 
 
 def build_base(settings: Settings, group: anyio.abc.TaskGroup) -> Base:
-    """Return what the parts of a node are built on."""
+    """Return the services that all parts of a node use."""
     rng = random.Random(secrets.randbits(ID_BITS))
     metrics = make_metrics()
     timers = TimerService(
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -25,7 +25,7 @@
 
 
 async def listen_to_peers(node: Node) -> None:
-    """Take messages of other nodes."""
+    """Start the listener for messages of other nodes."""
     base = node.base
     calls = CallHandlers(
         base.timers,
@@ -51,7 +51,7 @@
 
 
 async def listen_to_http(node: Node) -> None:
-    """Take requests of operators, of the backend server and of callers."""
+    """Start the HTTP listeners for operators, the backend server and callers."""
     base = node.base
     max_body_bytes = base.settings.max_body_bytes
     admin = AdminListener(max_body_bytes)
@@ -84,10 +84,10 @@
 
 
 async def _wait_until_joined(board: Blackboard) -> None:
-    """Take no callers before this node can place their requests.
+    """Wait until this node can route requests, for at most `JOIN_TIMEOUT_S`.
 
-    A node that knows no configuration or nobody else after a while may be the
-    only one, and takes them all the same.
+    After the timeout the node accepts callers without a configuration or other
+    members, since it may be the only node.
     """
     with anyio.move_on_after(JOIN_TIMEOUT_S):
         while not _has_joined(board):
--- a/eelgrassmount/compose/main.py
+++ b/eelgrassmount/compose/main.py
@@ -1,4 +1,4 @@
-"""Starting and ending a node."""
+"""Start and stop a node."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     from eelgrassmount.settings import Settings
 
 EXPIRY_INTERVAL_S = 1.0
-# objects before a collection of the youngest, middle and oldest generation
+# collection thresholds of the young, middle and old generation
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def run_node(settings: Settings) -> None:
-    """Run a node as the main job of a process, until it is told to stop."""
+    """Run a node until a signal or an operator stops it."""
     _tune_collector()
     anyio.run(serve_node, settings)
 
 
 def _tune_collector() -> None:
-    """Keep the garbage collector from pausing calls for what lives for good."""
+    """Exclude permanent objects from garbage collection, which pauses calls."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 async def serve_node(settings: Settings) -> None:
-    """Run a node until it is told to stop.
+    """Run a node until a signal or an operator stops it.
 
     Raises `ListenError` when one of its addresses can't be bound.
     """
@@ -52,7 +52,7 @@
             failure = error
         node.base.tasks.close()
         group.cancel_scope.cancel()
-    # the task group would wrap it
+    # raised outside the task group, which would wrap it in an exception group
     if failure is not None:
         raise failure
 
@@ -69,7 +69,7 @@
 
 
 async def start_node(node: Node) -> None:
-    """Start all parts of a node, the listeners for calls last."""
+    """Start all parts of a node, the HTTP listeners last."""
     base = node.base
     await base.peers.start(base.tasks)
     await listen_to_peers(node)
@@ -79,7 +79,7 @@
     node.path.announcements.start()
     node.path.probes.start()
     node.shutdown.start(base.tasks)
-    # calls of other nodes are taken from here on, before the callers' listener
+    # the node already serves calls of other nodes; callers are accepted last
     base.tasks.start_soon(_wait_for_signal, node)
     base.timers.subscribe(EXPIRY_INTERVAL_S, lambda: _expire(node))
     base.tasks.start_soon(base.timers.run)
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -1,4 +1,4 @@
-"""Wiring of a whole node."""
+"""Wiring of a node."""
 
 from __future__ import annotations
 
@@ -113,7 +113,7 @@
 ) -> Shutdown:
     def count_in_flight() -> int:
         running = path.in_flight.calls + path.table.count_running()
-        # until the listener closes, callers may keep sending
+        # callers may send requests until the listener closes: only calls count
         if callers and not callers[0].should_exit:
             return running
         return running + path.in_flight.requests
@@ -142,7 +142,7 @@
     follower: ConfigFollower,
     keys: KeyService,
 ) -> None:
-    """Let versions and suspects ride on the messages of the membership."""
+    """Exchange versions and quarantine suspects in membership gossip."""
 
     def fill_versions(gossip: Gossip) -> None:
         gossip.config_version = base.board.configuration.version
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -1,4 +1,4 @@
-"""Wiring of the parts that a call passes through."""
+"""Wiring of the call path."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class Path:
-    """The parts that a call passes through."""
+    """The parts that process a call."""
 
     table: CallTable
     server_dispatcher: LimitedDispatcher
@@ -43,7 +43,7 @@
 
 
 def build_path(base: Base, handle_change: Callable[[], None]) -> Path:
-    """Return the parts of the path, wired but not started."""
+    """Return the parts of the call path, wired but not started."""
     table = CallTable()
     server_dispatcher = LimitedDispatcher(base.board, base.timers)
     control = LoadControl(base.board, base.timers)
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -45,8 +45,8 @@
     from eelgrassmount.relay.settings import RelaySettings
 
 INCARNATION_BYTES = 6
-# divides the periods of a node's timers: what is due at nearly the same time is done on
-# one wake-up, which saves processor time
+# timers that are due within this interval share one wake-up, which saves CPU time;
+# the periods of all timers are multiples of it
 TIMER_RESOLUTION_S = 0.05
 
 
@@ -60,8 +60,8 @@
     server = LocalServer(
         settings.service,
         settings.server_address,
-        on_restart=lambda ended, begun: dispatcher.handle_restart(
-            ended, begun.compute_start_s(clock(), time.time())
+        on_restart=lambda ended, started: dispatcher.handle_restart(
+            ended, started.compute_start_s(clock(), time.time())
         ),
     )
     members = MemberTable()
@@ -84,7 +84,7 @@
     learned_jobs: set[Job] = set()
 
     def handle_run_start(job: Job) -> None:
-        # with keys, calls are counted by their runs
+        # with client keys, calls are counted per run by the call attributor
         if not state.identifies_clients():
             learned_jobs.add(job)
             state.learner.start_run(job.call.route.name)
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -1,4 +1,4 @@
-"""A whole node beside its backend server, wired but not started."""
+"""A node beside its backend server, with the handlers that connect its parts."""
 
 from __future__ import annotations
 
@@ -78,11 +78,11 @@
 
     @property
     def followers(self) -> list[TopicFollower]:
-        """Return what follows the topics of the log."""
+        """Return the followers of the topics of the log."""
         return self.readers.followers
 
     def end(self) -> None:
-        """Drop every listener and connection."""
+        """Close every listener and connection."""
         for listener in self.listeners:
             listener.end()
         self.inbound.end()
@@ -95,10 +95,10 @@
         self.store.end()
 
     def apply_settings(self, settings: RelaySettings) -> None:
-        """Take up settings that have changed; addresses hold until a restart.
+        """Apply changed settings, except the name and addresses.
 
-        A new service is one that a heartbeat may name from now on. Until one does,
-        the server of before may still run.
+        Heartbeats may name a new service from now on. The previous server may keep
+        running until the first such heartbeat.
         """
         fixed = (
             *("name", "caller_address", "peer_address", "ready_address"),
@@ -126,7 +126,7 @@
         )
 
     def apply_document(self, document: bytes) -> None:
-        """Put a configuration in force unless it is older than the present one."""
+        """Apply a configuration that is newer than the current one."""
         try:
             table = read_configuration(document)
         except PlatformDocumentError as error:
@@ -158,13 +158,13 @@
             self.dispatcher.identify(service.health_path)
 
     def apply_configuration_records(self, records: tuple[StoredRecord, ...]) -> None:
-        """Take up records of the operator's topic."""
+        """Apply records of the configuration topic."""
         for record in records:
             if record.key == CONFIGURATION_KEY and record.value:
                 self.apply_document(record.value)
 
     def apply_node_records(self, records: tuple[StoredRecord, ...]) -> None:
-        """Take up records of nodes, and of what all have learned."""
+        """Apply records of nodes and of learned calls."""
         for record in records:
             kind = MessageKind.NODE
             if record.key == LEARNED_KEY:
@@ -172,12 +172,12 @@
             try:
                 self._apply_record(record)
             except BadFrameError as error:
-                # the others still hold
+                # skip the bad record and apply the others
                 self.refused.record(kind, record.key, "bad record", error.detail)
         self.has_node_records = True
 
     def count_unreadable_records(self, topic: str, count: int) -> None:
-        """Count records of a topic whose bytes could not be read."""
+        """Count records of a topic without a readable key or value."""
         cause = "no key or value that can be read"
         self.refused.record(MessageKind.RECORD, topic, cause, cause, count)
 
@@ -186,7 +186,7 @@
             if record.value:
                 self.learned.take(record.value)
         elif record.key == self.settings.name:
-            # nobody else knows better what this node is
+            # the local settings take precedence over the stored record
             return
         elif record.value:
             self._register_node(record)
@@ -208,19 +208,19 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether clients may send requests here."""
+        """Return whether this node is ready for client requests."""
         state = self.state
         found = self.has_node_records or len(state.members.by_name) > 1
         return state.table.version > 0 and found and not state.stopping
 
     def handle_readiness_request(self, exchange: Exchange) -> None:
-        """Answer the platform's question whether this node is ready."""
+        """Answer a readiness probe of the platform."""
         exchange.respond(200 if self.is_ready() else 503)
 
     def handle_metrics_request(self, exchange: Exchange) -> None:
         """Answer with all metrics as text, or with the state of the node as JSON."""
         if exchange.target == STATE_PATH:
-            # only people ask for it, and most nodes are never asked
+            # imported on demand: most nodes never serve this page
             from eelgrassmount.relay.status import collect_status
 
             state = json.dumps(asdict(collect_status(self))).encode()
@@ -230,60 +230,60 @@
         exchange.respond(200, METRICS_CONTENT_TYPE, self.metrics.render())
 
     def update_gauges(self) -> None:
-        """Set the gauges to what the node believes now."""
-        state = self.metrics.state
-        state.labels("configuration_version").set(self.state.table.version)
-        state.labels("in_flight").set(self.dispatcher.in_flight)
-        state.labels("queued").set(self.dispatcher.queued)
-        state.labels("limit").set(self.state.server.compute_concurrency_limit())
-        state.labels("demand").set(self.dispatcher.measures.load.demand)
+        """Set the gauges to the current state of the node."""
+        gauges = self.metrics.state
+        gauges.labels("configuration_version").set(self.state.table.version)
+        gauges.labels("in_flight").set(self.dispatcher.in_flight)
+        gauges.labels("queued").set(self.dispatcher.queued)
+        gauges.labels("limit").set(self.state.server.compute_concurrency_limit())
+        gauges.labels("demand").set(self.dispatcher.measures.load.demand)
         for service, control in self.state.admission_controllers.items():
             self.metrics.levels.labels(service).set(control.admitted_fraction)
-        state.labels("members").set(len(self.state.members.by_name))
-        state.labels("reads_log").set(self.readers.reading)
-        state.labels("log_subscribers").set(len(self.readers.subscribers))
-        state.labels("log_era").set(self.readers.eras.current)
-        state.labels("log_next_offset").set(self.readers.book.next_offset)
-        state.labels("counted_nodes").set(self.state.cluster_counts.nodes)
-        state.labels("open_requests").set(self.ingress.answers.open_flows)
-        state.labels("lines_left_out").set(self.decisions.failures.dropped)
+        gauges.labels("members").set(len(self.state.members.by_name))
+        gauges.labels("reads_log").set(self.readers.reading)
+        gauges.labels("log_subscribers").set(len(self.readers.subscribers))
+        gauges.labels("log_era").set(self.readers.eras.current)
+        gauges.labels("log_next_offset").set(self.readers.book.next_offset)
+        gauges.labels("counted_nodes").set(self.state.cluster_counts.nodes)
+        gauges.labels("open_requests").set(self.ingress.answers.open_flows)
+        gauges.labels("lines_left_out").set(self.decisions.failures.dropped)
 
     def forget_routes(self) -> None:
-        """Forget what is known of routes that have left the configuration.
+        """Remove the state of routes that are no longer configured.
 
-        It is done from time to time: runs that had begun before end after it.
+        Called periodically, because runs may finish after their route was removed.
         """
         state = self.state
         state.record_configured_routes()
         state.graph.keep_routes(state.knows_route)
         self.metrics.keep_routes(state.knows_route)
         self.ingress.answers.sender.router.keep_routes(state.knows_route)
-        # without a configuration, none is known to have left
+        # without a configuration, no route counts as removed
         if state.table.version:
             self.dispatcher.forget_routes(state.table.routes)
 
     def count_open(self) -> int:
-        """Return how many requests and calls have no answer yet."""
+        """Return the number of requests and calls without an answer."""
         return self.callers.count_open() + self.inbound.count_open()
 
     def check_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Raise `WrongServerError` for the heartbeat of a server of another VM."""
+        """Raise `WrongServerError` if a server of another VM sent the heartbeat."""
         service = self.settings.service
         if not heartbeat.leaving and heartbeat.service != service:
-            # the settings may have changed a moment ago, and without a signal
+            # the settings file may have changed without a signal
             self.check_settings()
         address = str(self.state.server.address)
         check_server(heartbeat, self.settings.service, address)
 
     def handle_server_change(self) -> None:
-        """Act on news of the server beside this node, before it is acknowledged."""
+        """Report a change of the server before its heartbeat is acknowledged."""
         self.controllers.report_now()
-        own = self.state.members.by_name.get(self.settings.name)
-        if own is not None and own.service != self.state.server.service:
+        local = self.state.members.by_name.get(self.settings.name)
+        if local is not None and local.service != self.state.server.service:
             self.register_local_node()
 
     def register_local_node(self) -> None:
-        """Enter this node among the members."""
+        """Add or update this node in the member table."""
         self.state.members.put(
             self.settings.name,
             str(self.settings.peer_address),
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -1,4 +1,4 @@
-"""Starting, running and ending a node beside its backend server."""
+"""Start, run and stop a node beside its backend server."""
 
 from __future__ import annotations
 
@@ -45,23 +45,23 @@
     from eelgrassmount.relay.inbound import InboundLinks
 
 METRICS_PORT = 9464
-# an announcement has some hundred bytes, and other calls to these listeners none
+# limit of the listeners for announcements, readiness and metrics
 MAX_BODY_BYTES = 1024 * 1024
 LINK_CHECK_INTERVAL_S = 0.1
-# learned calls are taken up each so many intervals of counting
+# request-count intervals between two updates of the call graph
 LEARNING_INTERVAL_STEPS = 4
-# a node that can't write its record tries again after so long, doubled each time
+# exponential backoff of a node that can't write its record
 MIN_RECORD_RETRY_DELAY_S = 0.5
 MAX_RECORD_RETRY_DELAY_S = 3.0
 
 
 async def serve_relay(path: str) -> None:
-    """Run a node as the settings file says, until SIGTERM and its end in order.
+    """Run a node with a settings file until SIGTERM or SIGINT, then shut it down.
 
     Raises `ListenError` when one of its addresses can't be bound.
     """
     settings = load_settings(path)
-    # the lines of many nodes are read together
+    # log lines of several nodes are read together
     logger.configure(extra={"node": settings.name})
     node = build_relay(settings)
     watch = SettingsWatch(path, load_settings, node.apply_settings)
@@ -80,7 +80,7 @@
 
 
 async def stop_relay(node: RelayNode) -> None:
-    """End a node in order: clients go first, then calls of other nodes."""
+    """Shut a node down: first for clients, then for calls of other nodes."""
     stopping = Shutdown(
         node.state,
         node.callers,
@@ -98,9 +98,9 @@
 
 
 async def _delete_local_record(node: RelayNode) -> None:
-    """Drop the record of a node whose server has left for good.
+    """Delete the log record of this node if its server has left permanently.
 
-    The others would go on counting it, and keep its part of the quotas for it.
+    Other nodes would otherwise keep counting it and reserve quotas for it.
     """
     if not node.state.server.left:
         return
@@ -162,7 +162,7 @@
 
 
 def subscribe_timers(node: RelayNode) -> None:
-    """Let a node's parts do what they do from time to time."""
+    """Subscribe the periodic work of a node to its timers."""
     timers = node.timers
     stalls = StallWatch(
         LINK_CHECK_INTERVAL_S,
@@ -190,7 +190,11 @@
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
-    """Return what takes up learned calls: often while none are known, as in a surge."""
+    """Return the timer step that updates the call graph.
+
+    Until calls are learned, each step updates it, so that a surge after the start is
+    handled.
+    """
     steps = itertools.count(1)
 
     def step() -> None:
@@ -202,11 +206,11 @@
 
 
 async def _follow_topic(node: RelayNode, topic: str) -> None:
-    take = node.apply_configuration_records
+    apply_records = node.apply_configuration_records
     if topic == NODES_TOPIC:
-        take = node.apply_node_records
+        apply_records = node.apply_node_records
     follower = TopicFollower(
-        node.store, topic, take, node.rng, node.count_unreadable_records
+        node.store, topic, apply_records, node.rng, node.count_unreadable_records
     )
     if topic == NODES_TOPIC:
         follower.on_read = node.readers.note_read
@@ -218,25 +222,25 @@
 
 
 async def _join_cluster(node: RelayNode) -> None:
-    """Write this node's record unless it stands there, then follow the others.
+    """Write this node's record unless the log has it, then follow all records.
 
-    Without the log, a node goes by what those say that open links to it, and its record
-    may be known to them.
+    While the log is unreachable, the node relies on the nodes that open links to it.
     """
-    own = make_local_record(node)
+    local_record = make_local_record(node)
     backoff = Backoff(node.rng, MIN_RECORD_RETRY_DELAY_S, MAX_RECORD_RETRY_DELAY_S)
-    while not await _ensure_local_record(node, own):
+    while not await _ensure_local_record(node, local_record):
         node.readers.begin()
         await anyio.sleep(backoff.fail())
-        # a copy under another key would not lead anybody here
-        if node.readers.book.find(own.key) == own:
+        # another node may have supplied the record; only an identical one under this
+        # key leads other nodes here
+        if node.readers.book.find(local_record.key) == local_record:
             break
     node.readers.begin()
     await _follow_topic(node, NODES_TOPIC)
 
 
 def make_local_record(node: RelayNode) -> StoredRecord:
-    """Return the record by which other nodes find this one."""
+    """Return the record by which other nodes find this node."""
     settings = node.settings
     record = ttypes.NodeRecord(
         settings.name,
@@ -247,10 +251,10 @@
     return StoredRecord(settings.name, encode_struct(record))
 
 
-async def _ensure_local_record(node: RelayNode, own: StoredRecord) -> bool:
-    """Read the records of all nodes, and append this node's unless it stands there.
+async def _ensure_local_record(node: RelayNode, local_record: StoredRecord) -> bool:
+    """Read the records of all nodes, and append this node's if it is missing.
 
-    Return whether it does now.
+    Return whether the log holds the record.
     """
     book = node.readers.book
     snapshot = await node.store.read_newest(NODES_TOPIC)
@@ -258,19 +262,19 @@
         return False
     node.apply_node_records(snapshot.records)
     book.take(snapshot.records, snapshot.end)
-    if book.find(own.key) == own:
+    if book.find(local_record.key) == local_record:
         return True
-    offset = await node.store.append(NODES_TOPIC, own.key, own.value)
+    offset = await node.store.append(NODES_TOPIC, local_record.key, local_record.value)
     if isinstance(offset, StoreFailure):
         return False
-    book.put(evolve(own, offset=offset))
+    book.put(evolve(local_record, offset=offset))
     return True
 
 
 async def _maintain_records(node: RelayNode) -> None:
-    """Write what has to stand on the log, again if it is gone."""
+    """Write learned calls and this node's record to the log whenever due."""
     state = node.state
-    own = OwnRecord(
+    local_record = OwnRecord(
         make_local_record(node),
         node.readers.book,
         lambda: len(state.members.by_name),
@@ -280,8 +284,8 @@
     while True:
         await anyio.sleep(PERIOD_S)
         await _write_learned_calls(node)
-        if node.readers.begun and not state.stopping and own.is_due():
-            await _write_local_record(node, own.record)
+        if node.readers.begun and not state.stopping and local_record.is_due():
+            await _write_local_record(node, local_record.record)
 
 
 async def _write_local_record(node: RelayNode, record: StoredRecord) -> None:
@@ -294,13 +298,13 @@
 
 
 async def _write_learned_calls(node: RelayNode) -> None:
-    """Write what all nodes have learned when it has changed for good."""
+    """Write the learned calls to the log after a lasting change."""
     value = node.learned.find_record() if node.readers.is_reader else None
     if value is None:
         return
     offset = await node.store.append(NODES_TOPIC, LEARNED_KEY, value)
     if isinstance(offset, StoreFailure):
-        # it is written later by the same chance, here or elsewhere
+        # this or another node retries at a later interval
         logger.warning("learned calls not kept", kind=offset.kind)
     else:
         node.learned.take(value)
--- a/eelgrassmount/keys/__init__.py
+++ b/eelgrassmount/keys/__init__.py
@@ -1,1 +1,1 @@
-"""At most one run for each idempotency key."""
+"""Run each idempotency key at most once."""
--- a/eelgrassmount/keys/core.py
+++ b/eelgrassmount/keys/core.py
@@ -1,4 +1,4 @@
-"""What the parts of the key service share."""
+"""State and ports that the parts of the key service share."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
     Counter = Callable[[str], None]
 
-# parts of the key window; each is far below it, so that clocks need not agree
+# shares of the key window, small enough to tolerate clock differences between nodes
 STALL_WINDOW_SHARE = 0.25
 MAX_UNBACKED_WINDOW_SHARE = 0.5
 MAX_ROSTER_AGE_S = 0.2
@@ -39,9 +39,9 @@
 class KeySettings:
     """Bounds and times of the key service.
 
-    ``window_s`` is how long an outcome is kept for repeats, ``stable_s`` how
-    long the members must have stayed the same before slots are moved,
-    ``rewrite_s`` how old a view's record may grow on the log.
+    ``window_s``: how long an outcome is stored for retries. ``stable_s``: how long
+    membership must be unchanged before slots move. ``rewrite_s``: maximum age of a
+    view's record on the log before it is written again.
     """
 
     window_s: float = 600.0
@@ -73,7 +73,7 @@
     exchange_due: anyio.Event = field(factory=anyio.Event)
     last_mark_number: int = 0
     last_check_s: float = field(init=False)
-    stalled_since_s: float = math.inf
+    stall_detected_s: float = math.inf
     resumed_s: float = -math.inf
     log_confirmed_s: float = -math.inf
     _live: frozenset[NodeId] = frozenset()
@@ -83,7 +83,7 @@
     _live_changed_s: float = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Set up empty slots."""
+        """Create the empty state of each slot."""
         settings = self.settings
         self.node_id = identify_node(self.board.identity)
         self.budget = Budget(settings.table_size, settings.table_bytes)
@@ -95,7 +95,7 @@
         self._live_changed_s = self.last_check_s
 
     def read_roster(self) -> Roster:
-        """Return the failure domain's nodes as they were thought of just now."""
+        """Return the nodes of the failure domain, at most `MAX_ROSTER_AGE_S` old."""
         now_s = self.timers.read()
         roster = self._roster
         fresh = now_s - self._roster_s < MAX_ROSTER_AGE_S
@@ -110,7 +110,7 @@
 
     def _build_roster(self, now_s: float) -> Roster:
         members = self.board.members.members.values()
-        # comparing is far cheaper than building, and mostly nothing has changed
+        # rebuild the roster only after a change: building costs more than comparing
         inputs = [
             self.leaving,
             *((m.identity, m.state, m.server_state) for m in members),
@@ -131,7 +131,7 @@
         return evolve(roster, stable=True)
 
     def adopt(self, views: Iterable[View]) -> None:
-        """Go over to all views that are later than the present ones."""
+        """Replace views by later versions."""
         now_s = self.timers.read()
         for view in views:
             slot_state = self.slot_states[view.slot]
@@ -142,48 +142,48 @@
                 self.exchange_due.set()
 
     def queue_result(self, slot_state: SlotState, result: Entry) -> None:
-        """Note how a call ended, for the other holder of its slot."""
+        """Queue the result of a call for the other node that holds its slot."""
         slot_state.results.append(result)
         self.exchange_due.set()
 
     def allocate_mark_number(self) -> int:
-        """Return a number that no other mark of this incarnation has."""
+        """Return a mark number that is unique within this incarnation."""
         self.last_mark_number += 1
         return self.last_mark_number
 
     def is_stalled(self) -> bool:
-        """Tell whether this process stood still and has not looked round since.
+        """Return whether this process was suspended and has not read the views since.
 
-        A node that was frozen for long may have been given up for lost together
-        with its partner, so it must hear of the present views before it acts.
+        While a node is suspended, other nodes may replace it and its partner. It must
+        read the current views before it acts.
         """
         now_s = self.timers.read()
         if now_s - self.last_check_s > self.settings.window_s * STALL_WINDOW_SHARE:
-            self.stalled_since_s = now_s
+            self.stall_detected_s = now_s
             self.resumed_s = now_s
             self.count("stalled")
         self.last_check_s = now_s
-        return self.stalled_since_s < math.inf
+        return self.stall_detected_s < math.inf
 
     def may_be_backlogged(self) -> bool:
-        """Tell whether a request that arrives now may be older than a window.
+        """Return whether a request read now may be older than a key window.
 
-        What was sent to a frozen process waits in its sockets and is read when
-        it wakes, when the key's earlier run may have been forgotten.
+        Requests to a suspended process wait in its sockets. When the process reads
+        them, the outcome of an earlier run of the key may have expired.
         """
         self.is_stalled()
         return self.timers.read() - self.resumed_s < BACKLOG_DURATION_S
 
     def confirm_views(self, requested_s: float) -> None:
-        """Note that the views are those of ``requested_s`` or later."""
-        if not self.is_stalled() or requested_s >= self.stalled_since_s:
-            self.stalled_since_s = math.inf
+        """Record that the views are at least as recent as ``requested_s``."""
+        if not self.is_stalled() or requested_s >= self.stall_detected_s:
+            self.stall_detected_s = math.inf
 
     def may_run_without_backup(self) -> bool:
-        """Tell whether a primary without a backup may still run keys.
+        """Return whether a primary without a backup may run keys.
 
-        Nobody acknowledges its marks, so it must have read the end of the log
-        not long ago: a successor waits one whole window after its record.
+        No backup acknowledges its marks, so it must have read the end of the log
+        recently. A successor waits one key window after its record.
         """
         age_s = self.timers.read() - self.log_confirmed_s
         return age_s < self.settings.window_s * MAX_UNBACKED_WINDOW_SHARE
--- a/eelgrassmount/keys/entry_codec.py
+++ b/eelgrassmount/keys/entry_codec.py
@@ -1,4 +1,4 @@
-"""Marks and facts about keys on their way between the holders of a slot."""
+"""Encoding of key table entries for the nodes that hold a slot."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def decode_entry(mark: KeyMark, now_s: float) -> Entry:
-    """Return what a mark says, raising `ValueError` or `BadFrameError`."""
+    """Return the entry of a mark; raise `ValueError` or `BadFrameError`."""
     runner, _, number = (mark.call_id or "").rpartition(".")
     if not mark.key or not runner:
         raise ValueError("a mark must have a key and a call id")
@@ -46,7 +46,7 @@
 
 
 def split_batches(marks: Iterable[KeyMark]) -> Iterator[list[KeyMark]]:
-    """Yield marks in batches that fit in one message each, at least one batch."""
+    """Yield marks in batches that fit into one message; yield at least one batch."""
     batch: list[KeyMark] = []
     size = 0
     for mark in marks:
--- a/eelgrassmount/keys/follower.py
+++ b/eelgrassmount/keys/follower.py
@@ -1,4 +1,4 @@
-"""Follows the views of the slots on the log and among peers, and proposes."""
+"""Follow the views of the slots through the log and peers, and propose views."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @define
 class Follower:
-    """Keeps the views of all slots of the own failure domain up to date."""
+    """Keeps the views of all slots of the local failure domain up to date."""
 
     core: Core
     fold: ViewFold = field(factory=ViewFold)
@@ -64,11 +64,11 @@
 
     @property
     def stream(self) -> str:
-        """The stream of the own failure domain's views."""
+        """The stream of the views of the local failure domain."""
         return f"slots.{self.core.board.identity.failure_domain}"
 
     async def catch_up(self, wait_s: float = 0.0) -> bool:
-        """Read the stream to its end; tell whether the log answered."""
+        """Read the stream to its end; return whether the log was reachable."""
         while True:
             requested_s = self.core.timers.read()
             page = await self.core.log.read(
@@ -96,7 +96,7 @@
         self.core.log_confirmed_s = max(self.core.log_confirmed_s, requested_s)
 
     async def fetch_views(self, address: str) -> bool:
-        """Take over the views that another node of the failure domain knows."""
+        """Apply the views of another node of the failure domain; return success."""
         requested_s = self.core.timers.read()
         domain = self.core.board.identity.failure_domain
         digest = compute_digest(slot_state.view for slot_state in self.core.slot_states)
@@ -115,7 +115,7 @@
         return True
 
     async def refresh(self) -> bool:
-        """Hear of the present views, from the log or else from a reader of it."""
+        """Fetch the current views from the log, or from a node that reads the log."""
         readers = self.core.read_roster().readers
         reads = self.core.node_id in readers
         if reads and await self.catch_up():
@@ -128,7 +128,7 @@
     async def answer_view_request(
         self, sender: Hello, message: Message
     ) -> Message | None:
-        """Answer a question for the views; a stalled node knows none."""
+        """Handle a request for the views; a stalled node returns none."""
         domain = self.core.board.identity.failure_domain
         views = []
         if not self.core.is_stalled():
@@ -146,7 +146,7 @@
         return Message(slot_answer=answer)
 
     async def follow_stream(self) -> None:
-        """Follow the stream while this node is one of its readers."""
+        """Follow the stream while this node is a reader, and poll peers otherwise."""
         await self.refresh()
         while True:
             if self.core.node_id in self.core.read_roster().readers:
@@ -158,7 +158,7 @@
 
     async def _refresh_if_due(self) -> None:
         now_s = self.core.timers.read()
-        # however many members ask, the readers answer equally often
+        # the interval grows with the cluster, which bounds the load of the readers
         members = len(self.core.read_roster().known)
         interval_s = max(
             MIN_REFRESH_INTERVAL_S, REFRESH_INTERVAL_PER_MEMBER_S * members
@@ -170,13 +170,13 @@
             await self.refresh()
 
     async def propose_periodically(self) -> None:
-        """Propose views where this node should, for as long as it runs."""
+        """Write due proposals until cancelled."""
         while True:
             await anyio.sleep(TICK_INTERVAL_S * self.core.rng.uniform(0.8, 1.2))
             await self.propose_due()
 
     async def propose_due(self) -> None:
-        """Write the proposals that are due, unless the log needs a rest."""
+        """Write the proposals that are due, except during a backoff."""
         if self._proposing or self.core.timers.read() < self._retry_s:
             return
         self._proposing = True
@@ -189,7 +189,7 @@
         roster = self.core.read_roster()
         if not self._plan(roster):
             return
-        # plan again on the latest views: others may have been faster
+        # plan again with the latest views: another node may have written first
         if not await self.catch_up():
             self._back_off()
             return
@@ -209,7 +209,7 @@
             )
             for slot_state in self.core.slot_states
         ]
-        # most of the time nothing has changed and nothing is due
+        # skip planning while nothing has changed since it found nothing due
         inputs = (roster, statuses)
         if inputs == self._idle_inputs:
             return self._plan_rewrites(roster, now_s)
@@ -237,13 +237,13 @@
             await self.catch_up()
             self._notify_holders(proposals)
             return
-        # the record may stand or may still come: it names its base, so writing
-        # it a second time can't set a view twice
+        # the append may have succeeded or may still succeed; a retry is safe because
+        # the record names its base version
         self._back_off()
         await self.catch_up()
 
     def _notify_holders(self, proposals: list[Proposal]) -> None:
-        """Let new holders know at once: a question of a later version does so."""
+        """Notify new primaries and backups by an empty request with the version."""
         notified = {self.core.node_id, NO_NODE}
         for proposal in proposals:
             view = self.core.slot_states[proposal.slot].view
@@ -264,14 +264,14 @@
 
 
 def compute_digest(views: Iterable[View]) -> int:
-    """Return a number that is the same for the same views."""
+    """Return a hash of the versions of all assigned views."""
     text = ",".join(f"{view.slot}:{view.version}" for view in views if view.version)
-    # a signed number on the wire
+    # fits a signed 64-bit field of the wire format
     return xxhash.xxh3_64_intdigest(text.encode()) >> 1
 
 
 def encode_view(view: View) -> SlotView:
-    """Return a view as it goes to other nodes."""
+    """Return the wire form of a view."""
     return SlotView(
         slot=view.slot,
         version=view.version,
@@ -288,7 +288,7 @@
 
 
 def decode_view(frame: SlotView) -> View:
-    """Return a view that another node sent."""
+    """Return the view of a wire struct."""
     return View(
         slot=frame.slot,
         version=frame.version,
--- a/eelgrassmount/keys/minted.py
+++ b/eelgrassmount/keys/minted.py
@@ -1,4 +1,4 @@
-"""Keys that the system mints: the incarnation that minted one alone may run it."""
+"""Keys minted by nodes: only the incarnation that minted a key may run it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @frozen
 class Checkpoint:
-    """The numbers below ``number`` had been minted at ``recorded_s``."""
+    """Numbers below ``number`` were minted by ``recorded_s``."""
 
     recorded_s: float
     number: int
@@ -41,10 +41,10 @@
 
 @define
 class ReceivedHandover:
-    """What an incarnation that has left for good handed over.
+    """The keys that a departed incarnation handed over.
 
-    A number from ``horizon`` on without an entry was never run, and never
-    will be, once ``complete`` is set.
+    Once ``complete`` is set, a number from ``horizon`` on without an entry has not
+    run and never will.
     """
 
     key_store: KeyStore
@@ -55,7 +55,7 @@
 
 @define
 class Minter:
-    """Mints keys, runs their calls and answers for those who have left."""
+    """Mints keys, runs their calls and answers for departed incarnations."""
 
     core: Core
     key_store: KeyStore = field(init=False)
@@ -66,13 +66,13 @@
     _checkpoints: deque[Checkpoint] = field(factory=deque)
 
     def __attrs_post_init__(self) -> None:
-        """Choose the secret of this incarnation."""
+        """Generate the secret of this incarnation."""
         check_identity(self.core.board.identity)
         self.key_store = KeyStore(KeyTable(self.core.budget))
         self._secret = self.core.rng.randbytes(_SECRET_BYTES)
 
     def mint(self) -> str:
-        """Return a new key, empty once this node answers for no new ones."""
+        """Return a new key, or an empty text while this node shuts down."""
         if self.closed or self.core.leaving:
             return ""
         number = self._next
@@ -80,7 +80,7 @@
         return format_minted(self.core.board.identity, number, self._secret)
 
     def record_checkpoint(self) -> None:
-        """Note which numbers are minted by now."""
+        """Record the numbers minted so far, unless a checkpoint is recent."""
         now_s = self.core.timers.read()
         interval_s = self.core.settings.window_s / CHECKPOINTS_PER_WINDOW
         if self._checkpoints and now_s - self._checkpoints[-1].recorded_s < interval_s:
@@ -90,8 +90,8 @@
     def find_horizon(self) -> int:
         """Return the number below which a key without an entry is refused.
 
-        Every key minted more than a window ago lies below it, so that a key
-        whose entry has expired can't pass for a new one.
+        All keys minted more than a window ago are below it, so that a key with an
+        expired entry can't run again.
         """
         oldest_s = self.core.timers.read() - self.core.settings.window_s
         for checkpoint in self._checkpoints:
@@ -100,7 +100,7 @@
         return self._next
 
     def expire(self, now_s: float, window_s: float) -> None:
-        """Forget what was done a window ago."""
+        """Remove keys, checkpoints and handovers that are older than a window."""
         self.key_store.table.expire(now_s, window_s)
         while len(self._checkpoints) > 1:
             if self._checkpoints[0].recorded_s >= now_s - window_s:
@@ -156,7 +156,7 @@
         self.key_store.complete(entry, outcome, self.core.timers.read())
 
     async def answer_for_departed(self, key: MintedKey, call: Call) -> Outcome | None:
-        """Answer for an incarnation that has left, if its answers are here."""
+        """Answer for a departed incarnation, or return ``None`` without its keys."""
         handover = self.handovers.get(key.incarnation)
         if handover is None or not handover.complete:
             return None
@@ -172,13 +172,13 @@
 
     @property
     def idle(self) -> bool:
-        """Tell whether no call of a minted key is under way."""
+        """Return whether no call of a minted key is in progress."""
         return not has_local_runs(self.key_store)
 
     async def hand_over(self) -> int:
-        """Give the answers to the heirs; return how many heirs have them all.
+        """Send all entries to the successors; return how many received them all.
 
-        From now on this node runs no minted key any more.
+        This node runs no minted key afterwards.
         """
         self.closed = True
         now_s = self.core.timers.read()
@@ -208,7 +208,7 @@
         return True
 
     def answer_transfer(self, sender: Hello, transfer: SlotTransfer) -> Message:
-        """Take in a part of what a leaving incarnation hands over."""
+        """Apply one batch of the keys of a leaving incarnation."""
         now_s = self.core.timers.read()
         handover = self.handovers.get(sender.incarnation)
         if handover is None:
@@ -219,7 +219,7 @@
             for mark in transfer.marks or ():
                 apply_copy(handover.key_store.table, decode_entry(mark, now_s))
         except (BadFrameError, ValueError):
-            # never whole: what is missing must not be called "not run"
+            # not complete: a missing entry must not be reported as "not run"
             return _reply(False)
         handover.complete = handover.complete or bool(transfer.last)
         return _reply(True)
--- a/eelgrassmount/keys/owner.py
+++ b/eelgrassmount/keys/owner.py
@@ -1,4 +1,4 @@
-"""Runs the calls of the keys whose slots this node is primary of."""
+"""Run the calls of keys in the slots of which this node is primary."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     async def run(self, slot_state: SlotState, call: Call) -> Outcome:
         """Return the outcome of a call, running it if its key is new.
 
-        The answer is `Reason.OWNER_CHANGING`, without a time to come back, if
-        this node is not, or no longer, the primary and has not run the call.
+        The outcome is `Reason.OWNER_CHANGING` without a retry time if this node is
+        not the primary and has not run the call.
         """
         while True:
             entry = slot_state.table.find(call.context.key)
@@ -47,7 +47,7 @@
             outcome = await self._wait_until_ready(slot_state, call)
             if outcome is not None:
                 return outcome
-            # nothing may be awaited between finding no entry and adding one
+            # no await between this check and adding the entry, or a key may run twice
             if slot_state.table.find(call.context.key) is None:
                 return await self._run_new(slot_state, call)
 
@@ -87,7 +87,7 @@
         return Outcome(MayHaveRun(Reason.OWNER_CHANGING))
 
     def _can_backup_change(self, slot_state: SlotState) -> bool:
-        # without the log a dead backup can't be replaced: waiting is no use
+        # a dead backup can't be replaced without the log, so waiting is futile
         backup_gone = self.core.read_roster().is_gone(slot_state.view.backup)
         return self.core.board.log_reachable or not backup_gone
 
@@ -111,7 +111,7 @@
         )
 
     async def _refuse_full(self, slot_state: SlotState, call: Call) -> Outcome:
-        # "not run" must be true: the backup confirms that nobody took over
+        # "not run" is only true if the backup confirms that this node is primary
         refusal = await self._mark(slot_state, [], call)
         if refusal is not None:
             return Outcome(refusal)
@@ -119,7 +119,7 @@
         return Outcome(NotRun(Reason.KEY_TABLE_FULL))
 
     async def _execute(self, slot_state: SlotState, entry: Entry, call: Call) -> None:
-        """Mark a key and then run its call, whether or not the caller waits."""
+        """Mark a key and run its call, independently of the waiting caller."""
         refusal = await self._mark(slot_state, [entry], call)
         if refusal is not None:
             self._abandon(slot_state, entry, Outcome(refusal))
@@ -152,7 +152,7 @@
     async def _mark(
         self, slot_state: SlotState, entries: list[Entry], call: Call
     ) -> NotRun | MayHaveRun | None:
-        """Get marks acknowledged; ``None`` means that the call may run now."""
+        """Get marks acknowledged by the backup; return ``None`` if the call may run."""
         while True:
             refusal = await self._wait_until_ready(slot_state, call)
             if refusal is not None:
@@ -167,7 +167,7 @@
                 continue
             answer = await self._send_marks(slot_state, entries)
             if answer is not None and answer.accepted:
-                # under a later view the mark must be acknowledged anew
+                # a later view requires a new acknowledgement
                 if slot_state.view == view and not self.core.is_stalled():
                     return None
                 continue
@@ -211,7 +211,7 @@
 async def get_or_await_outcome(
     core: Core, key_store: KeyStore, entry: Entry, call: Call
 ) -> Outcome | None:
-    """Return the outcome of a key met before; ``None`` means to look again."""
+    """Return the outcome of a known key; ``None`` requires a new lookup."""
     if entry.digest != call.context.digest:
         return refuse_reused(core)
     if entry.outcome is not None:
@@ -222,7 +222,7 @@
 
 
 def refuse_reused(core: Core) -> Outcome:
-    """Return the refusal of a key that came with other content before."""
+    """Return the refusal of a key that was first used with other content."""
     core.count("key-reused")
     return Outcome(MayHaveRun(Reason.KEY_REUSED))
 
@@ -230,9 +230,9 @@
 async def wait_for_outcome(
     core: Core, pending_outcome: object, call: Call
 ) -> Outcome | None:
-    """Wait for the outcome of a key until the call's own deadline.
+    """Wait for the outcome of a key until the deadline of this call.
 
-    ``None`` means that the key is free again without a run.
+    ``None`` means that the key was freed without a run.
     """
     with anyio.move_on_after(call.context.deadline_s - core.timers.read()):
         await pending_outcome.event.wait()
@@ -243,13 +243,13 @@
 
 
 async def wait_change(slot_state: SlotState, limit_s: float) -> None:
-    """Wait until something about a slot changes, for a limited time."""
+    """Wait for a change of a slot for at most ``limit_s``."""
     with anyio.move_on_after(max(0.0, limit_s)):
         await slot_state.changed.wait()
 
 
 async def run_guarded(core: Core, call: Call) -> Outcome:
-    """Run a call; whatever goes wrong on the way, it may have run."""
+    """Run a call; after an unexpected error the outcome is *may have run*."""
     try:
         return await core.run(call)
     except Exception:
--- a/eelgrassmount/keys/owner_router.py
+++ b/eelgrassmount/keys/owner_router.py
@@ -1,4 +1,4 @@
-"""The way of a call to the owner of its key."""
+"""Route calls to the owners of their keys."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @define
 class OwnerRouter:
-    """Finds the owner of a key, here, in this failure domain or in another."""
+    """Finds the owner of a key at this node, in this failure domain or in another."""
 
     core: Core
     follower: Follower
@@ -45,10 +45,10 @@
     _forwarding: set[str] = field(factory=set)
 
     async def enter(self, call: Call) -> Outcome:
-        """Run a call that entered here, asking again for an owner not found.
+        """Run a call of a local caller, retrying while its owner is unknown.
 
-        A node that has just started knows too little for a moment, and an owner
-        that moves is found a moment later. Asking again can't run a key twice.
+        A node that has just started doesn't know the owners yet, and an owner may be
+        moving. A retry can't run a key twice.
         """
         started_s = self.core.timers.read()
         outcome = await self.run(call)
@@ -58,7 +58,7 @@
         return outcome
 
     def _may_retry_lookup(self, call: Call, started_s: float) -> bool:
-        # without the log, no owner is replaced and nothing is to be hoped for
+        # without the log no owner is replaced, so a retry is futile
         if not self.core.board.log_reachable:
             return False
         now_s = self.core.timers.read()
@@ -66,10 +66,10 @@
         return in_time and now_s - started_s < MAX_LOOKUP_RETRY_S
 
     async def run(self, call: Call) -> Outcome:
-        """Find the owner of the call's key and let it run the call.
+        """Route the call to the owner of its key, which runs it.
 
-        Refusals are *may have run* wherever an earlier sending of the key may
-        have been run, also when this very sending certainly was not.
+        Refusals are *may have run* if an earlier attempt of the key may have run,
+        even if this attempt was certainly not run.
         """
         late = call.context.deadline_s <= self.core.timers.read()
         if late or self.core.may_be_backlogged():
@@ -85,9 +85,9 @@
                 return await self._run_caller_key(key, call)
 
     async def receive(self, call: Call) -> Outcome:
-        """Act on a call that another node sent to the owner of its key."""
+        """Handle a call that another node routed to the owner of its key."""
         if call.context.call_id in self._forwarding:
-            # two nodes that take each other for the owner
+            # two nodes consider each other the owner
             self.core.count("route-loop")
             return Outcome(MayHaveRun(Reason.OWNER_CHANGING))
         return await self.run(call)
@@ -124,19 +124,19 @@
         if view.primary.address == self.core.node_id.address:
             return None
         gone = self.core.read_roster().is_gone(view.primary)
-        # a dead address may swallow everything until the deadline
+        # an unresponsive address could use up the whole deadline
         limit_s = ATTEMPT_TIMEOUT_S if gone else math.inf
         return await self._forward(view.primary.address, call, limit_s)
 
     def _refuse_unreachable(self) -> Outcome:
-        # also when nothing was sent: an earlier sending of the key may have run
+        # even if nothing was sent: an earlier attempt of the key may have run
         self.core.count("owner-unreachable")
         return Outcome(MayHaveRun(Reason.OWNER_UNREACHABLE))
 
     async def _wait_for_newer_view(
         self, slot_state: SlotState, tried: View, call: Call
     ) -> bool:
-        """Wait for a later view than the one tried; tell whether to try again."""
+        """Wait for a later view than ``tried``; return whether to retry."""
         remaining_s = call.context.deadline_s - self.core.timers.read()
         if remaining_s <= 0:
             return False
@@ -184,7 +184,7 @@
         return self._refuse_unreachable()
 
     async def _relay(self, domain: str, preferred: str, call: Call) -> Outcome:
-        """Send a call to a node of another failure domain, which finds the owner."""
+        """Send a call to a node of another failure domain, which routes it on."""
         addresses = self._find_relays(domain)
         if preferred in addresses:
             addresses = [preferred, *addresses]
@@ -209,9 +209,9 @@
     async def _forward(
         self, address: str, call: Call, limit_s: float = math.inf
     ) -> Outcome | None:
-        """Send a call towards its owner; sending it twice can't run it twice.
+        """Send a call to its owner or to a node that routes it; safe to retry.
 
-        ``None`` means that no answer came, whether or not the call was sent.
+        ``None`` means that no answer arrived, whether or not the call was sent.
         """
         call_id = call.context.call_id
         if call.context.deadline_s <= self.core.timers.read():
@@ -222,7 +222,7 @@
         try:
             reply = await self._ask(address, call, limit_s)
             if isinstance(reply, PeerFailure) and reply.sent:
-                # its link was lost, and the node may be well
+                # the link was lost, but the node may be alive
                 reply = await self._ask(address, call, limit_s)
         finally:
             self._forwarding.discard(call_id)
@@ -254,5 +254,5 @@
 
 
 def _is_owner_changing(outcome: Outcome | None) -> bool:
-    """Tell whether the owner was not found: no answer, or not from the owner."""
+    """Return whether the owner didn't answer, or a non-owner did."""
     return outcome is None or outcome.verdict == MayHaveRun(Reason.OWNER_CHANGING)
--- a/eelgrassmount/keys/placement.py
+++ b/eelgrassmount/keys/placement.py
@@ -1,4 +1,4 @@
-"""Where keys live: home failure domains, slots and ranks of nodes."""
+"""Placement of keys: home failure domains, slots and ranks of nodes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @frozen(order=True)
 class NodeId:
-    """One incarnation of a node; both parts are empty for no node."""
+    """One incarnation of a node; `NO_NODE` has empty fields."""
 
     address: str = ""
     incarnation: str = ""
 
     def __bool__(self) -> bool:
-        """Tell whether this names a node at all."""
+        """Return whether this names a node."""
         return bool(self.incarnation)
 
 
@@ -33,21 +33,20 @@
 
 
 def identify_node(identity: Identity) -> NodeId:
-    """Return the id of the node with an identity."""
+    """Return the node id of an identity."""
     return NodeId(identity.address, identity.incarnation)
 
 
 def find_slot(key: str) -> int:
-    """Return the slot of a caller's own key inside its home failure domain."""
+    """Return the slot of a caller's key within its home failure domain."""
     return xxhash.xxh3_64_intdigest(key.encode()) % SLOT_COUNT
 
 
 def find_home(key: str, named: str, failure_domains: tuple[str, ...]) -> str:
-    """Return the failure domain that remembers a key, empty if there is none.
+    """Return the failure domain that stores a key, or an empty text.
 
-    ``named`` is the failure domain that the key itself names, if any. The list
-    of failure domains never changes once it has been set, so that every node
-    finds the same one at any time.
+    ``named`` is the failure domain that the key names, if any. The configured list
+    of failure domains never changes, so that all nodes find the same home.
     """
     if named:
         return named if named in failure_domains else ""
@@ -57,15 +56,15 @@
 
 
 def sort_nodes(nodes: Iterable[NodeId]) -> list[NodeId]:
-    """Return nodes in the order of their names."""
-    # several times faster than by the order that the class itself defines
+    """Return nodes in the order of address and incarnation."""
+    # faster than the ordering of the attrs class
     return sorted(nodes, key=lambda node: (node.address, node.incarnation))
 
 
 def rank_nodes(subject: str, nodes: Iterable[NodeId]) -> list[NodeId]:
-    """Return nodes by rendezvous hash, the first choice for ``subject`` first.
+    """Return nodes by rendezvous hash for ``subject``, the best first.
 
-    A node that comes or goes changes only the ranks that it takes itself.
+    Adding or removing a node leaves the relative order of the others unchanged.
     """
     return sorted(
         sort_nodes(nodes),
@@ -80,15 +79,15 @@
 
 
 def choose_readers(nodes: Iterable[NodeId]) -> list[NodeId]:
-    """Return the few nodes that tail the stream; the first is the delegate."""
+    """Return the nodes that follow the stream; the first is the delegate."""
     return rank_nodes("readers", nodes)[:READER_COUNT]
 
 
 def choose_successors(incarnation: str, nodes: Iterable[NodeId]) -> list[NodeId]:
-    """Return the nodes that answer for an incarnation which has left.
+    """Return the nodes that answer for a departed incarnation.
 
-    The answers are given to more than one, so that a node which joins later
-    and takes the first rank does not hide them.
+    Several nodes get its keys, so that a node that joins later and ranks first
+    doesn't hide them.
     """
     others = (node for node in nodes if node.incarnation != incarnation)
     return rank_nodes(f"heirs {incarnation}", others)[:SUCCESSOR_COUNT]
--- a/eelgrassmount/keys/planning.py
+++ b/eelgrassmount/keys/planning.py
@@ -1,4 +1,4 @@
-"""What a node proposes for the views of the slots."""
+"""Planning of proposals for the views of the slots."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @frozen
 class Roster:
-    """The nodes of the own failure domain as a plan sees them.
+    """The nodes of the local failure domain, as input of planning.
 
-    ``eligible`` are those that may hold slots, ``gone`` those known not to come back
-    or thought dead, ``stable`` tells that the list has not changed for a while.
+    ``eligible`` nodes may hold slots. ``gone`` nodes have left or are considered dead.
+    ``stable``: the list has not changed for `KeySettings.stable_s`.
     """
 
     node_id: NodeId
@@ -41,27 +41,27 @@
     readers: tuple[NodeId, ...] = field(eq=False, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Choose the readers once, as they are asked for all the time."""
+        """Choose the readers once, since they are read often."""
         object.__setattr__(self, "readers", tuple(choose_readers(self.eligible)))
 
     def is_gone(self, node: NodeId) -> bool:
-        """Tell whether a node is dead, has left, or has been replaced."""
+        """Return whether a node is dead, has left, or has been replaced."""
         if node.address == self.node_id.address:
             return node != self.node_id
         return node in self.gone or (self.stable and node not in self.known)
 
     @property
     def is_delegate(self) -> bool:
-        """Tell whether this node proposes for slots that nobody holds."""
+        """Return whether this node proposes for slots without a live node."""
         return self.readers[:1] == (self.node_id,)
 
 
 @frozen
 class SlotStatus:
-    """What this node knows of one slot besides its view.
+    """The state of one slot at this node, as input of planning.
 
-    ``synced``: as primary, the backup has everything; as backup, it has
-    everything itself. ``waiting``: a lost view's waiting time is not known to be over.
+    ``synced``: the backup has the whole table. ``waiting``: the waiting time of a lost
+    view may still be running.
     """
 
     view: View
@@ -70,13 +70,13 @@
 
 
 def build_roster(node_id: NodeId, members: Iterable[Member], leaving: bool) -> Roster:
-    """Return the roster of a failure domain from its members, not yet settled."""
+    """Return the roster of a failure domain; ``stable`` is not set."""
     eligible = set() if leaving else {node_id}
     known = {node_id}
     gone = set()
     for member in members:
         node = identify_node(member.identity)
-        # whoever else is known at the own address has been replaced by this node
+        # this node has replaced any other incarnation at its address
         if node.address == node_id.address:
             continue
         known.add(node)
@@ -98,10 +98,9 @@
 ) -> list[Proposal]:
     """Return the proposals that this node should write now.
 
-    Repairs come first; moves towards the ranked nodes follow when nothing is
-    to be repaired, few at a time. ``from_start`` tells that the stream has been
-    read from its very first record, so that a slot without a view has
-    certainly never had one.
+    Repairs precede moves towards the ranked nodes; a plan has at most
+    `MAX_MOVES_PER_PLAN` moves. ``from_start``: the stream was read from its first
+    record, so a slot without a view never had one.
     """
     statuses = list(statuses)
     repairs = [_plan_repair(status, roster, from_start) for status in statuses]
@@ -140,7 +139,7 @@
     view = status.view
     others = [node for node in roster.eligible if node != roster.node_id]
     if roster.node_id not in roster.eligible:
-        # leaving: the backup takes over, with all that this node has
+        # this node leaves: a synced backup becomes primary
         if status.synced and view.backup and not roster.is_gone(view.backup):
             return _propose(view, (view.backup,), roster, status.waiting)
         if view.backup and not roster.is_gone(view.backup):
@@ -171,7 +170,7 @@
         return Proposal(view.slot, view.version, roster.node_id, newcomer)
     if view.backup == best[0]:
         return Proposal(view.slot, view.version, best[0], best[1])
-    # the backup is second: a first that is not in the pair becomes backup next
+    # the backup ranks second: the first-ranked node becomes backup before it moves up
     return Proposal(view.slot, view.version, roster.node_id, best[0])
 
 
--- a/eelgrassmount/keys/port.py
+++ b/eelgrassmount/keys/port.py
@@ -1,4 +1,4 @@
-"""What the path of a call asks of the owners of keys."""
+"""Interface between the call path and the key service."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     """Runs calls that have an idempotency key, each key at most once."""
 
     async def run(self, call: Call) -> Outcome:
-        """Find the owner of the call's key and let it run the call.
+        """Route the call to the owner of its key, which runs it.
 
-        The same key gives the same outcome again; with other content it is
+        A retry of a key returns the stored outcome; a key with other content is
         refused.
         """
 
--- a/eelgrassmount/keys/replica.py
+++ b/eelgrassmount/keys/replica.py
@@ -1,4 +1,4 @@
-"""Keeps the table of a slot at its backup."""
+"""Replicate the table of a slot from its primary to its backup."""
 
 from __future__ import annotations
 
@@ -32,18 +32,17 @@
 
 @define
 class Replica:
-    """The exchange between the two holders of each slot."""
+    """Exchanges table entries between the primary and the backup of each slot."""
 
     core: Core
     follower: Follower
     _active_slots: set[int] = field(factory=set)
 
     async def answer_marks(self, sender: Hello, message: Message) -> Message | None:
-        """Acknowledge marks of a slot's primary, or say why not.
+        """Handle marks and results of the primary; acknowledge or refuse the marks.
 
-        Only marks under exactly the present view are acknowledged, so that
-        once this node has gone over to a later view no earlier primary gets a
-        key past it. Facts are taken under any view.
+        Marks are acknowledged only under the current view, so that an earlier primary
+        can't run keys after a view change. Results are accepted under any view.
         """
         question = message.mark_question
         if not _is_slot(question.slot):
@@ -99,7 +98,7 @@
         )
 
     async def answer_transfer(self, sender: Hello, message: Message) -> Message | None:
-        """Take in a part of the whole table of a slot."""
+        """Apply one batch of a transferred table."""
         transfer = message.slot_transfer
         if not _is_slot(transfer.slot):
             return _reply(False, _UNKNOWN_VERSION)
@@ -134,7 +133,7 @@
         return entries
 
     async def run(self) -> None:
-        """Bring backups up to date and send facts, for as long as it runs."""
+        """Synchronize backups and send results until cancelled."""
         while True:
             await self.core.exchange_due.wait()
             self.core.exchange_due = anyio.Event()
@@ -145,8 +144,8 @@
                     self._start_exchange(self._send_results, slot_state)
 
     def _start_exchange(self, send: Callable, slot_state: SlotState) -> None:
-        # one exchange for each slot at a time; a dead partner of one slot
-        # does not hold up the others
+        # slots have separate exchanges, so that a dead node of one slot doesn't delay
+        # the others
         slot = slot_state.view.slot
         if slot not in self._active_slots:
             self._active_slots.add(slot)
@@ -166,7 +165,7 @@
     async def _sync(self, slot_state: SlotState) -> None:
         view = slot_state.view
         now_s = self.core.timers.read()
-        # the copies contain all that these facts say
+        # the transferred entries include these results
         slot_state.results.clear()
         copies = [encode_entry(entry, now_s) for entry in list_entries(slot_state)]
         batches = list(split_batches(copies))
@@ -202,7 +201,7 @@
         return bool(answer.accepted)
 
     async def _send_results(self, slot_state: SlotState) -> None:
-        # gather what ends in the meantime
+        # collect further results for one batch
         await anyio.sleep(RESULT_BATCH_DELAY_S)
         view = slot_state.view
         target = view.backup if view.primary == self.core.node_id else view.primary
@@ -235,7 +234,7 @@
 
 
 def _get_newer_version(slot_state: SlotState, version: int) -> int:
-    # a refusal under the very same version would mean a full table
+    # a refusal that names the same version means that the table is full
     later = slot_state.view.version
     return later if later > version else _UNKNOWN_VERSION
 
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -40,10 +40,9 @@
 
 @define
 class KeyService:
-    """The at-most-once part of one node; implements `KeyPort`.
+    """The key service of one node; implements `KeyPort`.
 
-    ``run`` of the constructor runs a call on some node of its service;
-    ``count`` counts an event by its name. Nothing is run before `start`.
+    No call runs before `start`.
     """
 
     core: Core
@@ -64,7 +63,10 @@
         settings: KeySettings | None = None,
         count: Callable[[str], None] = _ignore,
     ) -> KeyService:
-        """Return a service with its parts wired up."""
+        """Return a service with its parts wired.
+
+        ``run`` runs a call on a node of its service; ``count`` counts an event.
+        """
         settings = settings or KeySettings()
         core = Core(board, timers, peers, log, run, rng, settings, count)
         follower = Follower(core)
@@ -79,7 +81,7 @@
         )
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Begin to follow views, to keep backups and to expire keys."""
+        """Start following views, replicating to backups and expiring keys."""
         self.core.tasks = tasks
         self.minter.record_checkpoint()
         self.core.timers.subscribe(TICK_INTERVAL_S, self._tick)
@@ -99,7 +101,7 @@
             slot_state.key_store.drop_idle_outcomes()
 
     def handlers(self) -> Handlers:
-        """Return what answers the messages about slots."""
+        """Return the handlers of messages about slots."""
         return {
             "mark_question": self.replica.answer_marks,
             "slot_transfer": self._answer_transfer,
@@ -112,35 +114,35 @@
         return await self.replica.answer_transfer(sender, message)
 
     def mint(self) -> str:
-        """Return a new key, empty while this node is leaving."""
+        """Return a new key, or an empty text while this node is leaving."""
         return self.minter.mint()
 
     async def run(self, call: Call) -> Outcome:
-        """Find the owner of the call's key and let it run the call.
+        """Route the call to the owner of its key, which runs it.
 
-        Refusals are *may have run* wherever an earlier sending of the key may
-        have been run, also when this very sending certainly was not.
+        Refusals are *may have run* if an earlier attempt of the key may have run,
+        even if this attempt was certainly not run.
         """
         return await self.router.enter(call)
 
     async def handle_forwarded(self, call: Call) -> Outcome:
-        """Act on a call that another node sent to the owner of its key."""
+        """Handle a call that another node routed to the owner of its key."""
         return await self.router.receive(call)
 
     def handle_version(self, version: int, address: str) -> None:
-        """Note that a node of this failure domain knows a view of ``version``."""
+        """Fetch views from a node that announces a newer ``version``."""
         if version > self.find_version() and self.core.tasks is not None:
             self.core.tasks.start_soon(self.follower.fetch_views, address)
 
     def find_version(self) -> int:
-        """Return the latest version among all slots' views, for gossip."""
+        """Return the latest version of all views, for gossip."""
         return max(slot_state.view.version for slot_state in self.core.slot_states)
 
     async def hand_over(self) -> None:
-        """Give slots and answers to others, as part of a graceful shutdown.
+        """Move slots and minted keys to other nodes during a graceful shutdown.
 
-        Calls under way are finished first. Returns when no slot needs this
-        node any more, or after `HANDOVER_TIMEOUT_S` at the latest.
+        Calls in progress finish first. Return when no slot needs this node, or after
+        `HANDOVER_TIMEOUT_S`.
         """
         self.core.leaving = True
         with anyio.move_on_after(HANDOVER_TIMEOUT_S):
--- a/eelgrassmount/keys/slot_state.py
+++ b/eelgrassmount/keys/slot_state.py
@@ -1,4 +1,4 @@
-"""What a node holds for one slot."""
+"""The state of one slot at a node."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @define
 class PendingOutcome:
-    """Those who wait for the outcome of one key."""
+    """The event on which calls wait for the outcome of one key."""
 
     event: anyio.Event = field(factory=anyio.Event)
     outcome: Outcome | None = None
@@ -26,30 +26,30 @@
 
 @define
 class KeyStore:
-    """A table of keys together with those who wait for outcomes."""
+    """A table of keys and the calls that wait for their outcomes."""
 
     table: KeyTable
     pending_outcomes: dict[str, PendingOutcome] = field(factory=dict)
 
     def get_pending_outcome(self, key: str) -> PendingOutcome:
-        """Return the ticket of a key, a new one if nobody waits yet."""
+        """Return the pending outcome of a key, created if missing."""
         return self.pending_outcomes.setdefault(key, PendingOutcome())
 
     def resolve(self, key: str, outcome: Outcome | None) -> None:
-        """Wake those who wait; without an outcome they begin anew."""
+        """Wake waiting calls; without an outcome they look up the key again."""
         pending_outcome = self.pending_outcomes.pop(key, None)
         if pending_outcome is not None:
             pending_outcome.outcome = outcome
             pending_outcome.event.set()
 
     def drop_idle_outcomes(self) -> None:
-        """Forget the tickets of keys that are no longer remembered."""
+        """Resolve pending outcomes of keys that are no longer in the table."""
         idle = [key for key in self.pending_outcomes if self.table.find(key) is None]
         for key in idle:
             self.resolve(key, None)
 
     def complete(self, entry: Entry, outcome: Outcome, now_s: float) -> None:
-        """Keep how the call of an entry ended; a call not run frees its key."""
+        """Store the outcome of a call; a call that was not run frees its key."""
         if isinstance(outcome.verdict, NotRun):
             self.table.release(entry)
         else:
@@ -59,12 +59,12 @@
 
 @define
 class SlotState:
-    """One slot as this node holds it.
+    """The state of one slot at its primary or backup.
 
-    ``synced`` means, at the primary, that its backup has the whole table, and at
-    the backup that it has received it under the present view. New keys run
-    from ``opens_at_s`` on. ``primary_active`` tells a backup that its primary runs keys.
-    ``results`` are endings that the other holder has not confirmed yet.
+    ``synced``: the backup has the whole table under the current view.
+    ``opens_at_s``: when the primary starts to run new keys. ``primary_active``: the
+    backup knows that the primary runs keys. ``results``: results that the other node
+    has not confirmed yet.
     """
 
     view: View
@@ -82,7 +82,7 @@
         return self.key_store.table
 
     def is_waiting(self, node_id: NodeId, now_s: float) -> bool:
-        """Tell whether a lost view's waiting time is not known to be over."""
+        """Return whether the waiting time of a lost view may still be running."""
         if not self.view.lost:
             return False
         if self.view.primary == node_id:
@@ -90,7 +90,7 @@
         return not self.primary_active
 
     def notify_waiters(self) -> None:
-        """Wake everything that waits for a change of this slot."""
+        """Wake the tasks that wait for a change of this slot."""
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -98,9 +98,9 @@
 def adopt_view(
     slot_state: SlotState, view: View, node_id: NodeId, now_s: float, window_s: float
 ) -> bool:
-    """Go over to a later view; tell whether it is one.
+    """Replace the view by a later one; return whether it is later.
 
-    From here on nothing is acknowledged or run under the earlier view.
+    Nothing is acknowledged or run under the earlier view afterwards.
     """
     earlier = slot_state.view
     if view.version <= earlier.version:
@@ -131,11 +131,13 @@
 
 
 def list_entries(slot_state: SlotState) -> list[Entry]:
-    """Return what a new backup has to know, the keys at work included."""
+    """Return the entries for a new backup, including those of running calls."""
     return list(slot_state.table.entries.values())
 
 
 def has_local_runs(key_store: KeyStore) -> bool:
-    """Tell whether a call of some key is under way at this node."""
-    own = (Stage.MARKED, Stage.RUNNING)
-    return any(entry.stage in own for entry in key_store.table.entries.values())
+    """Return whether a call of any key is in progress at this node."""
+    local_stages = (Stage.MARKED, Stage.RUNNING)
+    return any(
+        entry.stage in local_stages for entry in key_store.table.entries.values()
+    )
--- a/eelgrassmount/keys/syntax.py
+++ b/eelgrassmount/keys/syntax.py
@@ -21,7 +21,7 @@
 
 @frozen
 class MintedKey:
-    """A key that the system minted: it names its owner, which alone may run it."""
+    """A key minted by a node; only that incarnation may run it."""
 
     text: str
     address: str
@@ -33,7 +33,7 @@
 
 @frozen
 class CallerKey:
-    """A key of the caller's own; ``failure_domain`` is empty if none is named."""
+    """A key chosen by the caller; ``failure_domain`` is empty if none is named."""
 
     text: str
     failure_domain: str
@@ -41,16 +41,15 @@
 
 @frozen
 class BadKey:
-    """A text that is no key; ``detail`` says what to mend."""
+    """A malformed key; ``detail`` states the error."""
 
     detail: str
 
 
 def parse_key(text: str) -> MintedKey | CallerKey | BadKey:
-    """Return what a key says, or why it is none.
+    """Return the parsed key, or `BadKey` for a malformed one.
 
-    A caller's own key is kept under its whole text, so ``howrah:7`` and ``7``
-    are two keys.
+    A caller's key is identified by its whole text: ``howrah:7`` and ``7`` differ.
     """
     if text.startswith(MINTED_PREFIX):
         return _parse_minted(text)
@@ -79,7 +78,7 @@
 
 
 def format_minted(identity: Identity, number: int, secret: bytes) -> str:
-    """Return the minted key with a number, sealed so that it can't be guessed."""
+    """Return the minted key with a number and its authentication code."""
     parts = (
         _encode_address(identity.address),
         identity.failure_domain,
@@ -90,17 +89,17 @@
 
 
 def compute_mac(number: int, secret: bytes) -> str:
-    """Return what proves that the owner of ``secret`` minted a number."""
+    """Return the authentication code of a number under ``secret``."""
     text = str(number).encode()
     return hashlib.blake2s(text, digest_size=_MAC_BYTES, key=secret).hexdigest()
 
 
 def check_identity(identity: Identity) -> None:
-    """Raise `ValueError` if keys can't be minted in the name of a node."""
+    """Raise `ValueError` if an identity can't be part of a minted key."""
     for name in (identity.failure_domain, identity.incarnation):
         if not _PART_PATTERN.fullmatch(name):
             raise ValueError(
-                f"{name!r} can't stand in a key: use the characters "
+                f"{name!r} can't be part of a key: use the characters "
                 "A-Z a-z 0-9 . _ - for failure domains and incarnations"
             )
     if len(format_minted(identity, 16**12 - 1, b"")) > MAX_KEY_LENGTH:
@@ -111,7 +110,7 @@
 
 
 def _encode_address(address: str) -> str:
-    # the brackets of IPv6 numbers and colons are not allowed in a key
+    # colons and the brackets of IPv6 addresses are not allowed in a key
     return address.replace(":", "_").replace("[", "-").replace("]", "-")
 
 
--- a/eelgrassmount/keys/table.py
+++ b/eelgrassmount/keys/table.py
@@ -1,4 +1,4 @@
-"""The keys that one slot, or one incarnation of a node, remembers."""
+"""The table of keys of one slot, or of one incarnation of a node."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Stage(IntEnum):
-    """How far the call of a key has come."""
+    """The progress of a key's call."""
 
     MARKED = 0
     RUNNING = 1
@@ -31,8 +31,8 @@
     """One key.
 
     ``runner`` is the incarnation that marked the key and ``mark`` its number for
-    this attempt; together they tell a late message about an earlier attempt
-    from one about the present. ``since_s`` is when the stage was reached.
+    this attempt. Both identify the attempt, so that late messages about earlier
+    attempts are ignored. ``since_s`` is the time at which the stage was reached.
     """
 
     key: str
@@ -46,7 +46,7 @@
 
 @define
 class Budget:
-    """The bounds of all tables of a node together, and what is in use."""
+    """The limits and current use of all tables of a node together."""
 
     max_keys: int
     max_bytes: int
@@ -55,7 +55,7 @@
 
     @property
     def full(self) -> bool:
-        """Tell whether no new key may be taken in."""
+        """Return whether new keys must be refused."""
         return self.keys >= self.max_keys or self.bytes >= self.max_bytes
 
 
@@ -63,8 +63,8 @@
 class KeyTable:
     """Keys with their outcomes.
 
-    An entry whose call is done is kept for at least one key window from then
-    on, whatever the bounds say: bounds only stop new keys.
+    A completed entry is retained for at least one key window. The budget limits only
+    new keys.
     """
 
     budget: Budget
@@ -76,7 +76,7 @@
         return self.entries.get(key)
 
     def put(self, entry: Entry) -> None:
-        """Take in an entry, in place of the key's earlier one."""
+        """Add an entry, replacing an earlier one of the key."""
         self.drop(entry.key)
         self.entries[entry.key] = entry
         self.budget.keys += 1
@@ -85,7 +85,7 @@
             self._done.append(entry)
 
     def finish(self, entry: Entry, outcome: Outcome, now_s: float) -> None:
-        """Keep the outcome of an entry's call, for repeats."""
+        """Store the outcome of an entry's call for retries."""
         if self.entries.get(entry.key) is not entry or entry.stage is Stage.DONE:
             return
         self.budget.bytes -= _measure(entry)
@@ -96,26 +96,26 @@
         self._done.append(entry)
 
     def drop(self, key: str) -> None:
-        """Forget a key."""
+        """Remove a key."""
         entry = self.entries.pop(key, None)
         if entry is not None:
             self.budget.keys -= 1
             self.budget.bytes -= _measure(entry)
 
     def release(self, entry: Entry) -> None:
-        """Forget an entry, unless another one has taken its place."""
+        """Remove an entry unless it has been replaced."""
         if self.entries.get(entry.key) is entry:
             self.drop(entry.key)
 
     def clear(self) -> None:
-        """Forget all keys whose calls this node is not at work on."""
+        """Remove all keys except those whose calls are in progress at this node."""
         for entry in list(self.entries.values()):
             if entry.stage not in (Stage.MARKED, Stage.RUNNING):
                 self.drop(entry.key)
         self._done.clear()
 
     def expire(self, now_s: float, window_s: float) -> int:
-        """Forget the keys that were done a window ago, and return how many."""
+        """Remove the keys completed a window ago and return their number."""
         dropped = 0
         while self._done and now_s - self._done[0].since_s >= window_s:
             entry = self._done.popleft()
@@ -125,7 +125,7 @@
         return dropped
 
     def expire_marks(self, now_s: float, window_s: float) -> int:
-        """Forget marks of other nodes whose runs must long have ended."""
+        """Remove marks of other nodes that are older than any run can be."""
         limit_s = window_s + MAX_RUN_S
         old = [
             entry.key
@@ -138,10 +138,10 @@
 
 
 def apply_mark(table: KeyTable, entry: Entry) -> bool:
-    """Take in a mark of the slot's primary at its backup; tell whether it fits.
+    """Apply a mark of the primary at the backup; return whether it is accepted.
 
-    A mark that arrives late never replaces a later one or the outcome that it
-    led to. A key that this node is running itself can't be marked by another.
+    A late mark never replaces a newer mark or its outcome. A key that runs at this
+    node can't be marked by another node.
     """
     present = table.find(entry.key)
     if present is None:
@@ -156,17 +156,17 @@
 
 
 def apply_copy(table: KeyTable, entry: Entry) -> None:
-    """Take in one entry of a whole table that another node sends."""
+    """Add an entry of a transferred table unless the key is present."""
     if table.find(entry.key) is None:
         table.put(entry)
 
 
 def apply_result(table: KeyTable, result: Entry, now_s: float) -> bool:
-    """Take in how a call ended that another node ran; tell whether it was new.
+    """Apply the result of a call that another node ran; return whether it was new.
 
-    ``fact.outcome`` is the outcome, ``None`` if the call was not run and the
-    key is free again. A fact counts only for the very mark that it names, but
-    then under any view: what happened does not depend on who is primary.
+    ``result.outcome`` is ``None`` if the call was not run, which frees the key. A
+    result applies only to the mark that it names, but under any view: the result of
+    a call does not depend on the current primary.
     """
     present = table.find(result.key)
     if present is None or present.stage is not Stage.ELSEWHERE:
--- a/eelgrassmount/keys/views.py
+++ b/eelgrassmount/keys/views.py
@@ -1,4 +1,4 @@
-"""Which node holds a slot: views, decided by compare-and-set through the log."""
+"""Views: the nodes of each slot, set by compare-and-set through the log."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @frozen
 class View:
-    """Who is primary and who is backup of a slot.
+    """The primary and the backup of a slot.
 
-    ``version`` is one more than the offset of the record that set it, 0 if the slot has
-    never been assigned. In a ``lost`` view the primary does not have what earlier
-    ones ran, and waits for one key window before it runs anything.
+    ``version`` is the offset of the record that set the view plus one, or 0 if the slot
+    was never assigned. The primary of a ``lost`` view doesn't have the keys of earlier
+    views, and waits for one key window before it runs any.
     """
 
     slot: int
@@ -31,10 +31,10 @@
 
 @frozen
 class Proposal:
-    """A view that someone wants for a slot, in place of version ``base``.
+    """A proposed view that replaces version ``base`` of a slot.
 
-    With ``rewrite`` it is the view of version ``base`` itself, written again
-    before the log drops it.
+    With ``rewrite``, it repeats the view of version ``base`` before the log drops its
+    record.
     """
 
     slot: int
@@ -49,9 +49,9 @@
 class ViewFold:
     """The views of all slots after reading the stream up to ``next``.
 
-    ``first`` is the offset that reading began at, or went on at after records
-    were dropped unread; ``initial_bases`` has the highest base of each slot that was
-    set below it. ``written`` has the offset of each slot's latest valid record.
+    ``first`` is the offset at which reading started, or resumed after records were
+    dropped unread. ``initial_bases`` has the highest base of each slot set before it.
+    ``written`` has the offset of the latest valid record of each slot.
     """
 
     first: int = 0
@@ -62,7 +62,7 @@
 
 
 def fold_page(fold: ViewFold, page: Page) -> list[View]:
-    """Take in a page of the stream and return the views that it changed."""
+    """Apply a page of the stream and return the changed views."""
     if page.first > fold.next:
         _skip_dropped(fold, page.first)
     changed = {}
@@ -82,7 +82,7 @@
 
 
 def fold_record(fold: ViewFold, record: Record) -> list[View]:
-    """Take in one record: of all proposals on one base, the first one wins."""
+    """Apply a record; the first proposal on a base wins. Return the changed views."""
     changed = []
     for proposal in decode_proposals(record.body):
         if not _accepts(fold, proposal):
@@ -99,11 +99,10 @@
     current = fold.views[proposal.slot]
     if proposal.base == current.version:
         return True
-    # The log keeps records for a limited time only. A reader that starts at
-    # first > 0 can't see the record which set the base. Bases only grow, so of
-    # all records on unseen bases the highest base is the true one; a stale
-    # rewrite names a lower one. The current view is always rewritten in time,
-    # so a reader that has come to the end of the stream has met it.
+    # The log retains records for a limited time, so a reader that starts at first > 0
+    # can't read the record that set the base. Bases only increase: the highest unseen
+    # base is the current one, and stale rewrites name lower ones. The current view is
+    # rewritten before its record expires, so every reader finds it.
     unseen = proposal.base <= fold.first
     if unseen and proposal.base > fold.initial_bases.get(proposal.slot, 0):
         fold.initial_bases[proposal.slot] = proposal.base
@@ -119,14 +118,14 @@
 
 
 def rewrite_view(view: View) -> Proposal:
-    """Return the proposal that writes a view again."""
+    """Return the proposal that rewrites a view."""
     return Proposal(
         view.slot, view.version, view.primary, view.backup, view.lost, rewrite=True
     )
 
 
 def encode_proposals(proposals: list[Proposal]) -> bytes:
-    """Return the record that carries proposals for many slots."""
+    """Return the body of a record with proposals."""
     rows = [
         {
             "slot": proposal.slot,
@@ -142,7 +141,7 @@
 
 
 def decode_proposals(body: bytes) -> list[Proposal]:
-    """Return the proposals of a record; one that can't be read has none."""
+    """Return the proposals of a record, none if it is malformed."""
     try:
         rows = json.loads(body)["proposals"]
         return [_decode_proposal(row) for row in rows]
@@ -166,11 +165,11 @@
 
 
 def format_node(node: NodeId) -> str:
-    """Return a node as one text, for messages and records."""
+    """Return the text form of a node for messages and records."""
     return f"{node.address}~{node.incarnation}" if node else ""
 
 
 def parse_node(text: str) -> NodeId:
-    """Return the node that `format_node` wrote."""
+    """Return the node from its text form; the inverse of `format_node`."""
     address, _, incarnation = text.partition("~")
     return NodeId(address, incarnation) if incarnation else NO_NODE
--- a/eelgrassmount/util/__init__.py
+++ b/eelgrassmount/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a home of their own."""
+"""Helpers that several packages share."""
--- a/eelgrassmount/util/background.py
+++ b/eelgrassmount/util/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside each other without ending the process when one fails."""
+"""Background tasks whose errors don't end the process."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @define(eq=False)
 class Background:
-    """Starts tasks in a task group and keeps their errors from it.
+    """Starts tasks in a task group without passing their errors to the group.
 
-    A programming error in one task is logged and counted by ``count_error``;
-    the others go on. Once the group is closing, nothing more is started.
+    An exception in a task is logged and counted by ``count_error``; other tasks
+    continue. After `close`, no task is started.
     """
 
     group: TaskGroup
@@ -26,7 +26,7 @@
     closed: bool = False
 
     def start_soon(self, function: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Start a task, unless the process is about to end."""
+        """Start a task unless `close` was called."""
         if not self.closed:
             self.group.start_soon(self._run, function, args)
 
@@ -40,5 +40,5 @@
             logger.exception("a task failed")
 
     def close(self) -> None:
-        """Start nothing from now on."""
+        """Stop starting tasks."""
         self.closed = True
--- a/eelgrassmount/util/backoff.py
+++ b/eelgrassmount/util/backoff.py
@@ -1,4 +1,4 @@
-"""Back-off with jitter for everything that uses the log."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 def compute_backoff(
     failures: int, rng: random.Random, base_s: float, limit_s: float
 ) -> float:
-    """Return the seconds to wait after ``failures`` failures in a row.
+    """Return the seconds to wait after ``failures`` consecutive failures.
 
-    The ceiling doubles with each failure, from ``base_s`` up to ``limit_s``, and
-    the wait is a random part of it, at least half, so that nodes that failed
-    together do not come back together.
+    The upper bound doubles with each failure, from ``base_s`` up to ``limit_s``. The
+    wait is a random value from half the bound to the bound, so that nodes that
+    failed together don't retry together.
     """
     doublings = min(max(failures - 1, 0), _MAX_DOUBLINGS)
     ceiling_s = min(limit_s, base_s * 2.0**doublings)
@@ -28,7 +28,7 @@
 
 @define
 class Backoff:
-    """Counts failures in a row and says how long to wait.
+    """Counts consecutive failures and computes the delay before a retry.
 
     For example::
 
@@ -44,10 +44,10 @@
     failures: int = 0
 
     def fail(self) -> float:
-        """Count a failure and return the seconds to wait before trying again."""
+        """Count a failure and return the seconds to wait before a retry."""
         self.failures += 1
         return compute_backoff(self.failures, self.rng, self.base_s, self.limit_s)
 
     def reset(self) -> None:
-        """Forget the failures, after a success."""
+        """Reset the failure count after a success."""
         self.failures = 0
--- a/eelgrassmount/util/fields.py
+++ b/eelgrassmount/util/fields.py
@@ -1,7 +1,7 @@
-"""Fields of JSON documents that others write, each checked for its type and range.
+"""Read fields of JSON documents, each checked for its type and range.
 
-Nothing is converted in passing: a whole number that comes as text, as a fraction or as
-``true`` is refused, since its writer is not one that this release knows.
+Values are never converted: text, a fraction or ``true`` is refused where a whole number
+is expected.
 
     >>> read_whole({"slots": 141}, "slots", (1, 1000), "heartbeat")
     141
@@ -20,22 +20,21 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-# characters of a name; the longest seen have about 40
+# in characters
 MAX_NAME_LENGTH = 128
-# as TOML and Python write numbers
+# decimal numbers as TOML and Python write them
 _DECIMAL = re.compile(r"[+-]?\d+(\.\d+)?([eE][+-]?\d+)?", re.ASCII)
-# characters of a number: the longest that Python writes of a float has 24, and text
-# that goes on is an error of its writer
+# in characters; well above the longest float that Python writes
 MAX_DECIMAL_LENGTH = 64
-REPLACED = "\ufffd"
+REPLACEMENT_CHARACTER = "\ufffd"
 _IDENTITY = re.compile(rf"[A-Za-z0-9._:~-]{{1,{MAX_NAME_LENGTH}}}")
 
 
 def read_object(content: bytes, document: str) -> dict[str, Any]:
-    """Return the JSON object that the bytes hold.
+    """Return the JSON object encoded by the bytes.
 
-    Raises `PlatformDocumentError` if they hold anything else, also for NaN and for
-    an object that is nested too deep to be read.
+    Raises `PlatformDocumentError` for any other content, for NaN and infinity, and
+    for an object that is nested too deeply.
     """
     try:
         found = json.loads(content.decode(), parse_constant=_refuse_constant)
@@ -55,12 +54,12 @@
 
 
 def refuse_field(document: str, path: str, allowed: str) -> NoReturn:
-    """Raise the error for a field that is missing or not as ``allowed``."""
+    """Raise the error for a missing or invalid field; it shows ``allowed``."""
     raise PlatformDocumentError(document, f"give {allowed}", path)
 
 
 def find_field(content: dict[str, Any], path: str) -> Any:
-    """Return the value at a path such as ``info.slots``, ``None`` if it is missing."""
+    """Return the value at a path such as ``info.slots``, or ``None``."""
     found: Any = content
     for name in path.split("."):
         found = found.get(name) if isinstance(found, dict) else None
@@ -74,15 +73,15 @@
     document: str,
     missing: int | None = None,
 ) -> int:
-    """Return a whole number that lies within the bounds.
+    """Return a whole number within the bounds.
 
-    ``missing`` is the value of a field that may be left out.
+    ``missing`` is the value of an omitted optional field.
     """
     value = find_field(content, path)
     if value is None and missing is not None:
         return missing
     lowest, highest = bounds
-    # a bool is an int to the language, but not in JSON
+    # bool is a subclass of int in Python, but not a number in JSON
     if type(value) is not int or not lowest <= value <= highest:
         refuse_field(document, path, f"a whole number from {lowest} to {highest}")
     return value
@@ -95,19 +94,19 @@
     document: str,
     missing: float | None = None,
 ) -> float:
-    """Return a number, whole or not, that lies within the bounds."""
+    """Return a number within the bounds."""
     value = find_field(content, path)
     if value is None and missing is not None:
         return missing
     lowest, highest = bounds
-    # NaN and infinity lie within no bounds
+    # NaN and infinity are never within the bounds
     if type(value) not in (int, float) or not lowest <= value <= highest:
         refuse_field(document, path, f"a number from {lowest:g} to {highest:g}")
     return value
 
 
 def read_name(content: dict[str, Any], path: str, document: str) -> str:
-    """Return a text that is not empty, not long and without control characters."""
+    """Return a text of 1 to `MAX_NAME_LENGTH` characters without control characters."""
     return read_text(content, path, MAX_NAME_LENGTH, document)
 
 
@@ -120,7 +119,7 @@
 
 
 def read_flag(content: dict[str, Any], path: str, document: str) -> bool:
-    """Return a value that is true or false."""
+    """Return a boolean."""
     value = find_field(content, path)
     if not isinstance(value, bool):
         refuse_field(document, path, "true or false")
@@ -157,7 +156,7 @@
 
 
 def parse_number(text: str) -> float:
-    """Return a decimal number, with or without point and exponent; NaN for others.
+    """Return the value of a decimal number, or NaN for any other text.
 
     >>> parse_number("32.76923076923077")
     32.76923076923077
@@ -168,16 +167,21 @@
 
 
 def is_printable(text: str, longest: int = MAX_NAME_LENGTH) -> bool:
-    """Tell whether a text has 1 to ``longest`` characters, all of which are plain.
+    """Return whether a text has 1 to ``longest`` printable characters.
 
-    Bytes that are not UTF-8 come as the replacement character from some decoders.
+    The replacement character is refused: some decoders emit it for bytes that are not
+    UTF-8.
     """
-    return 0 < len(text) <= longest and text.isprintable() and REPLACED not in text
+    return (
+        0 < len(text) <= longest
+        and text.isprintable()
+        and REPLACEMENT_CHARACTER not in text
+    )
 
 
 def is_identity(text: str) -> bool:
-    """Tell whether a text can be the identity of a server.
+    """Return whether a text is valid as the identity of a server.
 
-    It stands in paths and headers, so that it has plain characters only.
+    Identities appear in paths and headers, which restricts their characters.
     """
     return _IDENTITY.fullmatch(text) is not None
--- a/eelgrassmount/util/waiting.py
+++ b/eelgrassmount/util/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting on the timer service."""
+"""Waits on the timer service."""
 
 from __future__ import annotations
 
--- a/tests/cmd/test_explain.py
+++ b/tests/cmd/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, from log lines."""
+"""The timeline of one request, from log lines."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 ]
 
 
-def test_lines_of_a_request_stand_in_order():
+def test_lines_of_a_request_are_sorted_by_time():
     timeline = build_request_timeline("a1", LINES)
-    assert [line.message for line in timeline.own] == ["sent again", "failed"]
+    assert [line.message for line in timeline.request_lines] == ["sent again", "failed"]
     assert timeline.omitted == 3
 
 
-def test_what_happened_shortly_before_to_the_nodes_it_met_is_told():
+def test_earlier_events_at_the_nodes_of_a_request_are_shown():
     context = build_request_timeline("a1", LINES).context
     assert [line.message for line in context] == ["server crashed", "link silent"]
 
 
-def test_service_that_was_short_is_told():
+def test_overload_of_the_service_of_a_request_is_shown():
     lines = [
         write_line(1, "overload begins", node="vm-9", service="list", demand=1.4),
         write_line(1, "overload begins", node="vm-9", service="book", demand=1.4),
@@ -51,7 +51,7 @@
     assert [line.fields["service"] for line in context] == ["list"]
 
 
-def test_no_more_than_the_nearest_lines_are_shown():
+def test_only_the_nearest_context_lines_are_shown():
     lines = [write_line(1 + i / 50, "link silent", peer="vm-5") for i in range(50)]
     lines.append(write_line(3, "failed", request="a1", outcome="deadline"))
     context = build_request_timeline("a1", lines).context
@@ -59,10 +59,10 @@
     assert context[-1].time.microsecond == 980_000
 
 
-def test_other_lines_are_counted_and_a_leading_name_is_passed_over():
+def test_unparsed_lines_are_counted_and_a_leading_name_is_ignored():
     texts = ["vm-1| " + LINES[0], "Traceback\n", "{broken\n", "[1]\n", "\n"]
     timeline = build_request_timeline("a1", texts)
-    assert len(timeline.own) == 1
+    assert len(timeline.request_lines) == 1
     assert timeline.unparsed == 3
 
 
@@ -83,13 +83,11 @@
     assert [line["message"] for line in content["lines"]] == ["sent again", "failed"]
 
 
-# A call whose connection broke ends at once. That its server had crashed is found by
-# the next refused connection, and that it has started again by its next heartbeat, so
-# that the lines that said why a request failed came after its last one and were left
-# out.
+# A crash or restart of a server is logged after the calls that it broke. The lines with
+# the cause of a failure were omitted because they follow the last line of the request.
 
 
-def test_crash_that_the_request_ran_into_is_one_of_its_lines():
+def test_crash_line_that_names_the_request_is_one_of_its_lines():
     lines = [
         write_line(2, "failed", request="a1", outcome="server-crashed", tried=[]),
         write_line(2.4, "server crashed", node="vm-7", requests=["a0", "a1"]),
@@ -97,11 +95,14 @@
         write_line(2.2, "server crashed", node="vm-8", requests=["a2"]),
     ]
     timeline = build_request_timeline("a1", lines)
-    assert [line.message for line in timeline.own] == ["failed", "server crashed"]
+    assert [line.message for line in timeline.request_lines] == [
+        "failed",
+        "server crashed",
+    ]
     assert [line.message for line in timeline.context] == ["server rejects calls"]
 
 
-def test_what_is_found_out_after_a_request_failed_is_told():
+def test_causes_logged_after_a_request_failed_are_shown():
     lines = [
         write_line(1, "server rejects calls", node="vm-7"),
         write_line(2, "failed", request="a1", outcome="server-crashed", tried=["vm-7"]),
@@ -116,8 +117,8 @@
     timeline = build_request_timeline("a1", lines)
     assert [line.message for line in timeline.context] == ["server rejects calls"]
     assert [line.message for line in timeline.later] == ["server restarted", "stopped"]
-    told = timeline.describe()
-    assert "found out within 5 s after it\n" in told
-    assert "vm-7 server restarted  ended=i1/1 incarnation=i1/9" in told
+    text = timeline.describe()
+    assert "found out within 5 s after it\n" in text
+    assert "vm-7 server restarted  ended=i1/1 incarnation=i1/9" in text
     later = timeline.encode()["later"]
     assert [fields["message"] for fields in later] == ["server restarted", "stopped"]
--- a/tests/cmd/test_main.py
+++ b/tests/cmd/test_main.py
@@ -1,4 +1,4 @@
-"""How words of the command line reach the commands."""
+"""Parsing of command-line arguments."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         ("probe -1", ("-1", "", False)),
     ],
 )
-def test_values_stay_text(seen, words, expected):
+def test_argument_values_stay_strings(seen, words, expected):
     assert main(words.split()) == ExitCode.DONE
     assert seen == [expected]
 
@@ -41,12 +41,12 @@
     "words",
     ["", "group", "prob", "probe f --typo", "probe f --typo=1", "probe f x y z"],
 )
-def test_misspelt_command_line_changes_nothing(seen, words):
+def test_invalid_command_line_runs_no_command(seen, words):
     assert main(words.split()) == ExitCode.USAGE
     assert seen == []
 
 
-def test_help_runs_nothing(seen, capsys):
+def test_help_runs_no_command(seen, capsys):
     assert main(["group", "sub", "f", "--help"]) == ExitCode.DONE
     assert "--admin" in capsys.readouterr().err
     assert seen == []
--- a/tests/cmd/test_status.py
+++ b/tests/cmd/test_status.py
@@ -1,4 +1,4 @@
-"""What `status` prints of a node beside its server."""
+"""Output of `status --relay`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.relay.lone_node import SETTINGS
 
 
-def test_messages_that_were_not_taken_up_are_counted():
+def test_rejected_messages_are_counted():
     node = build_relay(SETTINGS)
     assert not any("not taken up" in line for line in print_state(node))
     node.refused.record(MessageKind.ANNOUNCEMENT, "10.0.0.1", "body", "not JSON")
--- a/tests/keys/test_decisions.py
+++ b/tests/keys/test_decisions.py
@@ -1,4 +1,4 @@
-"""What a node proposes and acknowledges."""
+"""Proposals and acknowledgements of a node."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(
     ("primary", "backup", "gone", "synced", "waiting", "proposed"),
     [
-        # a backup that has everything takes over, another one must wait
+        # a synced backup takes over; a backup that is not synced must wait
         (P, ME, {P}, True, False, (ME, False)),
         (P, ME, {P}, False, False, (ME, True)),
         (P, ME, {P}, True, True, (ME, True)),
@@ -35,13 +35,15 @@
         (ME, P, {P}, True, False, (ME, False)),
         (ME, P, {P}, True, True, (ME, True)),
         (ME, NO_NODE, set(), True, False, (ME, False)),
-        # a slot without holders is taken as lost
+        # a slot without a live node is assigned as lost
         (P, Q, {P, Q}, False, False, ("anyone", True)),
         (P, Q, {P}, False, False, None),
         (P, NO_NODE, {P}, False, False, ("anyone", True)),
     ],
 )
-def test_repairs(primary, backup, gone, synced, waiting, proposed) -> None:
+def test_slots_are_repaired_after_failures(
+    primary, backup, gone, synced, waiting, proposed
+) -> None:
     nodes = {ME, P, Q}
     roster = Roster(ME, tuple(sorted(nodes - gone)), frozenset(nodes), frozenset(gone))
     status = SlotStatus(View(0, 5, primary, backup), synced, waiting)
@@ -73,19 +75,19 @@
     [
         (["mark 1", "done 1"], Stage.DONE, 1),
         (["mark 1", "free 1"], None, 0),
-        # endings of an earlier mark say nothing about the present one
+        # results of an earlier mark don't apply to the current one
         (["mark 1", "mark 2", "free 1"], Stage.ELSEWHERE, 2),
         (["mark 1", "mark 2", "done 1"], Stage.ELSEWHERE, 2),
-        # late marks and copies change nothing
+        # late marks and copies are ignored
         (["mark 2", "mark 1"], Stage.ELSEWHERE, 2),
         (["mark 1", "done 1", "mark 1"], Stage.DONE, 1),
         (["mark 1", "done 1", "copy 1"], Stage.DONE, 1),
         (["done 1"], None, 0),
-        # a key that expired at the primary first is marked anew
+        # a key that expired at the primary first is marked again
         (["mark 1", "done 1", "mark 2"], Stage.ELSEWHERE, 2),
     ],
 )
-def test_marks_and_endings_in_any_order(events, stage, mark) -> None:
+def test_marks_and_results_apply_in_any_order(events, stage, mark) -> None:
     budget = Budget(10, 10_000)
     table = KeyTable(budget)
     for event in events:
--- a/tests/keys/test_machine.py
+++ b/tests/keys/test_machine.py
@@ -1,4 +1,4 @@
-"""No key runs twice, whatever fails and in whatever order."""
+"""No key runs twice under any sequence of failures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 MAX_NODES = 7
 ENTRY = st.integers(0, MAX_NODES - 1)
-# what fails is mostly one of those that hold the key sent last
+# failures mostly hit the primary or the backup of the latest key
 ROLE = st.sampled_from(("primary", "primary", "backup", "backup", "other"))
 PARTITIONS = {
     "both ways": {("howrah", "sealdah"), ("sealdah", "howrah")},
@@ -22,7 +22,7 @@
 
 
 class KeyMachine(RuleBasedStateMachine):
-    """Callers repeat keys at any node, while nodes, links and the log fail."""
+    """Callers retry keys at any node, while nodes, links and the log fail."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -59,7 +59,7 @@
 
     @precondition(lambda self: self.keys)
     @rule(entry=ENTRY)
-    def repeat(self, entry: int) -> None:
+    def retry(self, entry: int) -> None:
         key = self.keys[-1]
         if self.world.loop.time() - self.first_sent_s[key] < WINDOW_S:
             self.world.send(self.pick(entry), key)
@@ -106,7 +106,9 @@
 
     @rule(
         role=ROLE,
-        what=st.sampled_from(("kill", "freeze", "suspect", "leave", "cut", "replace")),
+        what=st.sampled_from(
+            ("kill", "freeze", "suspect", "leave", "disconnect", "replace")
+        ),
         hops=st.integers(1, 12),
         entry=ENTRY,
         slow=st.booleans(),
@@ -114,7 +116,7 @@
     def fail_during(
         self, role: str, what: str, hops: int, entry: int, slow: bool
     ) -> None:
-        """Let a holder fail while a key is under way, and repeat the key."""
+        """Fail a node while a key is in progress, then retry the key."""
         self.send_new(0, entry, minted=False, slow=slow)
         self.world.advance(hops * HOP_S)
         fail = {
@@ -123,13 +125,13 @@
             "leave": lambda: self.end(role, "leave"),
             "freeze": lambda: self.freeze(role),
             "suspect": lambda: self.suspect_falsely(role),
-            "cut": lambda: self.disconnect_from_log(role),
+            "disconnect": lambda: self.disconnect_from_log(role),
         }
         fail[what]()
         self.world.advance(4.0)
-        self.repeat(entry + 1)
+        self.retry(entry + 1)
         self.world.advance(0.1)
-        self.repeat(entry + 2)
+        self.retry(entry + 2)
 
     @rule()
     def thaw_all(self) -> None:
--- a/tests/keys/test_scenarios.py
+++ b/tests/keys/test_scenarios.py
@@ -1,4 +1,4 @@
-"""What callers are told in each fault, with and without a key of their own."""
+"""Verdicts that callers get under each fault, with caller keys and minted keys."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     )
 
 
-def explain(verdict: object) -> object:
+def get_reason(verdict: object) -> object:
     return verdict.reason if isinstance(verdict, NotRun | MayHaveRun) else "answered"
 
 
@@ -60,10 +60,10 @@
     assert world.send_and_wait(entry, KEY, b"other") == MayHaveRun(Reason.KEY_REUSED)
 
 
-def test_views_are_sent_only_to_those_that_hold_others(world) -> None:
+def test_views_are_sent_only_to_nodes_with_other_views(world) -> None:
     home = [n for n in world.nodes.values() if n.identity.failure_domain == "howrah"]
     follower = home[0].service.follower
-    views = [holder.view for holder in home[1].service.core.slot_states]
+    views = [slot_state.view for slot_state in home[1].service.core.slot_states]
     answers = []
     for digest in (compute_digest(views), compute_digest(views[1:]), None):
         question = SlotQuestion(failure_domain="howrah", digest=digest)
@@ -95,7 +95,7 @@
         assert isinstance(world.send_and_wait(entry, KEY), Answered)
 
 
-def test_nodes_that_do_not_read_the_log_hear_of_new_holders(world) -> None:
+def test_nodes_that_do_not_read_the_log_learn_new_primaries(world) -> None:
     for _ in range(5):
         world.start_node("howrah")
         world.advance(2.0)
@@ -104,9 +104,9 @@
     world.advance(3.5)
     keys = [f"howrah:{number}" for number in range(40)]
     nodes = [node for node in world.nodes.values() if node.alive]
-    verdicts = [world.send(nodes[n % len(nodes)], key) for n, key in enumerate(keys)]
+    attempts = [world.send(nodes[n % len(nodes)], key) for n, key in enumerate(keys)]
     world.advance(1.0)
-    assert all(isinstance(attempt.verdict, Answered) for attempt in verdicts)
+    assert all(isinstance(attempt.verdict, Answered) for attempt in attempts)
     primaries = {world.find_holders(key)[0] for key in keys}
     assert len(primaries) >= 5
 
@@ -117,7 +117,7 @@
     assert isinstance(world.send_and_wait(find_entry(world), KEY), Answered)
 
 
-def test_repeat_of_a_running_call_waits_for_it(world) -> None:
+def test_retry_of_a_running_call_waits_for_its_outcome(world) -> None:
     world.run_s = 2.0
     first = world.send(find_entry(world), KEY)
     world.advance(0.1)
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("home", ["howrah", "sealdah"])
 @pytest.mark.parametrize("minted", [False, True])
-def test_sending_that_was_lost_with_its_link_is_sent_again(world, home, minted) -> None:
+def test_attempt_lost_with_its_link_is_retried(world, home, minted) -> None:
     nodes = list(world.nodes.values())
     [entry] = [node for node in nodes if node.identity.failure_domain == "sealdah"]
     if home == "howrah":
@@ -142,7 +142,7 @@
     assert isinstance(attempt.verdict, Answered)
 
 
-def test_long_outage_of_the_log(world) -> None:
+def test_keys_run_during_a_long_outage_of_the_log(world) -> None:
     world.log.up = False
     world.advance(3 * WINDOW_S)
     assert all(
@@ -167,14 +167,14 @@
     for node in world.find_holders(KEY):
         world.kill(node)
     world.advance(5.0)
-    verdicts = world.send_and_wait(entry, KEY)
-    assert explain(verdicts) is Reason.OWNER_CHANGING
-    assert 0 < verdicts.retry_after_s < WINDOW_S
+    verdict = world.send_and_wait(entry, KEY)
+    assert get_reason(verdict) is Reason.OWNER_CHANGING
+    assert 0 < verdict.retry_after_s < WINDOW_S
     world.advance(WINDOW_S)
     assert isinstance(world.send_and_wait(entry, KEY), Answered)
 
 
-def test_frozen_pair_asks_for_the_views_when_it_wakes(world) -> None:
+def test_frozen_pair_fetches_the_views_when_it_resumes(world) -> None:
     pair = world.find_holders(KEY)
     entry = find_entry(world)
     for node in pair:
@@ -185,12 +185,12 @@
         node.log_disconnected = True
         world.thaw(node)
     world.advance(2.5)
-    verdicts = [world.send(node, KEY) for node in pair]
+    attempts = [world.send(node, KEY) for node in pair]
     world.advance(8.0)
-    assert [explain(attempt.verdict) for attempt in verdicts] == ["answered"] * 2
+    assert [get_reason(attempt.verdict) for attempt in attempts] == ["answered"] * 2
 
 
-def test_request_that_waited_in_a_frozen_node_is_not_taken_for_a_new_one(world) -> None:
+def test_request_that_waited_in_a_frozen_node_is_not_run_as_new(world) -> None:
     entry = find_entry(world)
     assert isinstance(world.send_and_wait(entry, KEY), Answered)
     world.freeze(entry)
@@ -201,7 +201,7 @@
     assert waiting.verdict == MayHaveRun(Reason.DEADLINE)
 
 
-def test_replaced_primary_with_a_full_table_does_not_say_not_run(world) -> None:
+def test_replaced_primary_with_a_full_table_does_not_return_not_run(world) -> None:
     primary, backup = world.find_holders(KEY)
     primary.log_disconnected = True
     primary.service.core.budget.max_keys = 0
@@ -212,27 +212,29 @@
     assert not isinstance(world.send_and_wait(primary, KEY), NotRun)
 
 
-def test_primary_alone_stops_without_the_log(world) -> None:
-    lone = next(
+def test_primary_without_backup_stops_without_the_log(world) -> None:
+    unbacked = next(
         n for n in world.nodes.values() if n.identity.failure_domain != "howrah"
     )
-    assert isinstance(world.send_and_wait(lone, "sealdah:1"), Answered)
-    lone.log_disconnected = True
+    assert isinstance(world.send_and_wait(unbacked, "sealdah:1"), Answered)
+    unbacked.log_disconnected = True
     world.advance(WINDOW_S / 2 + 1.0)
-    assert world.send_and_wait(lone, "sealdah:2") == MayHaveRun(
+    assert world.send_and_wait(unbacked, "sealdah:2") == MayHaveRun(
         Reason.OWNER_UNREACHABLE
     )
-    assert isinstance(world.send_and_wait(lone, "sealdah:1"), Answered)
+    assert isinstance(world.send_and_wait(unbacked, "sealdah:1"), Answered)
 
 
-def test_cut_between_failure_domains(world) -> None:
+def test_partition_between_failure_domains_keeps_the_home_available(world) -> None:
     world.partitions = {("howrah", "sealdah"), ("sealdah", "howrah")}
-    far = next(n for n in world.nodes.values() if n.identity.failure_domain != "howrah")
-    assert world.send_and_wait(far, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
+    remote = next(
+        n for n in world.nodes.values() if n.identity.failure_domain != "howrah"
+    )
+    assert world.send_and_wait(remote, KEY) == MayHaveRun(Reason.OWNER_UNREACHABLE)
     assert isinstance(world.send_and_wait(find_entry(world), KEY), Answered)
 
 
-def test_planned_stop_loses_nothing(world) -> None:
+def test_graceful_stop_hands_over_all_outcomes(world) -> None:
     entry = find_entry(world)
     primary, _ = world.find_holders(KEY)
     used, unused = primary.service.mint(), primary.service.mint()
@@ -248,18 +250,18 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "verdicts"),
+    ("spoil", "reason"),
     [
         (lambda world, node, key: world.kill(node), Reason.OWNER_UNREACHABLE),
         (lambda world, node, key: world.advance(WINDOW_S + 5.0), Reason.KEY_EXPIRED),
     ],
 )
-def test_minted_key_whose_owner_is_gone_or_which_is_old(world, spoil, verdicts) -> None:
+def test_minted_key_with_dead_owner_or_expired_is_not_run(world, spoil, reason) -> None:
     node, entry = list(world.nodes.values())[:2]
     key = node.service.mint()
     spoil(world, node, key)
     world.advance(3.0)
-    assert world.send_and_wait(entry, key) == MayHaveRun(verdicts)
+    assert world.send_and_wait(entry, key) == MayHaveRun(reason)
     forged = entry.service.mint()[:-1] + "x"
     assert world.send_and_wait(entry, forged) == NotRun(Reason.KEY_MALFORMED)
 
@@ -279,7 +281,7 @@
     world.log.drop_before("slots.howrah", 9)
     node = world.start_node("howrah")
     world.advance(6.0)
-    assert explain(world.send_and_wait(node, KEY)) is Reason.OWNER_CHANGING
+    assert get_reason(world.send_and_wait(node, KEY)) is Reason.OWNER_CHANGING
     world.close()
 
 
--- a/tests/keys/test_views.py
+++ b/tests/keys/test_views.py
@@ -1,4 +1,4 @@
-"""Views of slots: every reader of the log comes to the same ones."""
+"""All readers of the log agree on the views of slots."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     ("proposals", "version", "primary"),
     [
         ([Proposal(3, 0, A, B)], 1, A),
-        # of two on one base the first wins
+        # the first of two proposals on one base wins
         ([Proposal(3, 0, A, B), Proposal(3, 0, B, A)], 1, A),
-        # each names the base it replaces
+        # each proposal names the version that it replaces
         ([Proposal(3, 0, A, B), Proposal(3, 1, B, C)], 2, B),
         ([Proposal(3, 0, A, B), Proposal(3, 1, B, C), Proposal(3, 1, A, C)], 2, B),
-        # writing a view again changes nothing
+        # rewriting a view changes nothing
         ([Proposal(3, 0, A, B), rewrite_view(View(3, 1, A, B))], 1, A),
     ],
 )
@@ -64,7 +64,7 @@
         assert read(records, first).views[3] == View(3, 2, B, C), first
 
 
-def test_reader_that_slept_past_the_retention_catches_up() -> None:
+def test_reader_that_lags_behind_the_retention_catches_up() -> None:
     fold = read([make_record(0, Proposal(3, 0, A, B))])
     late = (
         make_record(7, Proposal(3, 1, A, C)),
@@ -74,17 +74,17 @@
     assert fold.views[3] == View(3, 5, C, B)
 
 
-def test_unreadable_records_are_passed_over() -> None:
+def test_malformed_records_are_ignored() -> None:
     for body in (b"", b"{}", b'{"proposals": [{"slot": 99}]}', b"\xff"):
         assert decode_proposals(body) == []
 
 
 @given(st.data())
-def test_readers_agree_wherever_they_begin(data: st.DataObject) -> None:
-    """Nodes propose on any version they ever held, at any time.
+def test_readers_agree_from_any_start_offset(data: st.DataObject) -> None:
+    """Guards against readers that diverge after records expired.
 
-    A reader may begin at any offset up to which the present view has been
-    written, as retention leaves it.
+    Proposals name any earlier version. Readers start at any offset up to the latest
+    record of the current view.
     """
     nodes = st.sampled_from((A, B, C, NO_NODE))
     records: list[Record] = []
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -50,18 +50,18 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Moves virtual time on instead of waiting."""
+    """Advances virtual time instead of waiting."""
 
     now_s = 1000.0
 
     def select(self, timeout: float | None = None) -> list[object]:
-        assert timeout is not None, "every task waits for ever"
+        assert timeout is not None, "all tasks are blocked without a timeout"
         self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes at once."""
+    """An event loop in virtual time."""
 
     def __init__(self) -> None:
         self._virtual = _Selector()
@@ -73,7 +73,7 @@
 
 @define
 class NodeClock:
-    """The clock as code on a node reads it; it can't read while it is frozen."""
+    """The clock of a node; it stops while the node is frozen."""
 
     loop: VirtualLoop
     frozen_s: float | None = None
@@ -158,7 +158,7 @@
 
 @define(eq=False)
 class Node:
-    """One process: a key service, its peers, and how it is doing."""
+    """One simulated process with a key service, a peer port and its fault state."""
 
     world: World
     identity: Identity
@@ -192,7 +192,7 @@
         return self.clock.frozen_s is not None
 
     async def wait_while_frozen(self) -> None:
-        """Stand still while the process is frozen."""
+        """Block while the process is frozen."""
         while not self.thawed.is_set():
             await self.thawed.wait()
 
@@ -284,7 +284,7 @@
         for name, handler in self.service.handlers().items():
             if getattr(message, name) is not None:
                 return await handler(sender, message)
-        raise AssertionError(f"nobody handles {message}")
+        raise AssertionError(f"no handler for {message}")
 
 
 async def _result(work: asyncio.Task) -> Message | None:
@@ -293,7 +293,7 @@
 
 @define(eq=False)
 class World:
-    """Nodes, callers and what really happened."""
+    """Simulated nodes and callers, with a record of all runs and verdicts."""
 
     rng: random.Random
     failure_domains: tuple[str, ...] = ("howrah", "sealdah")
@@ -322,7 +322,7 @@
         return self.rng.random() < self.loss
 
     def drop_next_requests(self) -> None:
-        """Let every link lose the next question, and be a new one after that."""
+        """Drop the next request on every link."""
         pairs = itertools.permutations(self.nodes, 2)
         self.silent = set(pairs)
 
@@ -362,7 +362,7 @@
         node.thawed.set()
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, with membership following what happens."""
+        """Advance virtual time and update the membership of all nodes."""
         end_s = self.loop.time() + seconds
         while True:
             self.detect()
@@ -423,7 +423,7 @@
         return Call(context, request)
 
     def send(self, node: Node, key: str, body: bytes = b"") -> Attempt:
-        """Send a request to a node; `settle` or `advance` brings the answer."""
+        """Send a request to a node; `advance` delivers the answer."""
         call = self.make_call(key, body)
         attempt = Attempt(key, call.context.call_id, self.loop.time(), node)
         self.attempts.append(attempt)
@@ -441,7 +441,7 @@
         self.check(attempt)
 
     def send_and_wait(self, node: Node, key: str, body: bytes = b"") -> Verdict | None:
-        """Send a request and return what its caller was told."""
+        """Send a request and return its verdict."""
         attempt = self.send(node, key, body)
         for _ in range(50):
             self.advance(0.5)
@@ -450,7 +450,7 @@
         return attempt.verdict
 
     def find_holders(self, key: str) -> tuple[Node | None, Node | None]:
-        """Return the primary and the backup of a key, as far as anyone knows."""
+        """Return the primary and the backup of a key under the latest known view."""
         parsed = parse_key(key)
         if isinstance(parsed, MintedKey):
             return self.find_node(parsed.incarnation), None
@@ -474,7 +474,7 @@
         return None
 
     def check(self, attempt: Attempt) -> None:
-        """Check what a caller was told against what was run."""
+        """Check the verdict of an attempt against the recorded runs."""
         runs = [run for run in self.runs if run.key == attempt.key]
         assert len(runs) <= 1, f"{attempt.key} ran twice: {runs}"
         match attempt.verdict:
--- a/tests/util/test_fields.py
+++ b/tests/util/test_fields.py
@@ -1,4 +1,4 @@
-"""Tests of numbers that come as text."""
+"""Parsing of decimal numbers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 from eelgrassmount.util.fields import parse_number
 
 
-# A bound of 32.76923076923077 was refused as if it lay outside of its range, and no
-# node of the deployment started.
+# A decimal bound with many digits was refused, so that no node started.
 @pytest.mark.parametrize(
     ("text", "value"),
     [
@@ -26,7 +25,7 @@
         ("0" * 20 + "6", 6.0),
     ],
 )
-def test_decimals_are_read_as_languages_write_them(text, value):
+def test_decimal_formats_are_parsed(text, value):
     assert parse_number(text) == value
 
 
@@ -34,9 +33,9 @@
     "text",
     ["", "soon", "true", "nan", "inf", "-inf", "6_0", " 6", "6.", ".5", "1e", "0x6"],
 )
-def test_other_texts_are_no_numbers(text):
+def test_other_texts_are_not_numbers(text):
     assert math.isnan(parse_number(text))
 
 
-def test_text_of_any_length_is_read_or_refused():
+def test_overlong_number_is_refused():
     assert math.isnan(parse_number("9" * 10_000))
