--- a/tests/keys/test_scenarios.py
+++ b/tests/keys/test_scenarios.py
@@ -256,7 +256,9 @@
         (lambda world, node, key: world.advance(WINDOW_S + 5.0), Reason.KEY_EXPIRED),
     ],
 )
-def test_minted_key_with_dead_owner_or_expired_may_have_run(world, spoil, reason) -> None:
+def test_minted_key_with_dead_owner_or_expired_may_have_run(
+    world, spoil, reason
+) -> None:
     node, entry = list(world.nodes.values())[:2]
     key = node.service.mint()
     spoil(world, node, key)
