--- a/benchmarks/capacity_cluster.py
+++ b/benchmarks/capacity_cluster.py
@@ -19,7 +19,7 @@
     NodeProcess,
     describe_server,
 )
-from standins.faults import call_admin, get_stats
+from standins.admin_client import call_admin, get_stats
 from standins.processes import (
     PYTHON,
     Process,
--- a/benchmarks/capacity_cut.py
+++ b/benchmarks/capacity_cut.py
@@ -10,7 +10,7 @@
 from attrs import frozen
 
 from benchmarks.capacity_cluster import Traffic, Usage, read_traffic, read_usage
-from standins.faults import call_admin
+from standins.admin_client import call_admin
 from standins.processes import poll_until
 
 if TYPE_CHECKING:
--- a/benchmarks/overload_scenarios.py
+++ b/benchmarks/overload_scenarios.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from standins.faults import set_fault
+from standins.admin_client import set_fault
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -15,9 +15,9 @@
 
 from standins.announcer import Announcer
 from standins.answers import Answerer, Faults, refuse
+from standins.call_states import CALLS_PATH, FateBook
 from standins.client import Client
 from standins.downstream import CallFailedError, Downstream
-from standins.fates import CALLS_PATH, FateBook
 from standins.plans import Plan, find_plan, read_plans
 from standins.runs import Run, RunBook
 from standins.web import Listener, Request, Response, wait_for_signal
--- a/standins/deploy.py
+++ b/standins/deploy.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Self
 
-from standins.faults import call_admin, get_runs, get_stats, set_fault
+from standins.admin_client import call_admin, get_runs, get_stats, set_fault
 from standins.layout import (
     NODE_COMMAND,
     VM,
--- a/tests/features/deployments.py
+++ b/tests/features/deployments.py
@@ -9,10 +9,10 @@
 
 from attrs import define, field
 
+from standins.admin_client import call_admin
 from standins.caller import CallClass, Caller, Load, Phase
 from standins.client import Client
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
-from standins.faults import call_admin
 from standins.plans import Plan
 
 if TYPE_CHECKING:
--- a/tests/features/steps/deployments.py
+++ b/tests/features/steps/deployments.py
@@ -10,7 +10,7 @@
 
 from behave import given, then, when
 
-from standins.faults import set_fault
+from standins.admin_client import set_fault
 from standins.records import find_doubled
 from tests.features.deployments import (
     CONFIGURATION,
--- a/tests/matrix/storm.py
+++ b/tests/matrix/storm.py
@@ -10,9 +10,9 @@
 from attrs import frozen
 
 from eelgrassmount.retry.budget import EXTRA_ATTEMPTS
+from standins.admin_client import set_fault
 from standins.caller import CallClass, Load, Phase, run_load
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
-from standins.faults import set_fault
 from standins.plans import Plan
 from tests.matrix.world import World, make_node_command
 
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -15,9 +15,9 @@
 from eelgrassmount.keys.placement import find_slot
 from eelgrassmount.keys.views import ViewFold, fold_page
 from eelgrassmount.log_port import Page, Record
+from standins.admin_client import call_admin, set_fault
 from standins.client import Client
 from standins.deploy import PYTHON, Deployment, DeploymentSpec, ServiceSpec
-from standins.faults import call_admin, set_fault
 from standins.plans import Plan
 from tests.matrix.callers import BOOKING, Booking
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from standins.admin_client import get_runs, get_stats, set_fault
 from standins.caller import CallClass, Load, Phase, run_load
 from standins.client import Client, UnansweredError
 from standins.deploy import PYTHON, Deployment, DeploymentSpec, ServiceSpec
-from standins.faults import get_runs, get_stats, set_fault
 from standins.plans import Plan
 from standins.processes import find_free_address
 from standins.records import find_doubled, find_false_refusals
