--- a/benchmarks/capacity_cut.py
+++ b/benchmarks/capacity_cut.py
@@ -52,7 +52,7 @@
     pairs = list(itertools.product(domains[:half], domains[half:]))
     costs = [_measure(deployment, "before the cut", lambda: _wait(PHASE_S))]
     for one, other in pairs:
-        deployment.cut(one, other, "drop")
+        deployment.partition(one, other, "drop")
     costs.append(_measure(deployment, "first seconds", lambda: _wait(PHASE_S)))
     costs.append(_measure(deployment, "cut", lambda: _wait(CUT_S)))
     deployment.heal()
--- a/benchmarks/capacity_force.py
+++ b/benchmarks/capacity_force.py
@@ -93,7 +93,7 @@
         forces.append(_measure(deployment, "under load", count))
         load.kill()
         cut = names[-1]
-        deployment.cut(cut, "log", "drop")
+        deployment.partition(cut, "log", "drop")
         time.sleep(AFTER_CUT_S)
         forces.append(_measure(deployment, "one cut from the log", count, cut))
         deployment.heal()
--- a/benchmarks/overload_figures.py
+++ b/benchmarks/overload_figures.py
@@ -8,7 +8,7 @@
 
 from attrs import define, field, frozen
 
-from standins.records import find_doubled, find_false_refusals, find_quantile
+from standins.records import find_duplicate_runs, find_false_refusals, find_quantile
 
 if TYPE_CHECKING:
     from benchmarks.overload_shapes import ClassSpec, Shape
@@ -107,7 +107,7 @@
         recovery_s=measure_recovery(trial),
         inversions=inversions,
         refused_last=refused_last,
-        doubled=len(find_doubled(trial.runs)),
+        doubled=len(find_duplicate_runs(trial.runs)),
         false_refusals=len(find_false_refusals(trial.records, trial.runs)),
     )
 
--- a/benchmarks/overload_scenarios.py
+++ b/benchmarks/overload_scenarios.py
@@ -71,7 +71,7 @@
 
 
 def _wake_log(deployment: Deployment, shape: Shape) -> None:
-    deployment.log.wake()
+    deployment.log.resume()
 
 
 SCENARIOS = (
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -15,11 +15,11 @@
 
 from standins.announcer import Announcer
 from standins.answers import Answerer, Faults, refuse
-from standins.call_states import CALLS_PATH, FateBook
+from standins.call_states import CALLS_PATH, CallStateTable
 from standins.client import Client
 from standins.downstream import CallFailedError, Downstream
 from standins.plans import Plan, find_plan, read_plans
-from standins.runs import Run, RunBook
+from standins.runs import Run, RunTable
 from standins.web import Listener, Request, Response, wait_for_signal
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         self._slots = anyio.Semaphore(settings.slots)
         self._client = Client()
         self._answerer = Answerer(self._faults)
-        self._book = RunBook(
+        self._book = RunTable(
             settings.service, settings.server, settings.journal_address
         )
         self._downstream = Downstream(
@@ -76,7 +76,7 @@
             settings.retries,
             settings.call_timeout_ms,
         )
-        self._fates = FateBook()
+        self._fates = CallStateTable()
         self._counts: Counter[str] = Counter()
         self._began = time.monotonic()
         self._drained: float | None = None
--- a/standins/call_states.py
+++ b/standins/call_states.py
@@ -17,7 +17,7 @@
 
 
 @define
-class FateBook:
+class CallStateTable:
     """Calls that are running or done, and those that were promised never to begin."""
 
     process: str = field(factory=_name_process)
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -17,7 +17,7 @@
 
 from standins.client import Answer, Client, UnansweredError
 from standins.plans import expect_shape, read_plans
-from standins.records import Record, Sending, judge_answer, summarise
+from standins.records import Attempt, Record, classify_answer, summarise
 from standins.relay import make_loop
 
 if TYPE_CHECKING:
@@ -144,7 +144,7 @@
 
     async def _send_once(
         self, call_class: CallClass, node: str, request: str, key: str
-    ) -> Sending:
+    ) -> Attempt:
         body = json.dumps({"request": request, **call_class.extra}).encode()
         headers = {
             "content-type": "application/json",
@@ -165,16 +165,16 @@
         except UnansweredError as error:
             outcome = "unreached" if error.reason == "connect" else "unknown"
             end = time.monotonic()
-            return Sending(request, node, start, end, outcome, "", 0, error.reason)
+            return Attempt(request, node, start, end, outcome, "", 0, error.reason)
         name = call_class.extra.get("request", request)
-        outcome = judge_answer(answer, name, call_class.expect)
+        outcome = classify_answer(answer, name, call_class.expect)
         return _make_sending(request, node, start, outcome, answer)
 
     def _choose_other(self, node: str) -> str:
         others = [other for other in self._load.nodes if other != node]
         return self._random.choice(others or [node])
 
-    async def _pause(self, sending: Sending) -> None:
+    async def _pause(self, sending: Attempt) -> None:
         pause_ms = self._load.pause_ms
         if self._load.obey_retry_after:
             pause_ms = max(pause_ms, sending.retry_after_ms)
@@ -184,10 +184,10 @@
 
 def _make_sending(
     request: str, node: str, start: float, outcome: str, answer: Answer
-) -> Sending:
+) -> Attempt:
     headers = answer.headers
     after_s = float(headers.get("retry-after", 0))
-    return Sending(
+    return Attempt(
         request,
         node,
         start,
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -22,7 +22,7 @@
     ServiceSpec,
 )
 from standins.plans import Plan, dump_plans
-from standins.records import Record, find_doubled, find_false_refusals, summarise
+from standins.records import Record, find_duplicate_runs, find_false_refusals, summarise
 
 if TYPE_CHECKING:
     from standins.processes import Process
@@ -74,7 +74,7 @@
         asyncio.run(_warm(deployment))
         records = _send(deployment)
         runs = deployment.get_runs()
-    doubled = find_doubled(runs)
+    doubled = find_duplicate_runs(runs)
     summary = summarise(records, doubled)
     false_refusals = len(find_false_refusals(records, runs))
     _show_table(summary)
--- a/standins/deploy.py
+++ b/standins/deploy.py
@@ -150,7 +150,7 @@
         rule = {"source": source, "destination": destination, **fault}
         call_admin(self.relay_admin_address, "POST", "/faults", rule)
 
-    def cut(self, one: str, other: str, mode: str = "hold") -> None:
+    def partition(self, one: str, other: str, mode: str = "hold") -> None:
         """Cut two failure domains (or one from the log) off from each other."""
         self.set_link_fault(one, other, cut=mode)
         self.set_link_fault(other, one, cut=mode)
--- a/standins/journal.py
+++ b/standins/journal.py
@@ -61,7 +61,7 @@
         self._transport.write(b"." * len(lines))
 
 
-class JournalLine(asyncio.Protocol):
+class JournalConnection(asyncio.Protocol):
     """A backend server's line to the journal: one dot comes back for each entry."""
 
     def __init__(self) -> None:
@@ -94,11 +94,11 @@
         return waiter
 
 
-async def open_line(address: str) -> JournalLine:
+async def open_line(address: str) -> JournalConnection:
     """Connect to the journal at ``address`` (ip:port)."""
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
-    _, line = await loop.create_connection(JournalLine, host, port)
+    _, line = await loop.create_connection(JournalConnection, host, port)
     return line
 
 
--- a/standins/layout.py
+++ b/standins/layout.py
@@ -99,10 +99,10 @@
         self.node.freeze()
         self.server.freeze()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let both go on."""
-        self.node.wake()
-        self.server.wake()
+        self.node.resume()
+        self.server.resume()
 
 
 def make_links(
--- a/standins/platform_log.py
+++ b/standins/platform_log.py
@@ -23,12 +23,12 @@
 JSON = b"content-type: application/json\r\n"
 
 
-class Trouble(Enum):
+class LogFault(Enum):
     """What is wrong with the log."""
 
     NONE = "none"
-    TURNED_AWAY = "turned-away"  # 503 for every call
-    LIMITED = "limited"  # 429 for every call
+    UNAVAILABLE = "turned-away"  # 503 for every call
+    RATE_LIMITED = "limited"  # 429 for every call
     SILENT = "silent"  # no answer
     RESET = "reset"  # the connection ends
     LOST = "lost"  # done, and the answer is lost
@@ -50,7 +50,7 @@
     Its answers name its ``era`` unless that is ``None``.
     """
 
-    trouble: Trouble = Trouble.NONE
+    fault: LogFault = LogFault.NONE
     delay_s: float = 0.0
     calls: int = 0
     era: int | None = None
@@ -85,7 +85,7 @@
             for name, topic in self.topics.items()
         }
 
-    def come_back(self, copy: dict[str, Topic], rewrite: bool = True) -> None:
+    def restore(self, copy: dict[str, Topic], rewrite: bool = True) -> None:
         """Go on from a copy, in a new era.
 
         With ``rewrite``, the operator writes what it wrote since then once more.
@@ -101,7 +101,7 @@
         for key, value in before.get(OPERATOR_TOPIC, Topic()).records:
             self.put(OPERATOR_TOPIC, key, value)
 
-    def forget_history(self, name: str) -> None:
+    def compact(self, name: str) -> None:
         """Delete all records but the newest of each key."""
         topic = self.find(name)
         topic.first = len(topic.records)
@@ -115,13 +115,13 @@
         self.calls += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        if self.trouble is Trouble.TURNED_AWAY:
+        if self.fault is LogFault.UNAVAILABLE:
             self._respond(exchange, 503)
-        elif self.trouble is Trouble.LIMITED:
+        elif self.fault is LogFault.RATE_LIMITED:
             self._respond(exchange, 429)
-        elif self.trouble is Trouble.RESET:
+        elif self.fault is LogFault.RESET:
             exchange.connection.transport.abort()
-        elif self.trouble is not Trouble.SILENT:
+        elif self.fault is not LogFault.SILENT:
             await self._serve(exchange)
 
     def _respond(
@@ -148,7 +148,7 @@
         content = exchange.body[4:]
         key_end = 1 + content[0]
         offset = self.put(name, content[1:key_end].decode(), content[key_end:])
-        if self.trouble is Trouble.LOST:
+        if self.fault is LogFault.LOST:
             exchange.connection.transport.abort()
             return
         body = json.dumps({"offset": offset, "end": offset + 1}).encode()
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -115,7 +115,7 @@
         """Stop it where it stands (SIGSTOP)."""
         self._send(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let it go on (SIGCONT)."""
         self._send(signal.SIGCONT)
 
--- a/standins/records.py
+++ b/standins/records.py
@@ -29,7 +29,7 @@
 
 
 @frozen
-class Sending:
+class Attempt:
     """One sending of a request; times are monotonic seconds."""
 
     request: str
@@ -52,7 +52,7 @@
     t_start: float
     t_end: float = 0.0
     outcome: str = "unreached"
-    sendings: list[Sending] = field(factory=list)
+    sendings: list[Attempt] = field(factory=list)
 
     def dump(self) -> str:
         """Return the record as one JSON line."""
@@ -65,7 +65,7 @@
     def load(cls, line: str) -> Record:
         """Read what ``dump`` wrote."""
         entry = json.loads(line)
-        sendings = [Sending(**sending) for sending in entry["sendings"]]
+        sendings = [Attempt(**sending) for sending in entry["sendings"]]
         return cls(
             entry["class_name"],
             entry["key"],
@@ -76,7 +76,7 @@
         )
 
 
-def judge_answer(answer: Answer, request: str, expect: str) -> str:
+def classify_answer(answer: Answer, request: str, expect: str) -> str:
     """Return the outcome that an answer means, after checking it through."""
     verdict = answer.headers.get("eelgrassmount-verdict", "")
     if verdict == "not-run":
@@ -104,7 +104,7 @@
     return digest == f"sha-256=:{found}:"
 
 
-def find_doubled(runs: Iterable[Mapping[str, Any]]) -> list[tuple[str, str]]:
+def find_duplicate_runs(runs: Iterable[Mapping[str, Any]]) -> list[tuple[str, str]]:
     """Return each (request, route) that ran more than once, lookups (GET) aside.
 
     A route must stand only once in the tree of calls of a request.
@@ -119,7 +119,7 @@
 
 def find_false_refusals(
     records: Iterable[Record], runs: Iterable[Mapping[str, Any]]
-) -> list[Sending]:
+) -> list[Attempt]:
     """Return the sendings that were told "not run" of a request that ran.
 
     A run is no contradiction when it began after the refusal and the caller had
--- a/standins/runs.py
+++ b/standins/runs.py
@@ -10,7 +10,7 @@
 
 from attrs import asdict, define
 
-from standins.journal import JournalLine, open_line
+from standins.journal import JournalConnection, open_line
 
 
 @define
@@ -34,7 +34,7 @@
         return (end - self.started) * 1000
 
 
-class RunBook:
+class RunTable:
     """Runs that have begun; without a journal address they are kept here only."""
 
     def __init__(self, service: str, server: str, journal_address: str) -> None:
@@ -42,7 +42,7 @@
         self._service = service
         self._server = server
         self._journal_address = journal_address
-        self._line: JournalLine | None = None
+        self._line: JournalConnection | None = None
         self._ids = itertools.count(1)
 
     def make(self, route: str, call: str, request: str) -> Run:
--- a/tests/features/steps/deployments.py
+++ b/tests/features/steps/deployments.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 
 from standins.admin_client import set_fault
-from standins.records import find_doubled
+from standins.records import find_duplicate_runs
 from tests.features.deployments import (
     CONFIGURATION,
     DOMAINS,
@@ -118,15 +118,15 @@
 
 @when('failure domain "{domain}" is cut from the log')
 def cut_from_log(context, domain):
-    context.deployment.cut(domain, "log")
+    context.deployment.partition(domain, "log")
 
 
 @when('failure domain "{domain}" is cut from everything')
 def cut_from_everything(context, domain):
-    context.deployment.cut(domain, "log")
+    context.deployment.partition(domain, "log")
     for other in DOMAINS:
         if other != domain:
-            context.deployment.cut(domain, other)
+            context.deployment.partition(domain, other)
 
 
 @when("the cuts are healed")
@@ -269,5 +269,5 @@
 
 @then("nothing ran twice")
 def check_nothing_doubled(context):
-    doubled = find_doubled(context.deployment.get_runs())
+    doubled = find_duplicate_runs(context.deployment.get_runs())
     assert not doubled, doubled
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -10,7 +10,7 @@
 from attrs import define, field
 
 from standins.client import Answer, UnansweredError
-from standins.records import Sending, judge_answer
+from standins.records import Attempt, classify_answer
 
 if TYPE_CHECKING:
     from standins.client import Client
@@ -30,15 +30,15 @@
     expect: str
     extra: dict[str, object] = field(factory=dict)
     name: str = field(factory=lambda: f"m{uuid.uuid4().hex[:12]}")
-    sendings: list[Sending] = field(factory=list)
+    sendings: list[Attempt] = field(factory=list)
     bodies: set[bytes] = field(factory=set)
 
     @property
-    def told(self) -> list[Sending]:
+    def told(self) -> list[Attempt]:
         """Return the sendings in the order in which their answers came."""
         return sorted(self.sendings, key=lambda sending: sending.t_end)
 
-    async def send(self, client: Client, node: str) -> Sending:
+    async def send(self, client: Client, node: str) -> Attempt:
         start = time.monotonic()
         headers = {
             "idempotency-key": self.key,
@@ -54,7 +54,7 @@
             outcome = "unreached" if error.reason == "connect" else "unknown"
             reason = error.reason
         else:
-            outcome = judge_answer(answer, self.name, self.expect)
+            outcome = classify_answer(answer, self.name, self.expect)
             reason = answer.headers.get("eelgrassmount-reason", "")
         end = time.monotonic()
         if outcome == "complete":
@@ -72,11 +72,11 @@
     outcome: str,
     answer: Answer | None,
     reason: str,
-) -> Sending:
+) -> Attempt:
     if answer is None:
-        return Sending(name, node, start, end, outcome, "", 0, reason)
+        return Attempt(name, node, start, end, outcome, "", 0, reason)
     verdict = answer.headers.get("eelgrassmount-verdict", "")
-    return Sending(name, node, start, end, outcome, verdict, answer.status, reason)
+    return Attempt(name, node, start, end, outcome, verdict, answer.status, reason)
 
 
 async def fetch_key(client: Client, node: str) -> str:
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -54,7 +54,7 @@
         (vm if part == "vm" else getattr(vm, part)).freeze()
 
     def undo(deployment: Deployment, vm: VM) -> None:
-        (vm if part == "vm" else getattr(vm, part)).wake()
+        (vm if part == "vm" else getattr(vm, part)).resume()
 
     return Fault(f"freeze-{part}-{word}", do, undo, hold_s, hits_node)
 
@@ -79,7 +79,7 @@
 
 def _cut_log(name: str, mode: str) -> Fault:
     def do(deployment: Deployment, vm: VM) -> None:
-        deployment.cut(vm.failure_domain, "log", mode)
+        deployment.partition(vm.failure_domain, "log", mode)
 
     return Fault(name, do, _heal, CUT_S)
 
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -7,13 +7,13 @@
 
 from attrs import frozen
 
-from standins.records import Record, find_doubled, find_false_refusals
+from standins.records import Record, find_duplicate_runs, find_false_refusals
 from tests.matrix.callers import MARGIN_S, TIMEOUT_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-    from standins.records import Sending
+    from standins.records import Attempt
     from tests.matrix.callers import Booking
 
     Runs = Sequence[Mapping[str, object]]
@@ -27,7 +27,7 @@
     t_start: float
     t_end: float
 
-    def excuses(self, sending: Sending) -> bool:
+    def excuses(self, sending: Attempt) -> bool:
         overlaps = sending.t_start <= self.t_end and sending.t_end >= self.t_start
         return sending.node == self.node and overlaps
 
@@ -36,7 +36,7 @@
     booking: Booking, runs: Runs, outages: Sequence[Outage], must_answer: bool
 ) -> list[str]:
     """Return each promise that was broken for one request."""
-    broken = [f"doubled {route}" for _, route in find_doubled(runs)]
+    broken = [f"doubled {route}" for _, route in find_duplicate_runs(runs)]
     broken += _find_false_refusals(booking, runs)
     broken += _find_bad_answers(booking)
     broken += _find_late(booking.sendings, outages)
@@ -65,7 +65,7 @@
     ]
 
 
-def _find_late(sendings: Iterable[Sending], outages: Sequence[Outage]) -> list[str]:
+def _find_late(sendings: Iterable[Attempt], outages: Sequence[Outage]) -> list[str]:
     late = []
     for sending in sendings:
         took_s = sending.t_end - sending.t_start
@@ -83,7 +83,7 @@
     return f"{last} [{listed}]"
 
 
-def _describe(sending: Sending) -> str:
+def _describe(sending: Attempt) -> str:
     if sending.outcome == "complete":
         return "complete"
     return f"{sending.verdict or sending.outcome} {sending.reason}".strip()
--- a/tests/relay/test_deployment.py
+++ b/tests/relay/test_deployment.py
@@ -17,7 +17,7 @@
 from eelgrassmount.relay.heartbeats import UNKNOWN_START
 from eelgrassmount.relay.rows import write_rows
 from eelgrassmount.relay.shutdown import CLIENT_DRAIN_S, PEER_DRAIN_S
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import (
     Deployment,
     connect,
@@ -123,7 +123,7 @@
         first = await deployment.add("list")
         await deployment.add("front")
         await deployment.wait_until_connected()
-        deployment.log.trouble = Trouble.TURNED_AWAY
+        deployment.log.fault = LogFault.UNAVAILABLE
         first.node.apply_document(
             deployment.log.find("keyed.op").records[0][1].replace(b'"r1"', b'"r7"')
         )
@@ -178,16 +178,16 @@
     run(scenario, BOOK)
 
 
-@pytest.mark.parametrize("trouble", [Trouble.TURNED_AWAY, Trouble.RESET])
+@pytest.mark.parametrize("trouble", [LogFault.UNAVAILABLE, LogFault.RESET])
 def test_requests_are_answered_while_the_log_is_unavailable(trouble):
     async def scenario(deployment: Deployment) -> None:
         front = await deployment.add("front")
         await deployment.add("list")
         await deployment.wait_until_connected()
-        deployment.log.trouble = trouble
+        deployment.log.fault = trouble
         for _ in range(5):
             assert (await send_as_client(front, "/list/1")).status == 200
-        deployment.log.trouble = Trouble.NONE
+        deployment.log.fault = LogFault.NONE
         deployment.configure(2, LIST, BOOK)
         with anyio.fail_after(4):
             while front.node.beliefs.table.version != 2:
@@ -200,11 +200,11 @@
     async def scenario(deployment: Deployment) -> None:
         vm = await deployment.add("list")
         await deployment.wait_until_connected()
-        deployment.log.trouble = Trouble.RESET
+        deployment.log.fault = LogFault.RESET
         deployment.configure(2, LIST, BOOK)
         await anyio.sleep(0.2)
-        deployment.log.forget_history("keyed.op")
-        deployment.log.trouble = Trouble.NONE
+        deployment.log.compact("keyed.op")
+        deployment.log.fault = LogFault.NONE
         with anyio.fail_after(4):
             while vm.node.beliefs.table.version != 2:
                 await anyio.sleep(0.01)
@@ -564,7 +564,7 @@
         await deployment.add("list")
         late = await deployment.add("list")
         await deployment.wait_until_connected()
-        deployment.log.trouble = Trouble.TURNED_AWAY
+        deployment.log.fault = LogFault.UNAVAILABLE
         late.node.end()
         deployment.vms.pop()
         await anyio.sleep(0.05)
--- a/tests/standins/test_records.py
+++ b/tests/standins/test_records.py
@@ -11,11 +11,11 @@
 from standins.client import Answer
 from standins.plans import dump_plans, expect_shape, read_plans
 from standins.records import (
+    Attempt,
     Record,
-    Sending,
-    find_doubled,
+    classify_answer,
+    find_duplicate_runs,
     find_false_refusals,
-    judge_answer,
     summarise,
 )
 from standins.runs import Run
@@ -62,12 +62,12 @@
     ],
 )
 def test_answers_are_judged(answer, outcome):
-    assert judge_answer(answer, "r", "a(b(c),c)") == outcome
+    assert classify_answer(answer, "r", "a(b(c),c)") == outcome
 
 
 def _record(*sendings):
     made = [
-        Sending(request, "n", start, start + 1, "refused", verdict, 503, "")
+        Attempt(request, "n", start, start + 1, "refused", verdict, 503, "")
         for request, start, verdict in sendings
     ]
     return Record("class", "key", 0.0, 9.0, "refused", made)
@@ -93,7 +93,7 @@
 
 def test_doubled_runs_are_found_and_counted_by_class():
     routes = ["POST /a", "POST /a", "GET /c", "GET /c", "POST /b"]
-    doubled = find_doubled({"request": "r", "route": route} for route in routes)
+    doubled = find_duplicate_runs({"request": "r", "route": route} for route in routes)
     assert doubled == [("r", "POST /a")]
     record = Record.load(_record(("r", 0, "answered")).dump())
     summary = summarise([record], doubled)
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -14,7 +14,7 @@
 from standins.deploy import PYTHON, Deployment, DeploymentSpec, ServiceSpec
 from standins.plans import Plan
 from standins.processes import find_free_address
-from standins.records import find_doubled, find_false_refusals
+from standins.records import find_duplicate_runs, find_false_refusals
 
 DEPTH = 12
 SERVICES = tuple(
@@ -93,7 +93,7 @@
     runs = deployment.get_runs()
     assert len(runs) == len(records) * DEPTH
     assert {run["outcome"] for run in runs} == {"finished"}
-    assert find_doubled(runs) == find_false_refusals(records, runs) == []
+    assert find_duplicate_runs(runs) == find_false_refusals(records, runs) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import (
     LOG,
     Deployment,
@@ -177,7 +177,7 @@
     async def scenario(deployment: Deployment) -> None:
         deployment.configure(2, LIST, OPEN, teams=[make_team("press", "k-2"), OFFICE])
         await anyio.sleep(APPLY_S)
-        deployment.log.trouble = Trouble.TURNED_AWAY
+        deployment.log.fault = LogFault.UNAVAILABLE
         started = await deployment.add("list", "a")
         # it knows no other node, and none opens a link to one that it can't know
         for vm in deployment.vms[:-1]:
@@ -195,7 +195,7 @@
 
 def test_new_key_is_not_called_wrong_while_the_log_is_away():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.RESET
+        deployment.log.fault = LogFault.RESET
         asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
         await anyio.sleep(6.0)
         for vm in deployment.vms:
@@ -209,7 +209,7 @@
 
 def test_node_without_a_configuration_judges_no_key():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.SILENT
+        deployment.log.fault = LogFault.SILENT
         vm = await deployment.add("other", "c")
         vm.node.ingress.table = type(vm.node.ingress.table)()
         assert await ask_with(vm, "k-1") == 503
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -10,7 +10,7 @@
 from attrs import asdict
 
 from eelgrassmount.relay.status import collect_status
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import Deployment, Vm, make_rule, make_team, send_as_client
 from tests.relay.virtual import run_virtually
 
@@ -107,7 +107,7 @@
 
 def test_team_under_its_quota_is_served_at_any_node_while_the_log_is_away():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.RESET
+        deployment.log.fault = LogFault.RESET
         for vm in deployment.vms:
             assert await ask_often(vm, "k-1", 10, 0.2) == [200] * 10
 
--- a/tests/tools/test_model_checker.py
+++ b/tests/tools/test_model_checker.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tools.model_checker import ABSENCE, describe_absence, set_up_checker
+from tools.model_checker import ABSENCE_VARIABLE, describe_absence, set_up_checker
 from tools.reports import read_pytest
 from tools.results import Status, sum_up
 
@@ -28,7 +28,7 @@
     for name in PLAIN:
         (directory / name).symlink_to(shutil.which(name))
     monkeypatch.setenv("PATH", str(directory))
-    monkeypatch.delenv(ABSENCE, raising=False)
+    monkeypatch.delenv(ABSENCE_VARIABLE, raising=False)
     monkeypatch.delenv("CI", raising=False)
     return directory
 
@@ -96,7 +96,7 @@
     ],
 )
 def test_describe_absence(reason, ci, described):
-    assert describe_absence({ABSENCE: reason, "CI": ci}) == described
+    assert describe_absence({ABSENCE_VARIABLE: reason, "CI": ci}) == described
 
 
 def run_model_tests(report: Path, **environment: str):
@@ -120,7 +120,9 @@
 )
 def test_model_without_checker(bare_path, tmp_path, monkeypatch, reason, ci, status):
     monkeypatch.chdir(ROOT)
-    summary = run_model_tests(tmp_path / "report.xml", **{ABSENCE: reason, "CI": ci})
+    summary = run_model_tests(
+        tmp_path / "report.xml", **{ABSENCE_VARIABLE: reason, "CI": ci}
+    )
     by_status = {Status.SKIPPED: summary.skipped, Status.FAILED: summary.failed}
     cases = by_status.pop(status)
     (others,) = by_status.values()
--- a/tests/topics/test_older_log.py
+++ b/tests/topics/test_older_log.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.platform.topics import LEARNED_KEY
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import (
     LOG,
     Deployment,
@@ -55,11 +55,11 @@
 async def come_back(deployment: Deployment, copy: dict, rewrite: bool = True) -> None:
     """Let the log be away for a moment and come back from a copy."""
     log = deployment.log
-    log.trouble = Trouble.RESET
+    log.fault = LogFault.RESET
     asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
     await anyio.sleep(AWAY_S)
-    log.come_back(copy, rewrite)
-    log.trouble = Trouble.NONE
+    log.restore(copy, rewrite)
+    log.fault = LogFault.NONE
 
 
 def list_versions(deployment: Deployment) -> set[int]:
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -21,7 +21,7 @@
     LogReaders,
 )
 from eelgrassmount.topics.subscriptions import HEARD_S
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import Deployment, Vm, make_document, make_rule
 from tests.relay.virtual import run_virtually
 
@@ -223,7 +223,7 @@
     """All nodes asked again each 1.5 s: an outage of 9 s cost six calls a node."""
 
     async def scenario(fleet: Fleet) -> None:
-        fleet.deployment.log.trouble = Trouble.TURNED_AWAY
+        fleet.deployment.log.fault = LogFault.UNAVAILABLE
         # reads that wait are not ended by it
         fleet.configure(2)
         await anyio.sleep(2.0)
@@ -236,7 +236,7 @@
         assert calls <= SUBSCRIBED_READERS * len(DOMAINS) * per_reader + 2 * others * (
             seconds / LOST_S[0]
         )
-        fleet.deployment.log.trouble = Trouble.NONE
+        fleet.deployment.log.fault = LogFault.NONE
         fleet.configure(3)
         await fleet.expect_version(3)
 
@@ -247,7 +247,7 @@
     async def scenario(fleet: Fleet) -> None:
         vm = fleet.list_readers("a")[0]
         fleet.stop(vm)
-        fleet.deployment.log.trouble = Trouble.TURNED_AWAY
+        fleet.deployment.log.fault = LogFault.UNAVAILABLE
         # its server goes on, and its address is free again
         vm.server.listener.end()
         await anyio.sleep(1.0)
--- a/tools/model_checker.py
+++ b/tools/model_checker.py
@@ -11,7 +11,7 @@
     from collections.abc import Mapping
 
 # tells the tests of the model that an install was tried, and why it failed
-ABSENCE = "MODEL_CHECKER_ABSENCE"
+ABSENCE_VARIABLE = "MODEL_CHECKER_ABSENCE"
 
 _SCRIPT = Path(__file__).with_name("set_up_checker.sh")
 
@@ -32,4 +32,4 @@
     """
     if environment.get("CI") == "true":
         return ""
-    return environment.get(ABSENCE, "")
+    return environment.get(ABSENCE_VARIABLE, "")
--- a/tools/run_checks.py
+++ b/tools/run_checks.py
@@ -10,7 +10,7 @@
 
 from attrs import frozen
 
-from tools.model_checker import ABSENCE, set_up_checker
+from tools.model_checker import ABSENCE_VARIABLE, set_up_checker
 from tools.reports import read_behave, read_pytest
 from tools.results import Result, Status, Summary, parse_known_red, sum_up
 
@@ -69,7 +69,7 @@
 def announce_checker() -> None:
     """Set up the model's checker; say so and pass the reason on if it can't be."""
     reason = set_up_checker()
-    os.environ[ABSENCE] = reason
+    os.environ[ABSENCE_VARIABLE] = reason
     if reason:
         print(f"the model can't be checked here: {reason}", flush=True)
 
