--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the world around eelgrassmount: log, backend servers, callers."""
+"""Stand-ins for the log, the backend servers and the callers around eelgrassmount."""
 
 from __future__ import annotations
--- a/standins/admin_client.py
+++ b/standins/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls of the stand-ins' admin listeners, for tests and benchmarks."""
+"""Client of the stand-ins' admin listeners, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ) -> dict[str, Any]:
     """Call an admin listener with a JSON body and return its JSON answer.
 
-    Raises ``OSError`` when it does not answer or answers with an error.
+    Raises ``OSError`` when the listener doesn't answer or returns an error status.
     """
     data = None if value is None else json.dumps(value).encode()
     request = urllib.request.Request(
@@ -25,14 +25,14 @@
 
 
 def set_fault(admin_address: str, **fault: object) -> None:
-    """Switch faults of one stand-in, for example ``set_fault(address, slow_ms=50)``."""
+    """Set faults of one stand-in, for example ``set_fault(address, slow_ms=50)``."""
     call_admin(admin_address, "POST", "/faults", fault)
 
 
 def get_runs(admin_address: str, query: str = "") -> list[dict[str, Any]]:
-    """Return the runs that a backend server or the journal knows.
+    """Return the runs recorded by a backend server or by the journal.
 
-    The journal filters them by a query such as ``request=r1``.
+    Only the journal applies ``query``, for example ``request=r1``.
     """
     return call_admin(admin_address, "GET", f"/runs?{query}")["runs"]
 
--- a/standins/announcer.py
+++ b/standins/announcer.py
@@ -1,4 +1,4 @@
-"""The announcements of a backend server to its own node."""
+"""Announcements of a backend server to the node on its VM."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
     from standins.client import Client
 
-_EVERY_S = 1.0
+_INTERVAL_S = 1.0
 _TIMEOUT_S = 2.0
 
 
 class Announcer:
-    """Announces every second and on each change what ``describe`` returns.
+    """Announces the result of ``describe`` periodically and on each change.
 
-    ``told`` is what the node answered last, or ``None`` when it did not.
+    ``last_reply`` is the node's latest reply, ``None`` if it failed.
     """
 
     def __init__(
@@ -30,26 +30,26 @@
         node_address: str,
         describe: Callable[[], dict[str, Any]],
     ) -> None:
-        self.told: dict[str, Any] | None = None
+        self.last_reply: dict[str, Any] | None = None
         self._client = client
         self._node_address = node_address
         self._describe = describe
         self._changed = anyio.Event()
 
-    def change(self) -> None:
-        """Announce at once."""
+    def announce_soon(self) -> None:
+        """Wake the periodic task for an announcement now."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Announce until cancelled."""
+        """Send announcements until cancelled."""
         while True:
-            await self.tell("PUT")
-            with anyio.move_on_after(_EVERY_S):
+            await self.announce("PUT")
+            with anyio.move_on_after(_INTERVAL_S):
                 await self._changed.wait()
             self._changed = anyio.Event()
 
-    async def tell(self, method: str) -> None:
-        """Announce once with ``PUT``, or say goodbye with ``DELETE``."""
+    async def announce(self, method: str) -> None:
+        """Send one announcement with ``PUT``, or deregister with ``DELETE``."""
         try:
             answer = await self._client.request(
                 self._node_address,
@@ -59,6 +59,6 @@
                 json.dumps(self._describe()).encode(),
                 _TIMEOUT_S,
             )
-            self.told = json.loads(answer.body) if answer.status == 200 else None
+            self.last_reply = json.loads(answer.body) if answer.status == 200 else None
         except (UnansweredError, ValueError):
-            self.told = None
+            self.last_reply = None
--- a/standins/answers.py
+++ b/standins/answers.py
@@ -1,4 +1,4 @@
-"""Answers of a backend server, and the faults that spoil them."""
+"""Answers of a backend server, and its injected faults."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 @define
 class Faults:
-    """Faults in force; those of answers are ``True`` or count down to 0.
-
-    ``silent`` never answers, ``late_ms`` answers late whatever the deadline says,
-    ``load`` is announced in place of the true one, ``drain`` announces draining
-    and ``refuse`` refuses new work meanwhile, ``truncated`` closes the connection
-    in mid-answer, ``garbled`` changes the body under its digest, ``wrong_call``
-    gives the answer before, ``doubled`` gives the answer twice. ``lost`` swallows
-    requests without running them and ``mute`` runs them without an answer, while
-    questions about their fate are answered.
+    """Active faults; those of answers are ``True`` or the number of answers to affect.
+
+    ``silent`` never answers; ``late_ms`` delays answers regardless of the deadline;
+    ``load`` replaces the announced load; ``drain`` announces draining, and with
+    ``refuse`` new work is refused meanwhile; ``truncated`` closes the connection in
+    the middle of an answer; ``garbled`` changes the body but not the digest;
+    ``wrong_call`` sends the previous answer; ``doubled`` sends the answer twice.
+    ``lost`` drops requests without running them and ``mute`` runs them without an
+    answer; both still answer queries for the state of a call.
     """
 
     slow_factor: float = 1.0
@@ -48,8 +48,8 @@
                 raise ValueError(f"unknown fault {name!r}")
             setattr(self, name, value)
 
-    def take(self, name: str) -> bool:
-        """Tell whether the fault hits this answer, and count it down."""
+    def consume(self, name: str) -> bool:
+        """Return whether the fault applies to this answer, and count it down."""
         value = getattr(self, name)
         if value and value is not True:
             setattr(self, name, value - 1)
@@ -57,34 +57,38 @@
 
 
 class Answerer:
-    """Makes the answers of a server, spoiled as its faults say."""
+    """Makes the answers of a server and applies its faults to them."""
 
     def __init__(self, faults: Faults) -> None:
         self._faults = faults
         self._previous: Response | None = None
 
     def answer(self, run: Run, runs: list[Any]) -> Response:
-        """Answer a run with the answers to its downstream calls inside."""
+        """Return the answer to a run, which contains the answers to its calls."""
         response = make_answer(run, runs)
         previous, self._previous = self._previous, response
-        if self._faults.take("wrong_call"):
+        if self._faults.consume("wrong_call"):
             unknown = {"eelgrassmount-call": "none"}
             return previous or evolve(response, headers=unknown)
-        if self._faults.take("garbled"):
+        if self._faults.consume("garbled"):
             return evolve(response, body=response.body[:-9] + b" " * 9)
-        half = len(response.body) // 2 if self._faults.take("truncated") else None
-        return evolve(response, cut_after=half, repeat=self._faults.take("doubled"))
+        cut_after = (
+            len(response.body) // 2 if self._faults.consume("truncated") else None
+        )
+        return evolve(
+            response, cut_after=cut_after, repeat=self._faults.consume("doubled")
+        )
 
 
 def make_answer(run: Run, runs: list[Any]) -> Response:
-    """Make the complete answer, which names every server that took part."""
+    """Make the complete answer, which names the server of each run."""
     body = json.dumps(
         {
             "service": run.service,
             "server": run.server,
             "request": run.request,
             "runs": runs,
-            "depth": 1 + max((inner["depth"] for inner in runs), default=0),
+            "depth": 1 + max((nested["depth"] for nested in runs), default=0),
         }
     ).encode()
     digest = base64.b64encode(hashlib.sha256(body).digest()).decode()
@@ -97,6 +101,6 @@
 
 
 def refuse(reason: str) -> Response:
-    """Make the refusal of a server that did no work at all."""
+    """Make a refusal, with the verdict that the request was not run."""
     headers = {"eelgrassmount-verdict": "not-run", "x-reason": reason}
     return Response(503, b"", headers)
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A backend server: announces itself, runs requests in slots, calls downstream."""
+"""Backend server: announces itself, runs requests in slots, calls downstream."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from standins.answers import Answerer, Faults, refuse
 from standins.call_states import CALLS_PATH, CallStateTable
 from standins.client import Client
-from standins.downstream import CallFailedError, Downstream
+from standins.downstream import CallFailedError, DownstreamClient
 from standins.plans import Plan, find_plan, read_plans
 from standins.runs import Run, RunTable
 from standins.web import Listener, Request, Response, wait_for_signal
@@ -25,16 +25,16 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_TIMEOUT_DEFAULT_MS = 60_000
-_DRAIN_LEAST_S = 3.0
-_DRAIN_MOST_S = 60.0
-_DRAIN_STEP_S = 0.05
+_DEFAULT_TIMEOUT_MS = 60_000
+_MIN_DRAIN_S = 3.0
+_MAX_DRAIN_S = 60.0
+_DRAIN_POLL_INTERVAL_S = 0.05
 _CRASH_EXIT = 70
 
 
 @frozen
 class Settings:
-    """What the flags of ``serve`` say."""
+    """Settings of a backend server, from the flags of ``serve``."""
 
     service: str
     server: str
@@ -56,7 +56,7 @@
 
 
 class Server:
-    """One backend server with its slots, faults and the list of its runs."""
+    """One backend server with its slots, faults and runs."""
 
     def __init__(self, settings: Settings) -> None:
         self.listener = Listener(settings.address, self._handle)
@@ -67,40 +67,40 @@
         self._slots = anyio.Semaphore(settings.slots)
         self._client = Client()
         self._answerer = Answerer(self._faults)
-        self._book = RunTable(
+        self._runs = RunTable(
             settings.service, settings.server, settings.journal_address
         )
-        self._downstream = Downstream(
+        self._downstream = DownstreamClient(
             self._client,
             settings.node_address,
             settings.retries,
             settings.call_timeout_ms,
         )
-        self._fates = CallStateTable()
+        self._call_states = CallStateTable()
         self._counts: Counter[str] = Counter()
-        self._began = time.monotonic()
-        self._drained: float | None = None
+        self._started = time.monotonic()
+        self._drain_started: float | None = None
         self.announcer = Announcer(self._client, settings.node_address, self._describe)
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return self._settings.slots - self._slots.value
 
     async def drain(self) -> None:
-        """Announce draining, finish what runs, then say goodbye to the node."""
+        """Announce draining, finish the running requests, then deregister."""
         self._start_draining()
-        least = time.monotonic() + _DRAIN_LEAST_S
-        with anyio.move_on_after(_DRAIN_MOST_S):
-            while self.running or time.monotonic() < least:
-                await anyio.sleep(_DRAIN_STEP_S)
-        await self.announcer.tell("DELETE")
+        earliest_end = time.monotonic() + _MIN_DRAIN_S
+        with anyio.move_on_after(_MAX_DRAIN_S):
+            while self.running or time.monotonic() < earliest_end:
+                await anyio.sleep(_DRAIN_POLL_INTERVAL_S)
+        await self.announcer.announce("DELETE")
 
     def _start_draining(self) -> None:
         self._faults.drain = True
-        if self._drained is None:
-            self._drained = time.monotonic()
-        self.announcer.change()
+        if self._drain_started is None:
+            self._drain_started = time.monotonic()
+        self.announcer.announce_soon()
 
     def _describe(self) -> dict[str, Any]:
         load = self._faults.load
@@ -118,26 +118,26 @@
             await request.wait_disconnect()
             return None
         if request.path.startswith(CALLS_PATH):
-            return self._fates.tell(request.path.removeprefix(CALLS_PATH))
-        if self._faults.take("lost"):
+            return self._call_states.report(request.path.removeprefix(CALLS_PATH))
+        if self._faults.consume("lost"):
             self._counts["lost"] += 1
             await request.wait_disconnect()
             return None
-        if self._drained is not None:
+        if self._drain_started is not None:
             self._counts["after_drain"] += 1
-            since_s = time.monotonic() - self._drained
+            since_s = time.monotonic() - self._drain_started
             self._counts["after_drain_last_ms"] = int(since_s * 1000)
         route = f"{request.method} {request.path}"
         call = request.headers.get("eelgrassmount-call", "")
         if self._must_shed():
             self._counts["shed"] += 1
-            return self._fates.mark(refuse("shedding"), call)
-        if not self._fates.begin(call):
+            return self._call_states.add_headers(refuse("shedding"), call)
+        if not self._call_states.start(call):
             self._counts["sealed"] += 1
-            return self._fates.mark(refuse("sealed"), call)
-        run = self._book.make(route, call, json.loads(body)["request"])
+            return self._call_states.add_headers(refuse("sealed"), call)
+        run = self._runs.make(route, call, json.loads(body)["request"])
         timeout_ms = float(
-            request.headers.get("eelgrassmount-timeout-ms", _TIMEOUT_DEFAULT_MS)
+            request.headers.get("eelgrassmount-timeout-ms", _DEFAULT_TIMEOUT_MS)
         )
         response = None
         with anyio.move_on_after(timeout_ms / 1000) as limit:
@@ -147,8 +147,8 @@
                 group.cancel_scope.cancel()
         if response is None:
             response = self._give_up(run, limit.cancelled_caught)
-        response = self._fates.end(call, response)
-        if self._faults.take("mute"):
+        response = self._call_states.finish(call, response)
+        if self._faults.consume("mute"):
             await request.wait_disconnect()
             return None
         return response
@@ -161,51 +161,51 @@
         )
         return full or (self._faults.drain and self._faults.refuse)
 
-    def _give_up(self, run: Run, late: bool) -> Response | None:
-        outcome = "gave_up" if late else "cancelled"
+    def _give_up(self, run: Run, timed_out: bool) -> Response | None:
+        outcome = "gave_up" if timed_out else "cancelled"
         if run.started is None:
             self._counts[f"{outcome}_waiting"] += 1
-            return refuse("deadline") if late else None
-        self._book.end(run, outcome)
+            return refuse("deadline") if timed_out else None
+        self._runs.finish(run, outcome)
         verdict = {"eelgrassmount-verdict": "may-have-run"}
-        return Response(504, b"", verdict) if late else None
+        return Response(504, b"", verdict) if timed_out else None
 
     async def _run(self, run: Run, body: bytes, limit: anyio.CancelScope) -> Response:
         async with self._slots:
-            await self._book.begin(run)
-            wish = json.loads(body)
-            if wish.get("crash") and wish.get("crash_service") == run.service:
+            await self._runs.start(run)
+            options = json.loads(body)
+            if options.get("crash") and options.get("crash_service") == run.service:
                 os._exit(_CRASH_EXIT)
             plan = find_plan(self._settings.plans, run.route)
             with anyio.CancelScope(shield=self._faults.late_ms > 0):
-                await anyio.sleep(self._draw_time_s())
+                await anyio.sleep(self._draw_service_time_s())
                 try:
                     runs = await self._downstream.call_all(
                         plan,
                         run.call,
                         body,
                         limit.deadline,
-                        bool(wish.get("lenient")),
+                        bool(options.get("lenient")),
                     )
                 except CallFailedError as failure:
-                    self._book.end(run, "failed")
+                    self._runs.finish(run, "failed")
                     return Response(502, b"", failure.headers)
                 await anyio.sleep(self._faults.late_ms / 1000)
-            self._book.end(run, "finished")
+            self._runs.finish(run, "finished")
             return self._answerer.answer(run, runs)
 
-    def _draw_time_s(self) -> float:
+    def _draw_service_time_s(self) -> float:
         time_s = self._settings.service_time_ms / 1000 * self._faults.slow_factor
         if self._settings.exponential:
             time_s *= self._random.expovariate(1.0)
-        if time.monotonic() - self._began < self._settings.cold_s:
+        if time.monotonic() - self._started < self._settings.cold_s:
             time_s *= self._settings.cold_factor
         return time_s
 
     async def _handle_admin(self, request: Request) -> Response:
         changes = await request.read_json()
         if request.path == "/runs":
-            runs = [asdict(run) for run in self._book.runs]
+            runs = [asdict(run) for run in self._runs.runs]
             return Response.from_json({"runs": runs})
         if request.path == "/stats":
             return Response.from_json(self._stats())
@@ -215,8 +215,8 @@
         if self._faults.drain:
             self._start_draining()
         else:
-            self._drained = None
-        self.announcer.change()
+            self._drain_started = None
+        self.announcer.announce_soon()
         return Response.from_json({"faults": asdict(self._faults)})
 
     def _stats(self) -> dict[str, Any]:
@@ -226,8 +226,8 @@
             "running": self.running,
             "waiting": self._slots.statistics().tasks_waiting,
             "counts": dict(self._counts),
-            "node": self.announcer.told,
-            **self._book.count(),
+            "node": self.announcer.last_reply,
+            **self._runs.count(),
         }
 
 
@@ -253,13 +253,13 @@
     queue_limit: int | None = None,
     routes: str | Mapping[str, Any] = "{}",
     retries: int = 0,
-    call_timeout_ms: float = _TIMEOUT_DEFAULT_MS,
+    call_timeout_ms: float = _DEFAULT_TIMEOUT_MS,
 ) -> None:
     """Serve one backend server until SIGTERM, which drains it first.
 
-    Its node is told to send calls to ``advertise_address`` (``address`` when
-    empty). ``routes`` is the JSON table of downstream calls; each is repeated
-    ``retries`` times. Over ``queue_limit`` waiting requests it sheds.
+    ``advertise_address`` is announced to the node (``address`` when empty).
+    ``routes`` is the JSON table of downstream calls; each is retried up to
+    ``retries`` times. Requests are shed when ``queue_limit`` requests wait.
     """
     settings = Settings(
         service,
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Open-loop callers with timeouts and hard retries, as a library and a process."""
+"""Open-loop callers with timeouts and retries, as a library and as a process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @frozen
 class CallClass:
-    """Requests of one kind; ``extra`` is merged into their bodies.
+    """A class of requests; ``extra`` is merged into their bodies.
 
     ``expect`` is the shape of the complete answer, for example ``a(b,c)``.
     """
@@ -46,7 +46,7 @@
 
 @frozen
 class Phase:
-    """A stretch of time with one rate of requests a second."""
+    """A period with a constant request rate, in requests per second."""
 
     seconds: float
     rate: float
@@ -54,13 +54,12 @@
 
 @frozen
 class Load:
-    """What callers send, and how they behave.
+    """Requests to send, and the behaviour of the callers.
 
-    After an outcome that isn't final the request is sent again up to ``retries``
-    times, with the same key, at once after ``pause_ms`` or, with
-    ``obey_retry_after``, when the refusal says. ``sticky`` callers stay with the
-    node that they began with. A key begins with ``key_domain`` and a colon when
-    one is given.
+    After an outcome that isn't final, the request is retried up to ``retries`` times
+    with the same key, after ``pause_ms`` or, with ``obey_retry_after``, after the
+    longer of this and the delay that the refusal gives. ``sticky`` callers retry at
+    the same node. Keys start with ``key_domain`` and a colon if it is given.
     """
 
     nodes: tuple[str, ...]
@@ -75,25 +74,25 @@
 
 
 class Caller:
-    """Sends requests and records what became of each."""
+    """Sends requests and records the outcome of each."""
 
     def __init__(
         self,
         load: Load,
         client: Client,
-        take: Callable[[Record], None],
+        on_record: Callable[[Record], None],
         name: str = "",
     ) -> None:
         self._load = load
         self._client = client
-        self._take = take
+        self._on_record = on_record
         self._name = name or uuid.uuid4().hex[:8]
         self._random = random.Random(load.seed)
         self._number = 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Send the whole load, and return when its last request has ended."""
+        """Send the whole load; return when its last request has finished."""
         loop = asyncio.get_running_loop()
         weights = [call_class.weight for call_class in self._load.classes]
         due = loop.time()
@@ -119,7 +118,7 @@
     async def send(
         self, call_class: CallClass, t_start: float | None = None, key: str = ""
     ) -> None:
-        """Send one request until its outcome is final or no retry is left."""
+        """Send one request, with retries until the outcome is final or none remain."""
         self._number += 1
         request = f"{self._name}-{self._number}"
         if call_class.keyed and not key:
@@ -128,19 +127,19 @@
         record = Record(call_class.name, key, t_start or time.monotonic())
         node = self._random.choice(self._load.nodes)
         for attempt in range(1 + self._load.retries):
-            # what has no key is another request each time
+            # Without a key, each attempt is a request of its own.
             name = request if key else f"{request}.{attempt + 1}"
-            sending = await self._send_once(call_class, node, name, key)
-            record.sendings.append(sending)
-            if sending.outcome in _FINAL or sending.status in _FINAL_STATUSES:
+            attempt = await self._send_once(call_class, node, name, key)
+            record.sendings.append(attempt)
+            if attempt.outcome in _FINAL or attempt.status in _FINAL_STATUSES:
                 break
             if attempt < self._load.retries:
-                await self._pause(sending)
+                await self._pause(attempt)
                 if not self._load.sticky:
                     node = self._choose_other(node)
         record.t_end = record.sendings[-1].t_end
         record.outcome = record.sendings[-1].outcome
-        self._take(record)
+        self._on_record(record)
 
     async def _send_once(
         self, call_class: CallClass, node: str, request: str, key: str
@@ -168,25 +167,25 @@
             return Attempt(request, node, start, end, outcome, "", 0, error.reason)
         name = call_class.extra.get("request", request)
         outcome = classify_answer(answer, name, call_class.expect)
-        return _make_sending(request, node, start, outcome, answer)
+        return _make_attempt(request, node, start, outcome, answer)
 
     def _choose_other(self, node: str) -> str:
         others = [other for other in self._load.nodes if other != node]
         return self._random.choice(others or [node])
 
-    async def _pause(self, sending: Attempt) -> None:
+    async def _pause(self, attempt: Attempt) -> None:
         pause_ms = self._load.pause_ms
         if self._load.obey_retry_after:
-            pause_ms = max(pause_ms, sending.retry_after_ms)
+            pause_ms = max(pause_ms, attempt.retry_after_ms)
         if pause_ms:
             await asyncio.sleep(pause_ms / 1000)
 
 
-def _make_sending(
+def _make_attempt(
     request: str, node: str, start: float, outcome: str, answer: Answer
 ) -> Attempt:
     headers = answer.headers
-    after_s = float(headers.get("retry-after", 0))
+    retry_after_s = float(headers.get("retry-after", 0))
     return Attempt(
         request,
         node,
@@ -196,27 +195,27 @@
         headers.get("eelgrassmount-verdict", ""),
         answer.status,
         headers.get("eelgrassmount-reason", ""),
-        float(headers.get("eelgrassmount-retry-after-ms", after_s * 1000)),
+        float(headers.get("eelgrassmount-retry-after-ms", retry_after_s * 1000)),
     )
 
 
 def run_load(
-    load: Load, name: str = "", take: Callable[[Record], None] | None = None
+    load: Load, name: str = "", on_record: Callable[[Record], None] | None = None
 ) -> list[Record]:
     """Send a load from this process and return a record of each request.
 
-    ``take`` is given each record as soon as its request has ended.
+    ``on_record`` is called with each record when its request has finished.
     """
     records: list[Record] = []
 
-    def keep(record: Record) -> None:
+    def add(record: Record) -> None:
         records.append(record)
-        if take is not None:
-            take(record)
+        if on_record is not None:
+            on_record(record)
 
     async def run() -> None:
         client = Client()
-        await Caller(load, client, keep, name).run()
+        await Caller(load, client, add, name).run()
         client.close()
 
     with asyncio.Runner(loop_factory=make_loop) as runner:
@@ -224,17 +223,17 @@
     return records
 
 
-def _read(value: Any) -> Any:
-    return json.loads(value) if isinstance(value, str) else _mend_words(value)
+def _parse_json_flag(value: Any) -> Any:
+    return json.loads(value) if isinstance(value, str) else _convert_booleans(value)
 
 
-def _mend_words(value: Any) -> Any:
-    # fire reads JSON as Python, where true and false are not words
+def _convert_booleans(value: Any) -> Any:
+    # fire parses JSON as Python, which makes true and false strings.
     match value:
         case list() | tuple():
-            return [_mend_words(item) for item in value]
+            return [_convert_booleans(item) for item in value]
         case dict():
-            return {name: _mend_words(item) for name, item in value.items()}
+            return {name: _convert_booleans(item) for name, item in value.items()}
         case "true" | "false":
             return value == "true"
     return value
@@ -250,28 +249,30 @@
 ) -> None:
     """Send a load and write one JSON line for each request, then a summary.
 
-    ``nodes`` is a comma list of ip:port, ``classes`` a JSON list of objects with
-    ``name``, ``method``, ``path``, ``weight``, ``keyed``, ``timeout_ms`` and
+    ``nodes`` is a comma-separated list of ip:port, ``classes`` a JSON list of objects
+    with ``name``, ``method``, ``path``, ``weight``, ``keyed``, ``timeout_ms`` and
     ``extra``, ``phases`` a JSON list of (seconds, rate), ``routes`` the route table
-    of the backend servers, from which complete answers are known. Lines go to the
-    file ``output``, the summary to standard output. Options are ``retries``,
+    of the backend servers, which defines complete answers. Lines go to the file
+    ``output``, the summary to standard output. Options are ``retries``,
     ``pause_ms``, ``obey_retry_after``, ``sticky``, ``key_domain`` and ``seed``.
     """
     plans = read_plans(routes)
-    kinds = [
+    call_classes = [
         CallClass(
             **{"expect": expect_shape(plans, entry["method"], entry["path"]), **entry}
         )
-        for entry in _read(classes)
+        for entry in _parse_json_flag(classes)
     ]
-    listed = nodes.split(",") if isinstance(nodes, str) else nodes
-    shape = tuple(Phase(*phase) for phase in _read(phases))
-    load = Load(tuple(listed), tuple(kinds), shape, **options)
+    addresses = nodes.split(",") if isinstance(nodes, str) else nodes
+    load_phases = tuple(Phase(*phase) for phase in _parse_json_flag(phases))
+    load = Load(tuple(addresses), tuple(call_classes), load_phases, **options)
     with contextlib.ExitStack() as stack:
         file = sys.stdout
         if output != "-":
             file = stack.enter_context(Path(output).open("w", buffering=1))
-        records = run_load(load, take=lambda record: file.write(record.dump() + "\n"))
+        records = run_load(
+            load, on_record=lambda record: file.write(record.dump() + "\n")
+        )
     print(json.dumps({"summary": summarise(records)}))
 
 
--- a/standins/client.py
+++ b/standins/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client with kept connections, light enough for load."""
+"""HTTP/1.1 client with persistent connections, for load generation."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class UnansweredError(Exception):
-    """No complete answer came.
+    """No complete answer arrived.
 
     The reason is ``connect`` (nothing was sent), ``closed``, ``malformed`` or
     ``timeout``.
@@ -50,7 +50,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None:
-            # nothing was asked: whatever this answers, it is not ours
+            # No request is open, so this can't be the answer to one.
             self.abort()
             return
         try:
@@ -96,9 +96,9 @@
 
 
 class Client:
-    """Connections to any number of addresses, kept for use again.
+    """HTTP client that reuses connections to any number of addresses.
 
-    ``local_ip`` is the address that connections are bound to.
+    Connections are bound to ``local_ip`` if it is given.
     """
 
     def __init__(self, local_ip: str | None = None) -> None:
@@ -119,15 +119,15 @@
         A request that times out or is cancelled closes its connection.
         """
         deadline = asyncio.get_running_loop().time() + timeout_s
-        connection = await self._take(address, timeout_s)
+        connection = await self._connect(address, timeout_s)
         lines = [f"{method} {path} HTTP/1.1", f"host: {address}"]
         if headers:
             lines += [f"{name}: {value}" for name, value in headers.items()]
         lines += [f"content-length: {len(body)}", "", ""]
         data = "\r\n".join(lines).encode("latin-1") + body
-        left_s = max(0.0, deadline - asyncio.get_running_loop().time())
+        remaining_s = max(0.0, deadline - asyncio.get_running_loop().time())
         try:
-            answer = await connection.send(data, left_s)
+            answer = await connection.send(data, remaining_s)
         except BaseException:
             connection.abort()
             raise
@@ -142,7 +142,7 @@
                 connection.abort()
         self._idle.clear()
 
-    async def _take(self, address: str, timeout_s: float) -> _Connection:
+    async def _connect(self, address: str, timeout_s: float) -> _Connection:
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
@@ -156,6 +156,6 @@
                     _Connection, host, port, local_addr=self._local
                 )
         except OSError as error:
-            # the built-in TimeoutError is an OSError too
+            # TimeoutError is a subclass of OSError.
             raise UnansweredError("connect") from error
         return connection
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small deployment through a surge of bookings and lookups."""
+"""Demonstration: a small deployment under a surge of bookings and lookups."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
     | {"weight": 0.2, "timeout_ms": 1000},
 )
 CALLERS = 2
-# seconds and requests a second of each caller: calm, surge, calm
+# Duration in seconds and requests per second of each caller: calm, surge, calm.
 PHASES = ((6, 25), (10, 120), (12, 25))
 RETRIES = 2
 PAUSE_MS = 200
 COLUMNS = ("sent", "complete", "refused", "unknown", "doubled", "p50_ms", "p99_ms")
 
-_IN_FORCE_WITHIN_S = 15.0
-_WARM_WITHIN_S = 15.0
-_END_WITHIN_S = 30.0
+_CONFIGURATION_TIMEOUT_S = 15.0
+_WARM_UP_TIMEOUT_S = 15.0
+_FINISH_TIMEOUT_S = 30.0
 
 
 def make_spec(node_command: tuple[str, ...] = NODE_COMMAND) -> DeploymentSpec:
-    """Return the deployment: proofline, three levels down, is the scarce service."""
+    """Return the deployment, in which proofline has the least capacity."""
     bookings = Plan((("POST", "/platehouse/orders"), ("GET", "/ratebook/price")))
     orders = Plan((("GET", "/proofline/status"),), parallel=False)
     services = (
@@ -70,8 +70,8 @@
         print(published.stdout.strip())
         if published.returncode != 0:
             raise RuntimeError(f"config publish failed: {published.stderr}")
-        deployment.wait_until_in_force(1, _IN_FORCE_WITHIN_S)
-        asyncio.run(_warm(deployment))
+        deployment.wait_until_in_force(1, _CONFIGURATION_TIMEOUT_S)
+        asyncio.run(_warm_up(deployment))
         records = _send(deployment)
         runs = deployment.get_runs()
     doubled = find_duplicate_runs(runs)
@@ -80,11 +80,17 @@
     _show_table(summary)
     total = summary["all"]
     wrong = len(doubled) + total["mixed"] + total["partial"] + false_refusals
-    idle = [kind["name"] for kind in CLASSES if not _has_complete(summary, kind)]
+    idle = [
+        call_class["name"]
+        for call_class in CLASSES
+        if not _has_complete(summary, call_class)
+    ]
     if idle:
-        print(f"no request was complete of: {', '.join(idle)}")
+        print(f"no request was completed of: {', '.join(idle)}")
     if false_refusals:
-        print(f"{false_refusals} refusals said 'not run' of a request that ran")
+        print(
+            f"{false_refusals} refusals with verdict 'not run' for a request that ran"
+        )
     passed = wrong == 0 and not idle
     print(
         json.dumps(
@@ -100,32 +106,36 @@
 
 
 def _has_complete(
-    summary: dict[str, dict[str, float]], kind: dict[str, object]
+    summary: dict[str, dict[str, float]], call_class: dict[str, object]
 ) -> bool:
-    return summary.get(kind["name"], {}).get("complete", 0) > 0
+    return summary.get(call_class["name"], {}).get("complete", 0) > 0
 
 
 def _make_classes(spec: DeploymentSpec) -> tuple[CallClass, ...]:
     return tuple(
-        CallClass(**kind, expect=spec.expect(kind["method"], kind["path"]))
-        for kind in CLASSES
+        CallClass(
+            **call_class, expect=spec.expect(call_class["method"], call_class["path"])
+        )
+        for call_class in CLASSES
     )
 
 
-async def _warm(deployment: Deployment) -> None:
-    """Send one request of each class at a time until each has been complete."""
+async def _warm_up(deployment: Deployment) -> None:
+    """Send requests of each class, one at a time, until one is complete."""
     classes = _make_classes(deployment.spec)
-    deadline = time.monotonic() + _WARM_WITHIN_S
+    deadline = time.monotonic() + _WARM_UP_TIMEOUT_S
     records: list[Record] = []
     load = Load(tuple(deployment.caller_addresses), classes, ())
     caller = Caller(load, Client(), records.append, "warm")
-    for kind in classes:
-        await caller.send(kind)
+    for call_class in classes:
+        await caller.send(call_class)
         while records[-1].outcome != "complete":
             if time.monotonic() > deadline:
-                raise TimeoutError(f"no complete answer, but {records[-1].dump()}")
+                raise TimeoutError(
+                    f"no complete answer in warm-up; last record: {records[-1].dump()}"
+                )
             await asyncio.sleep(0.1)
-            await caller.send(kind)
+            await caller.send(call_class)
 
 
 def _send(deployment: Deployment) -> list[Record]:
@@ -134,15 +144,15 @@
         _start_caller(deployment, number, output)
         for number, output in enumerate(outputs)
     ]
-    began = time.monotonic()
-    limit_s = sum(seconds for seconds, _ in PHASES) + _END_WITHIN_S
+    started = time.monotonic()
+    limit_s = sum(seconds for seconds, _ in PHASES) + _FINISH_TIMEOUT_S
     shown = 0
     while any(process.running for process in processes):
-        if time.monotonic() - began > limit_s:
-            raise TimeoutError("the callers did not end in time")
+        if time.monotonic() - started > limit_s:
+            raise TimeoutError("callers did not finish in time")
         time.sleep(1.0)
         records = _read_records(outputs)
-        _show_progress(time.monotonic() - began, records[shown:])
+        _show_progress(time.monotonic() - started, records[shown:])
         shown = len(records)
     for process in processes:
         if process.wait(0) != 0:
@@ -186,11 +196,11 @@
             phase = name
             break
     parts = []
-    for kind in CLASSES:
-        name = kind["name"]
+    for call_class in CLASSES:
+        name = call_class["name"]
         counts = Counter(item.outcome for item in records if item.class_name == name)
-        told = ", ".join(f"{count} {outcome}" for outcome, count in counts.items())
-        parts.append(f"{name}: {told or 'none'}")
+        outcomes = ", ".join(f"{count} {outcome}" for outcome, count in counts.items())
+        parts.append(f"{name}: {outcomes or 'none'}")
     print(f"{elapsed_s:4.0f} s {phase:8} {' | '.join(parts)}", flush=True)
 
 
@@ -204,7 +214,7 @@
 
 
 def main() -> None:
-    """Run the demonstration; the exit status is 0 only if all answers were right."""
+    """Run the demonstration; exit with 0 only if no answer was wrong."""
     sys.exit(run_demo())
 
 
--- a/standins/deploy.py
+++ b/standins/deploy.py
@@ -43,14 +43,14 @@
 
 _FIRST_OCTET = 20
 _OCTETS = 200
-_OCTETS_EACH = 7
+_OCTETS_PER_DEPLOYMENT = 7
 _PUBLISH_TIMEOUT_S = 30.0
 
 _numbers = itertools.count()
 
 
 class Deployment:
-    """A running deployment; as a context manager it always ends its processes.
+    """A running deployment; the context manager always kills its processes.
 
     An example, with ``spec`` a ``DeploymentSpec``::
 
@@ -65,8 +65,8 @@
         self.processes: list[Process] = []
         self._temporary = tempfile.TemporaryDirectory(prefix="standins-")
         self.folder = Path(self._temporary.name)
-        # several deployments of one process must not take each other's ports
-        number = os.getpid() + next(_numbers) * _OCTETS_EACH
+        # Deployments of one process must not share loopback addresses.
+        number = os.getpid() + next(_numbers) * _OCTETS_PER_DEPLOYMENT
         first = _FIRST_OCTET + number % _OCTETS
         self._octets = {
             domain: first + 1 + index
@@ -88,7 +88,7 @@
         )
         self.relay = self._add_standin("relay", admin_address=self.relay_admin_address)
         self.log_addresses = {
-            domain: self._front(f"127.{octet}.0.1", self.log_address)
+            domain: self._make_relay_address(f"127.{octet}.0.1", self.log_address)
             for domain, octet in self._octets.items()
         }
         self._place_vms()
@@ -105,20 +105,20 @@
         self.stop()
 
     def stop(self) -> None:
-        """Kill every process and remove the folder of their output."""
+        """Kill all processes and remove the folder with their output."""
         for process in self.processes:
             process.kill()
         self._temporary.cleanup()
 
     @property
     def caller_addresses(self) -> list[str]:
-        """Caller listener of every node."""
+        """Addresses of the caller listeners of all nodes."""
         return [vm.caller_address for vm in self.vms]
 
     def find_vms(
         self, service: str | None = None, failure_domain: str | None = None
     ) -> list[VM]:
-        """Return the VMs of a service, of a failure domain, or of both."""
+        """Return the VMs, filtered by service and failure domain if given."""
         return [
             vm
             for vm in self.vms
@@ -144,37 +144,37 @@
     def set_link_fault(self, source: str, destination: str, **fault: object) -> None:
         """Set a fault on the links that carry bytes from ``source`` to ``destination``.
 
-        Each is a failure domain, ``log``, the name of a VM's server, or empty for
+        Both are a failure domain, ``log``, ``node``, the name of a VM, or empty for
         any. See ``standins.relay`` for the faults.
         """
         rule = {"source": source, "destination": destination, **fault}
         call_admin(self.relay_admin_address, "POST", "/faults", rule)
 
     def partition(self, one: str, other: str, mode: str = "hold") -> None:
-        """Cut two failure domains (or one from the log) off from each other."""
+        """Partition two failure domains, or one failure domain and the log."""
         self.set_link_fault(one, other, cut=mode)
         self.set_link_fault(other, one, cut=mode)
 
     def heal(self) -> None:
-        """End every cut and silence; delays stay."""
+        """End all partitions; delays and silenced connections stay."""
         call_admin(self.relay_admin_address, "POST", "/heal", {})
 
     def get_runs(self, query: str = "") -> list[dict[str, object]]:
-        """Return every run that the journal knows, also of servers that crashed."""
+        """Return the runs in the journal, including those of crashed servers."""
         return get_runs(self.journal_admin_address, query)
 
     def set_log_fault(self, **fault: object) -> None:
-        """Switch faults of the log service."""
+        """Set faults of the log service."""
         set_fault(self.log_admin_address, **fault)
 
     def wait_until_ready(self) -> None:
-        """Wait until each node answers and knows its backend server."""
+        """Wait until each node answers and has accepted its backend server."""
         deadline = time.monotonic() + self.spec.ready_timeout_s
         for vm in self.vms:
             self._wait(vm, deadline)
 
     def wait_until_in_force(self, version: int, timeout_s: float) -> None:
-        """Wait until every running node has this version and takes callers."""
+        """Wait until every running node has this version and accepts callers."""
         deadline = time.monotonic() + timeout_s
         for vm in self.vms:
             for _ in poll_until(deadline, f"version {version} at {vm.name}"):
@@ -182,11 +182,11 @@
                     break
                 state = call_admin(vm.admin_address, "GET", "/state")
                 in_force = state.get("config_version", version) >= version
-                if in_force and _takes_connections(vm.caller_address):
+                if in_force and _accepts_connections(vm.caller_address):
                     break
 
     def start(self, name: str, *command: str) -> Process:
-        """Start one more process, which ends with the deployment."""
+        """Start an additional process, which is killed with the deployment."""
         process = self._add(name, command)
         process.start()
         return process
@@ -199,7 +199,7 @@
     def _add_standin(self, module: str, **flags: object) -> Process:
         return self._add(module, make_command(module, **flags))
 
-    def _front(self, ip: str, target: str) -> str:
+    def _make_relay_address(self, ip: str, target: str) -> str:
         return find_free_address(ip) if self.spec.relays else target
 
     def _place_vms(self) -> None:
@@ -215,7 +215,7 @@
             counts[domain] += 1
             ip = f"127.{self._octets[domain]}.{counts[domain]}.1"
             peer = find_free_address(ip)
-            advertise = self._front(ip, peer)
+            advertise = self._make_relay_address(ip, peer)
             name = f"{service.name}-{domain}-{number}"
             vm = self._make_vm(name, service, domain, ip, peer, advertise)
             self.vms.append(vm)
@@ -237,7 +237,7 @@
     ) -> VM:
         caller, backend, admin = (find_free_address(ip) for _ in range(3))
         server, server_admin = find_free_address(ip), find_free_address(ip)
-        announced = self._front(ip, server)
+        server_advertise = self._make_relay_address(ip, server)
         node_flags = {
             "caller_address": caller,
             "backend_address": backend,
@@ -256,7 +256,7 @@
             "address": server,
             "admin_address": server_admin,
             "node_address": backend,
-            "advertise_address": announced,
+            "advertise_address": server_advertise,
             "journal_address": self.journal_address,
             "slots": service.slots,
             "service_time_ms": service.service_time_ms,
@@ -275,7 +275,7 @@
             advertise,
             admin,
             server,
-            announced,
+            server_advertise,
             server_admin,
             self._add(f"node-{name}", node_command),
             self._add(f"server-{name}", make_command("backend", **server_flags)),
@@ -299,8 +299,8 @@
                 call_admin(self.relay_admin_address, "POST", "/links", body)
                 break
         if self.spec.peer_delay_ms:
-            for way in itertools.permutations(self.spec.failure_domains, 2):
-                self.set_link_fault(*way, delay_ms=self.spec.peer_delay_ms)
+            for direction in itertools.permutations(self.spec.failure_domains, 2):
+                self.set_link_fault(*direction, delay_ms=self.spec.peer_delay_ms)
 
     def _wait(self, vm: VM, deadline: float) -> None:
         for _ in poll_until(deadline, vm.name):
@@ -313,7 +313,7 @@
                     return
 
 
-def _takes_connections(address: str) -> bool:
+def _accepts_connections(address: str) -> bool:
     try:
         socket.create_connection(split_address(address), timeout=1.0).close()
     except OSError:
--- a/standins/downstream.py
+++ b/standins/downstream.py
@@ -1,4 +1,4 @@
-"""Downstream calls of a backend server through its own node."""
+"""Downstream calls of a backend server through the node on its VM."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from standins.client import Answer, Client
     from standins.plans import Plan
 
-_PASSED_ON = (
+_FORWARDED_HEADERS = (
     "eelgrassmount-verdict",
     "eelgrassmount-reason",
     "eelgrassmount-retry-after-ms",
@@ -25,14 +25,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallFailedError(Exception):
-    """A downstream call failed; the headers are for the answer to the caller."""
+    """A downstream call failed; the headers go into the answer to the caller."""
 
     headers: dict[str, str]
 
 
 @frozen
-class Downstream:
-    """How a backend server calls others: through which node, and how stubbornly."""
+class DownstreamClient:
+    """Makes the downstream calls of a backend server, with retries."""
 
     client: Client
     node_address: str
@@ -49,9 +49,9 @@
     ) -> list[Any]:
         """Return the answers to all calls of a plan, in its order.
 
-        The first failure cancels the others and is raised as ``CallFailedError``; a
-        ``lenient`` server makes do with the answers that it has. The deadline is
-        on the event loop's clock.
+        The first failure cancels the other calls and is raised as
+        ``CallFailedError``; with ``lenient``, failed calls are left out of the result.
+        The deadline is on the event loop's clock.
         """
         answers: dict[int, Any] = {}
         failures: list[CallFailedError] = []
@@ -83,8 +83,8 @@
             headers["eelgrassmount-call-name"] = str(index)
         failure = CallFailedError({})
         for _ in range(1 + self.retries):
-            left_ms = max(0.0, (deadline - anyio.current_time()) * 1000)
-            timeout_ms = min(left_ms, self.call_timeout_ms)
+            remaining_ms = max(0.0, (deadline - anyio.current_time()) * 1000)
+            timeout_ms = min(remaining_ms, self.call_timeout_ms)
             headers["eelgrassmount-timeout-ms"] = str(int(timeout_ms))
             try:
                 answer = await self.client.request(
@@ -92,11 +92,15 @@
                 )
                 if answer.status == 200:
                     return json.loads(answer.body)
-                failure = CallFailedError(_pass_on(answer))
+                failure = CallFailedError(_select_headers(answer))
             except (UnansweredError, ValueError):
                 failure = CallFailedError({"eelgrassmount-verdict": "may-have-run"})
         raise failure
 
 
-def _pass_on(answer: Answer) -> dict[str, str]:
-    return {name: answer.headers[name] for name in _PASSED_ON if name in answer.headers}
+def _select_headers(answer: Answer) -> dict[str, str]:
+    return {
+        name: answer.headers[name]
+        for name in _FORWARDED_HEADERS
+        if name in answer.headers
+    }
--- a/standins/layout.py
+++ b/standins/layout.py
@@ -1,4 +1,4 @@
-"""What a deployment consists of: services, failure domains and VMs."""
+"""Description of a deployment: services, failure domains and VMs."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @frozen
 class ServiceSpec:
-    """One service: how many servers in each failure domain, and how they work.
+    """One service; ``servers`` is the number in each failure domain.
 
-    ``flags`` are further flags of ``standins.backend``, for example
+    ``flags`` are additional flags of ``standins.backend``, for example
     ``{"cold_s": 3}``.
     """
 
@@ -36,12 +36,13 @@
 
 @frozen
 class DeploymentSpec:
-    """What to deploy.
+    """A deployment and its options.
 
-    With ``relays``, a link relay stands before every peer listener, before the log
-    in each failure domain, and before every backend server, so that links can be
-    delayed (``peer_delay_ms`` one way between failure domains), cut and silenced.
-    ``seeds`` is the number of nodes of each failure domain named in ``--peers``.
+    With ``relays``, a TCP relay forwards the connections to every peer listener, to
+    the log (one address for each failure domain) and to every backend server, so
+    that links can be delayed, partitioned and silenced. ``peer_delay_ms`` is the
+    one-way delay between failure domains. ``seeds`` is the number of nodes of each
+    failure domain that ``--peers`` names.
     """
 
     failure_domains: tuple[str, ...]
@@ -79,28 +80,28 @@
     advertise_address: str
     admin_address: str
     server_address: str
-    server_announced: str
+    server_advertise_address: str
     server_admin_address: str
     node: Process
     server: Process
 
     def kill(self) -> None:
-        """End both processes at once."""
+        """Kill both processes (SIGKILL)."""
         self.node.kill()
         self.server.kill()
 
     def restart(self) -> None:
-        """Start both anew, as a replaced VM at the same address."""
+        """Restart both processes, as a replacement VM at the same address would."""
         self.node.restart()
         self.server.restart()
 
     def freeze(self) -> None:
-        """Stop both where they stand."""
+        """Suspend both processes (SIGSTOP)."""
         self.node.freeze()
         self.server.freeze()
 
     def resume(self) -> None:
-        """Let both go on."""
+        """Resume both processes (SIGCONT)."""
         self.node.resume()
         self.server.resume()
 
@@ -108,9 +109,9 @@
 def make_links(
     vms: Iterable[VM], log_address: str, log_addresses: Mapping[str, str]
 ) -> list[dict[str, str]]:
-    """Return the links of a relay before the log, the nodes and the servers.
+    """Return the links of the relay to the log, the nodes and the backend servers.
 
-    ``log_addresses`` is where the nodes of each failure domain find the log.
+    ``log_addresses`` maps each failure domain to the log address for its nodes.
     """
     links = [
         Link(listen, log_address, "log", domain)
@@ -119,6 +120,6 @@
     for vm in vms:
         links += [
             Link(vm.advertise_address, vm.peer_address, vm.failure_domain),
-            Link(vm.server_announced, vm.server_address, vm.name, "node"),
+            Link(vm.server_advertise_address, vm.server_address, vm.name, "node"),
         ]
     return [asdict(link) for link in links]
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log service, in memory, with faults to switch on."""
+"""In-memory stand-in for the append-only log service, with injectable faults."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 from standins.web import Listener, Request, Response, serve_until_signal
 
-_LIMIT_DEFAULT = 100
-_RETENTION_DEFAULT = 100_000
+_DEFAULT_LIMIT = 100
+_DEFAULT_RETENTION = 100_000
 
 
 @define
 class Stream:
-    """Records of one stream; the oldest kept record has offset ``first``."""
+    """Records of one stream; ``first`` is the offset of the oldest stored record."""
 
     first: int = 0
     records: deque[bytes] = field(factory=deque)
-    grown: anyio.Event = field(factory=anyio.Event)
+    appended: anyio.Event = field(factory=anyio.Event)
 
     @property
     def next(self) -> int:
-        """Offset that the next record will get."""
+        """Offset of the next record."""
         return self.first + len(self.records)
 
     def append(self, record: bytes) -> int:
         """Append a record and return its offset."""
         offset = self.next
         self.records.append(record)
-        grown, self.grown = self.grown, anyio.Event()
-        grown.set()
+        appended, self.appended = self.appended, anyio.Event()
+        appended.set()
         return offset
 
     def trim(self, retention: int) -> None:
@@ -47,7 +47,11 @@
 
 @define
 class Faults:
-    """Faults in force: ``slow_ms`` delays each answer, ``lose_answer`` counts down."""
+    """Active faults.
+
+    ``slow_ms`` delays each answer. ``lose_answer`` is the number of appends that are
+    still to be stored without an answer.
+    """
 
     down: bool = False
     slow_ms: float = 0.0
@@ -55,7 +59,7 @@
 
 
 class Log:
-    """Streams, faults and counts of the service."""
+    """HTTP handlers, streams, faults and counts of the log."""
 
     def __init__(self, address: str, admin_address: str, retention: int) -> None:
         self.listener = Listener(address, self._handle)
@@ -94,12 +98,12 @@
         await request.read()
         await anyio.sleep(self._faults.slow_ms / 1000)
         start = int(request.query.get("from", 0))
-        limit = int(request.query.get("limit", _LIMIT_DEFAULT))
+        limit = int(request.query.get("limit", _DEFAULT_LIMIT))
         wait_ms = int(request.query.get("wait_ms", 0))
         if start >= stream.next and wait_ms > 0:
             with anyio.move_on_after(wait_ms / 1000):
                 while start >= stream.next:
-                    await stream.grown.wait()
+                    await stream.appended.wait()
         if self._faults.down:
             return None
         self._reads += 1
@@ -150,11 +154,11 @@
 
 
 def serve(
-    address: str, admin_address: str, retention: int = _RETENTION_DEFAULT
+    address: str, admin_address: str, retention: int = _DEFAULT_RETENTION
 ) -> None:
-    """Serve the log at ``address`` (ip:port), keeping ``retention`` records a stream.
+    """Serve the log at ``address`` (ip:port), with ``retention`` records per stream.
 
-    Faults are switched with ``POST /faults`` on the admin address, for example
+    Faults are set with ``POST /faults`` on the admin address, for example
     ``{"slow_ms": 200}``, ``{"down": true}``, ``{"lose_answer": 1}`` or
     ``{"retention": 10}``.
     """
--- a/standins/plans.py
+++ b/standins/plans.py
@@ -1,4 +1,4 @@
-"""What a backend server calls downstream, and the shape of a complete answer."""
+"""Downstream calls of the routes, and shapes of complete answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class Plan:
-    """Downstream calls of one route, as (method, path), side by side or in turn."""
+    """Downstream calls of one route, as (method, path), in parallel or in sequence."""
 
     calls: tuple[tuple[str, str], ...] = ()
     parallel: bool = True
@@ -25,7 +25,7 @@
 def read_plans(value: str | Mapping[str, Any]) -> dict[str, Plan]:
     """Read a route table, as JSON text or already parsed.
 
-    An example is ``{"POST /jobdesk/bookings": {"calls": [["GET",
+    For example ``{"POST /jobdesk/bookings": {"calls": [["GET",
     "/ratebook/price"]], "mode": "parallel"}}``; the mode may be ``sequence``.
     """
     table = json.loads(value) if isinstance(value, str) else value
@@ -53,14 +53,12 @@
 
 
 def find_plan(plans: Mapping[str, Plan], route: str) -> Plan:
-    """Return the plan of the longest prefix of ``route``, or one without calls.
+    """Return the plan of the longest matching prefix, or a plan without calls.
 
-    A prefix ends where a segment of the path does.
+    Prefixes match whole path segments only.
     """
-    whole = route.partition("?")[0].rstrip("/") + "/"
-    prefixes = [
-        prefix for prefix in plans if whole.startswith(prefix.rstrip("/") + "/")
-    ]
+    path = route.partition("?")[0].rstrip("/") + "/"
+    prefixes = [prefix for prefix in plans if path.startswith(prefix.rstrip("/") + "/")]
     return plans[max(prefixes, key=len)] if prefixes else _NO_CALLS
 
 
@@ -68,22 +66,24 @@
     """Return the shape of the complete answer to a request, for example ``a(b,c)``."""
     plan = find_plan(plans, f"{method} {path}")
     service = path.split("/")[1]
-    return _join(service, (expect_shape(plans, *call) for call in plan.calls))
+    return _format_shape(service, (expect_shape(plans, *call) for call in plan.calls))
 
 
 def measure_shape(answer: Mapping[str, Any]) -> str:
-    """Return the shape of an answer, to be compared with the one expected."""
-    return _join(answer["service"], (measure_shape(run) for run in answer["runs"]))
+    """Return the shape of an answer, for comparison with the expected shape."""
+    return _format_shape(
+        answer["service"], (measure_shape(run) for run in answer["runs"])
+    )
 
 
 def list_requests(answer: Mapping[str, Any]) -> set[str]:
-    """Return every request id that an answer names; a pure one names a single id."""
+    """Return all request ids in an answer; a correct answer has only one."""
     found = {answer["request"]}
     for run in answer["runs"]:
         found |= list_requests(run)
     return found
 
 
-def _join(service: str, pieces: Iterable[str]) -> str:
-    inner = ",".join(sorted(pieces))
-    return f"{service}({inner})" if inner else service
+def _format_shape(service: str, shapes: Iterable[str]) -> str:
+    downstream = ",".join(sorted(shapes))
+    return f"{service}({downstream})" if downstream else service
--- a/standins/platform_log.py
+++ b/standins/platform_log.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's log, with its faults."""
+"""In-memory stand-in for the platform's log, with injectable faults."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 
 class LogFault(Enum):
-    """What is wrong with the log."""
+    """Faults of the log."""
 
     NONE = "none"
-    UNAVAILABLE = "turned-away"  # 503 for every call
-    RATE_LIMITED = "limited"  # 429 for every call
-    SILENT = "silent"  # no answer
-    RESET = "reset"  # the connection ends
-    LOST = "lost"  # done, and the answer is lost
+    UNAVAILABLE = "turned-away"  # answers every call with 503
+    RATE_LIMITED = "limited"  # answers every call with 429
+    SILENT = "silent"  # never answers
+    RESET = "reset"  # closes the connection without an answer
+    LOST = "lost"  # stores appends, then closes the connection
 
 
 @define(eq=False)
 class Topic:
-    """The records of a keyed topic; history before ``first`` is forgotten."""
+    """Records of a keyed topic; those before ``first`` can't be read any more."""
 
     records: list[tuple[str, bytes]] = field(factory=list)
     first: int = 0
-    news: asyncio.Event = field(factory=asyncio.Event)
+    appended: asyncio.Event = field(factory=asyncio.Event)
 
 
 @define(eq=False)
 class PlatformLog:
-    """Keeps keyed topics in memory and serves them over HTTP.
+    """Stores keyed topics in memory and serves them over HTTP.
 
-    Its answers name its ``era`` unless that is ``None``.
+    Answers have a header with the log epoch, ``era``, unless it is ``None``.
     """
 
     fault: LogFault = LogFault.NONE
@@ -59,54 +59,54 @@
     _tasks: set[asyncio.Task[None]] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the listener."""
-        self.listener = HttpListener(self._take, time.monotonic)
+        """Create the listener."""
+        self.listener = HttpListener(self._handle, time.monotonic)
 
     async def start(self, host: str, port: int) -> None:
-        """Take calls."""
+        """Start to accept calls."""
         await self.listener.start(host, port)
 
     def put(self, topic: str, key: str, value: bytes) -> int:
-        """Append a record as the operator would; return its offset."""
+        """Append a record without a call, and return its offset."""
         found = self.find(topic)
         found.records.append((key, value))
-        found.news.set()
-        found.news = asyncio.Event()
+        found.appended.set()
+        found.appended = asyncio.Event()
         return len(found.records) - 1
 
     def find(self, name: str) -> Topic:
-        """Return a topic, made on first use."""
+        """Return a topic; create it on first use."""
         return self.topics.setdefault(name, Topic())
 
     def copy(self) -> dict[str, Topic]:
-        """Return a copy of all topics, from which the log may come back."""
+        """Return a copy of all topics, for ``restore``."""
         return {
             name: Topic(list(topic.records), topic.first)
             for name, topic in self.topics.items()
         }
 
     def restore(self, copy: dict[str, Topic], rewrite: bool = True) -> None:
-        """Go on from a copy, in a new era.
+        """Replace all topics by an older copy and start a new log epoch.
 
-        With ``rewrite``, the operator writes what it wrote since then once more.
+        With ``rewrite``, all operator records from before are appended again.
         """
         before = self.topics
         self.era = (self.era or 0) + 1
         self.topics = copy
         for topic in before.values():
-            # reads that wait are answered by the copy
-            topic.news.set()
+            # Wake pending reads, so that they are answered from the copy.
+            topic.appended.set()
         if not rewrite:
             return
         for key, value in before.get(OPERATOR_TOPIC, Topic()).records:
             self.put(OPERATOR_TOPIC, key, value)
 
     def compact(self, name: str) -> None:
-        """Delete all records but the newest of each key."""
+        """Drop the history of a topic; the newest record of each key can be read."""
         topic = self.find(name)
         topic.first = len(topic.records)
 
-    def _take(self, exchange: Exchange) -> None:
+    def _handle(self, exchange: Exchange) -> None:
         task = asyncio.get_running_loop().create_task(self._answer(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -181,9 +181,9 @@
         topic = self.find(query["topic"])
         wait_s = int(query.get("waitMs", "0")) / 1000
         if topic.first <= start == len(topic.records) and wait_s:
-            # without news the answer has no records
+            # After a timeout the answer has no records.
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(topic.news.wait(), wait_s)
+                await asyncio.wait_for(topic.appended.wait(), wait_s)
             topic = self.find(query["topic"])
         if not topic.first <= start <= len(topic.records):
             body = json.dumps({"first": topic.first}).encode()
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -22,10 +22,10 @@
 
 @define(eq=False)
 class PlatformServer:
-    """Runs requests for ``work_s`` seconds and signs its answers.
+    """Runs each request for ``work_s`` seconds and signs the answer.
 
-    ``runs`` holds the ids of the requests that began to run. ``answer`` may be
-    replaced to misbehave.
+    ``runs`` holds the ids of the requests that started to run. ``answer``, when
+    set, replaces the correct answer.
     """
 
     incarnation: str
@@ -37,21 +37,21 @@
     _tasks: set[asyncio.Task[None]] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Prepare the listener."""
-        self.listener = HttpListener(self._take, time.monotonic)
+        """Create the listener."""
+        self.listener = HttpListener(self._handle, time.monotonic)
 
     async def start(self, host: str, port: int) -> None:
-        """Take requests."""
+        """Start to accept requests."""
         await self.listener.start(host, port)
 
-    def _take(self, exchange: Exchange) -> None:
+    def _handle(self, exchange: Exchange) -> None:
         names = dict(exchange.headers)
         if names.get(EXPECTED, b"").decode() not in ("", self.incarnation):
             instance = self.incarnation.encode()
             exchange.respond(421, b"eelgrassmount-instance-id: %s\r\n" % instance)
             return
         if REQUEST_ID not in names:
-            # a health check
+            # Only health checks have no request id.
             instance = self.incarnation.encode()
             exchange.respond(200, b"eelgrassmount-instance-id: %s\r\n" % instance)
             return
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes with handles to kill, freeze, wake, stop and restart them."""
+"""Child processes, with methods to kill, freeze, resume, stop and restart them."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 PYTHON = sys.executable
 ROOT = Path(__file__).resolve().parent.parent
 
-_KILL_WAIT_S = 10.0
-_POLL_S = 0.05
+_KILL_TIMEOUT_S = 10.0
+_POLL_INTERVAL_S = 0.05
 
-# below the range from which Linux takes ports for outgoing connections, 32768 on
+# Below 32768, where the Linux port range for outgoing connections starts.
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
 _random = random.Random()
-_given: set[str] = set()
+_assigned: set[str] = set()
 
 
 def find_free_address(ip: str) -> str:
     """Return ``ip:port`` with a port that is free now.
 
-    None is returned twice in the life of this process, and none that the kernel gives
-    to outgoing connections: one of those could take it before its owner binds it.
+    An address is returned only once in this process. Ports of outgoing connections
+    are avoided, since the kernel could use one before the caller binds it.
     """
     while True:
         address = f"{ip}:{_random.randrange(FIRST_PORT, LAST_PORT)}"
-        if address not in _given and _is_free(address):
-            _given.add(address)
+        if address not in _assigned and _is_free(address):
+            _assigned.add(address)
             return address
 
 
@@ -65,12 +65,12 @@
     """Yield until the caller breaks; raise ``TimeoutError`` past the deadline."""
     while time.monotonic() < deadline:
         yield
-        time.sleep(_POLL_S)
-    raise TimeoutError(f"{what} was not ready in time")
+        time.sleep(_POLL_INTERVAL_S)
+    raise TimeoutError(f"timed out waiting for {what}")
 
 
 class Process:
-    """One child process; its output goes to a file of its own."""
+    """One child process; standard output and errors are appended to ``log_path``."""
 
     def __init__(self, name: str, command: Sequence[str], folder: Path) -> None:
         self.name = name
@@ -80,20 +80,20 @@
 
     @property
     def pid(self) -> int:
-        """Process id of the latest start."""
+        """Process id of the current or last child."""
         if self._child is None:
             raise RuntimeError(f"{self.name} was never started")
         return self._child.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has been started and has not ended."""
         return self._child is not None and self._child.poll() is None
 
     def start(self) -> None:
-        """Start it; it must not be running."""
+        """Start the process; raise ``RuntimeError`` if it is running."""
         if self.running:
-            raise RuntimeError(f"{self.name} is running already")
+            raise RuntimeError(f"{self.name} is already running")
         paths = [str(ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
         env = {**os.environ, "PYTHONPATH": os.pathsep.join(paths)}
         with self.log_path.open("ab") as log:
@@ -106,34 +106,34 @@
             )
 
     def kill(self) -> None:
-        """End it at once (SIGKILL) and wait until it is gone."""
+        """Kill the process (SIGKILL) and wait for its end."""
         if self.running:
             self._child.kill()
-            self._child.wait(_KILL_WAIT_S)
+            self._child.wait(_KILL_TIMEOUT_S)
 
     def freeze(self) -> None:
-        """Stop it where it stands (SIGSTOP)."""
+        """Suspend the process (SIGSTOP)."""
         self._send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on (SIGCONT)."""
+        """Resume the process (SIGCONT)."""
         self._send(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop (SIGTERM); ``wait`` tells how it ended."""
+        """Request a clean stop (SIGTERM); ``wait`` returns the exit status."""
         self._send(signal.SIGTERM)
 
     def wait(self, timeout_s: float) -> int:
-        """Return its exit status; raise ``TimeoutExpired`` when it goes on."""
+        """Return the exit status; raise ``TimeoutExpired`` after ``timeout_s``."""
         return self._child.wait(timeout_s)
 
     def restart(self) -> None:
-        """Kill it if it runs, and start it anew with the same command."""
+        """Kill the process if it runs, and start it again with the same command."""
         self.kill()
         self.start()
 
     def read_log(self) -> str:
-        """Return what it wrote so far, over all its starts."""
+        """Return the output of all starts so far."""
         return self.log_path.read_text(errors="replace")
 
     def _send(self, number: signal.Signals) -> None:
--- a/standins/records.py
+++ b/standins/records.py
@@ -1,4 +1,4 @@
-"""What callers were told, and how it compares with what ran."""
+"""Records of the callers' requests, and checks of them against the runs."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @frozen
 class Attempt:
-    """One sending of a request; times are monotonic seconds."""
+    """One attempt of a request; times are seconds of the monotonic clock."""
 
     request: str
     node: str
@@ -45,7 +45,7 @@
 
 @define
 class Record:
-    """One request of a caller, over all its sendings; the last one decides."""
+    """One request of a caller with all its attempts; the last one sets the outcome."""
 
     class_name: str
     key: str
@@ -58,26 +58,30 @@
         """Return the record as one JSON line."""
         last = self.sendings[-1]
         flags = {name: self.outcome == name for name in OUTCOMES}
-        named = {"verdict": last.verdict, "status": last.status, "reason": last.reason}
-        return json.dumps({**asdict(self), **flags, **named})
+        last_answer = {
+            "verdict": last.verdict,
+            "status": last.status,
+            "reason": last.reason,
+        }
+        return json.dumps({**asdict(self), **flags, **last_answer})
 
     @classmethod
     def load(cls, line: str) -> Record:
-        """Read what ``dump`` wrote."""
+        """Parse a line written by ``dump``."""
         entry = json.loads(line)
-        sendings = [Attempt(**sending) for sending in entry["sendings"]]
+        attempts = [Attempt(**attempt) for attempt in entry["sendings"]]
         return cls(
             entry["class_name"],
             entry["key"],
             entry["t_start"],
             entry["t_end"],
             entry["outcome"],
-            sendings,
+            attempts,
         )
 
 
 def classify_answer(answer: Answer, request: str, expect: str) -> str:
-    """Return the outcome that an answer means, after checking it through."""
+    """Return the outcome of a request after checks of its answer."""
     verdict = answer.headers.get("eelgrassmount-verdict", "")
     if verdict == "not-run":
         return "refused"
@@ -105,58 +109,66 @@
 
 
 def find_duplicate_runs(runs: Iterable[Mapping[str, Any]]) -> list[tuple[str, str]]:
-    """Return each (request, route) that ran more than once, lookups (GET) aside.
+    """Return each (request, route) that ran more than once, except for GET.
 
-    A route must stand only once in the tree of calls of a request.
+    The call tree of a request must contain each route at most once.
     """
     counts = Counter(
         (run["request"], run["route"])
         for run in runs
         if not run["route"].startswith("GET ")
     )
-    return [what for what, count in counts.items() if count > 1]
+    return [key for key, count in counts.items() if count > 1]
 
 
 def find_false_refusals(
     records: Iterable[Record], runs: Iterable[Mapping[str, Any]]
 ) -> list[Attempt]:
-    """Return the sendings that were told "not run" of a request that ran.
+    """Return the attempts with the verdict "not run" whose request did run.
 
-    A run is no contradiction when it began after the refusal and the caller had
-    sent the request again.
+    A run that started after the refusal is allowed if the caller made a further
+    attempt.
     """
     starts: dict[str, list[float]] = defaultdict(list)
     for run in runs:
         starts[run["request"]].append(run["started"])
     found = []
     for record in records:
-        for index, sending in enumerate(record.sendings):
-            if sending.verdict != "not-run":
+        for index, attempt in enumerate(record.sendings):
+            if attempt.verdict != "not-run":
                 continue
-            later = any(
-                other.request == sending.request
+            retried = any(
+                other.request == attempt.request
                 for other in record.sendings[index + 1 :]
             )
-            began = starts.get(sending.request, ())
-            if any(not later or start < sending.t_end for start in began):
-                found.append(sending)
+            run_starts = starts.get(attempt.request, ())
+            if any(not retried or start < attempt.t_end for start in run_starts):
+                found.append(attempt)
     return found
 
 
 def summarise(
     records: Iterable[Record], doubled: Iterable[tuple[str, str]] = ()
 ) -> dict[str, dict[str, float]]:
-    """Return counts and latencies (ms, of complete answers) by class and over all."""
-    listed = list(records)
+    """Return counts and latencies by class and for all requests.
+
+    Latencies are in milliseconds, of requests with complete answers.
+    """
+    all_records = list(records)
     groups: dict[str, list[Record]] = defaultdict(list)
-    for record in listed:
+    for record in all_records:
         groups[record.class_name].append(record)
-    groups = {**dict(sorted(groups.items())), "all": listed}
-    wrong = {request for request, _ in doubled}
-    return {name: _summarise_group(group, wrong) for name, group in groups.items()}
+    groups = {**dict(sorted(groups.items())), "all": all_records}
+    duplicate_requests = {request for request, _ in doubled}
+    return {
+        name: _summarise_group(group, duplicate_requests)
+        for name, group in groups.items()
+    }
 
 
-def _summarise_group(group: list[Record], wrong: set[str]) -> dict[str, float]:
+def _summarise_group(
+    group: list[Record], duplicate_requests: set[str]
+) -> dict[str, float]:
     counts = Counter(record.outcome for record in group)
     times_ms = sorted(
         (record.t_end - record.t_start) * 1000
@@ -167,7 +179,7 @@
         "sent": len(group),
         **{name: counts[name] for name in OUTCOMES},
         "doubled": sum(
-            any(sending.request in wrong for sending in record.sendings)
+            any(attempt.request in duplicate_requests for attempt in record.sendings)
             for record in group
         ),
         "sendings": sum(len(record.sendings) for record in group),
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""A relay of TCP links that delays, cuts and silences them."""
+"""TCP relay that delays, partitions and silences links."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     split_address,
 )
 
-_HELD_BYTES_MOST = 256 * 1024
-_CUTS = (None, "hold", "drop", "reset")
+_MAX_QUEUED_BYTES = 256 * 1024
+_PARTITION_MODES = (None, "hold", "drop", "reset")
 
 
 @frozen
 class Link:
-    """One link; without a source, the IP address of who connects tells it."""
+    """One link; an empty source is derived from the client's IP address."""
 
     listen: str
     target: str
@@ -36,20 +36,20 @@
 
 @define
 class Rule:
-    """What happens to bytes on their way from one place to another.
+    """Faults of the links in one direction between two places.
 
-    The cut ``hold`` keeps them until the links heal, as TCP would send them
-    again; ``drop`` loses them, and the connection with them once the links heal;
-    ``reset`` ends connections and refuses new ones.
+    The modes of ``cut`` are: ``hold`` buffers bytes until the links heal, like TCP
+    retransmission; ``drop`` discards bytes, and connections that lost any are reset
+    when the links heal; ``reset`` resets open connections and refuses new ones.
     """
 
     delay_ms: float = 0.0
     cut: str | None = None
 
 
-class _FineSelector(selectors.EpollSelector):
+class _HighResolutionSelector(selectors.EpollSelector):
     def select(self, timeout: float | None = None) -> Any:
-        # epoll rounds up to whole milliseconds, select() doesn't
+        # epoll_wait rounds timeouts up to whole milliseconds; select() doesn't.
         if timeout is not None and timeout > 0:
             select.select([self.fileno()], [], [], timeout)
             timeout = 0
@@ -57,24 +57,24 @@
 
 
 def make_loop() -> asyncio.SelectorEventLoop:
-    """Make an event loop whose timers are finer than a millisecond."""
-    return asyncio.SelectorEventLoop(_FineSelector())
+    """Make an event loop with a timer resolution below one millisecond."""
+    return asyncio.SelectorEventLoop(_HighResolutionSelector())
 
 
 class _End(asyncio.Protocol):
-    """One end of a relayed connection, and the bytes on their way to the other."""
+    """One end of a relayed connection, with the bytes queued for the other end."""
 
     def __init__(self, relay: Relay, link: Link) -> None:
         self.relay = relay
         self.link = link
         self.other: _End | None = None
         self.transport: asyncio.Transport | None = None
-        self.way = ("", "")
+        self.direction = ("", "")
         self.silent = False
-        self.broken = False
+        self.lost_bytes = False
         self._queue: deque[tuple[float, bytes]] = deque()
-        self._held_bytes = 0
-        self._full = False
+        self._queued_bytes = 0
+        self._reading_paused = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -85,8 +85,8 @@
 
     def data_received(self, data: bytes) -> None:
         self._push(data)
-        if self._held_bytes > _HELD_BYTES_MOST:
-            self._full = True
+        if self._queued_bytes > _MAX_QUEUED_BYTES:
+            self._reading_paused = True
             self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -106,40 +106,44 @@
             self.transport.abort()
 
     def pump(self) -> None:
-        """Send on what is due, unless the way is cut."""
+        """Forward the bytes that are due, unless the direction is partitioned."""
         target = self.other.transport
-        if target is None or self.relay.find_cut(self.way):
+        if target is None or self.relay.find_partition_mode(self.direction):
             return
         now = self.relay.loop.time()
         while self._queue and self._queue[0][0] <= now:
             _, data = self._queue.popleft()
-            self._held_bytes -= len(data)
+            self._queued_bytes -= len(data)
             if not data:
                 target.close()
             elif not target.is_closing():
                 target.write(data)
         if self._queue:
             self.relay.loop.call_at(self._queue[0][0], self.pump)
-        if self._full and self._held_bytes == 0 and not self.transport.is_closing():
-            self._full = False
+        if (
+            self._reading_paused
+            and self._queued_bytes == 0
+            and not self.transport.is_closing()
+        ):
+            self._reading_paused = False
             self.transport.resume_reading()
 
     def _push(self, data: bytes) -> None:
         if self.silent:
             return
-        if self.relay.find_cut(self.way) == "drop":
-            self.broken = True
+        if self.relay.find_partition_mode(self.direction) == "drop":
+            self.lost_bytes = True
             return
-        due = self.relay.loop.time() + self.relay.find_delay_s(self.way)
+        due = self.relay.loop.time() + self.relay.find_delay_s(self.direction)
         first = not self._queue
         self._queue.append((due, data))
-        self._held_bytes += len(data)
+        self._queued_bytes += len(data)
         if first:
             self.pump()
 
 
 class Relay:
-    """Links, the rules of their ways, and the open ends."""
+    """Links, their fault rules, and the ends of open connections."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -150,18 +154,18 @@
         self._healed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def find_cut(self, way: tuple[str, str]) -> str | None:
-        """Return how the way is cut, or ``None``."""
-        cuts = [rule.cut for rule in self._find_rules(way) if rule.cut]
-        return cuts[0] if cuts else None
+    def find_partition_mode(self, direction: tuple[str, str]) -> str | None:
+        """Return the partition mode of a direction, or ``None``."""
+        modes = [rule.cut for rule in self._find_rules(direction) if rule.cut]
+        return modes[0] if modes else None
 
-    def find_delay_s(self, way: tuple[str, str]) -> float:
-        """Return the delay of the way in seconds."""
-        delays = [rule.delay_ms for rule in self._find_rules(way)]
+    def find_delay_s(self, direction: tuple[str, str]) -> float:
+        """Return the delay of a direction in seconds."""
+        delays = [rule.delay_ms for rule in self._find_rules(direction)]
         return max(delays, default=0.0) / 1000
 
     async def listen(self, link: Link) -> None:
-        """Open a link."""
+        """Listen for the connections of a link."""
         host, port = split_address(link.listen)
         await self.loop.create_server(
             lambda: _End(self, link), host, port, backlog=1024
@@ -169,15 +173,18 @@
         self._links.append(link)
 
     def accept(self, end: _End) -> None:
-        """Begin to relay a new connection."""
+        """Start to relay a new connection."""
         host = end.transport.get_extra_info("peername")[0]
-        source = end.link.source or self._name_domain(host)
-        end.way = (source, end.link.destination)
+        source = end.link.source or self._find_domain(host)
+        end.direction = (source, end.link.destination)
         other = end.other = _End(self, end.link)
         other.other = end
-        other.way = (end.link.destination, source)
+        other.direction = (end.link.destination, source)
         self.ends |= {end, other}
-        if "reset" in (self.find_cut(end.way), self.find_cut(other.way)):
+        if "reset" in (
+            self.find_partition_mode(end.direction),
+            self.find_partition_mode(other.direction),
+        ):
             end.abort()
             return
         task = self.loop.create_task(self._connect(end, host))
@@ -202,8 +209,10 @@
         return Response.from_json(count | {"rules": rules})
 
     async def _connect(self, end: _End, host: str) -> None:
-        # a connection can't be made while either way is cut
-        while self.find_cut(end.way) or self.find_cut(end.other.way):
+        # The TCP handshake needs both directions.
+        while self.find_partition_mode(end.direction) or self.find_partition_mode(
+            end.other.direction
+        ):
             await self._healed.wait()
         if end.transport.is_closing():
             return
@@ -215,15 +224,15 @@
         except OSError:
             end.abort()
 
-    def _name_domain(self, host: str) -> str:
+    def _find_domain(self, host: str) -> str:
         names = (name for key, name in self._domains.items() if host.startswith(key))
         return next(names, host)
 
-    def _find_rules(self, way: tuple[str, str]) -> list[Rule]:
+    def _find_rules(self, direction: tuple[str, str]) -> list[Rule]:
         if not self._rules:
             return []
-        source, destination = way
-        keys = [way, (source, ""), ("", destination), ("", "")]
+        source, destination = direction
+        keys = [direction, (source, ""), ("", destination), ("", "")]
         return [self._rules[key] for key in keys if key in self._rules]
 
     def _set_fault(self, source: str = "", destination: str = "", **fault: Any) -> None:
@@ -231,7 +240,9 @@
         if fault.pop("silent", False):
             self._silence(source, destination)
         for name, value in fault.items():
-            if name not in Rule.__slots__ or (name == "cut" and value not in _CUTS):
+            if name not in Rule.__slots__ or (
+                name == "cut" and value not in _PARTITION_MODES
+            ):
                 raise ValueError(f"unknown fault {name}={value!r}")
             setattr(rule, name, value)
         if rule.cut == "reset":
@@ -242,7 +253,7 @@
             self._release()
 
     def _silence(self, source: str, destination: str) -> None:
-        # both directions: whoever kept track of the connection has lost it
+        # Both directions, as when a middlebox drops the state of a connection.
         for end in self._list_ends(source, destination):
             end.silent = True
             end.other.silent = True
@@ -251,7 +262,8 @@
         return [
             end
             for end in self.ends
-            if source in ("", end.way[0]) and destination in ("", end.way[1])
+            if source in ("", end.direction[0])
+            and destination in ("", end.direction[1])
         ]
 
     def _heal(self) -> None:
@@ -263,7 +275,7 @@
         healed, self._healed = self._healed, asyncio.Event()
         healed.set()
         for end in list(self.ends):
-            if end.broken and not self.find_cut(end.way):
+            if end.lost_bytes and not self.find_partition_mode(end.direction):
                 end.abort()
                 end.other.abort()
             elif not end.silent:
@@ -271,14 +283,14 @@
 
 
 def serve(admin_address: str) -> None:
-    """Relay the links that ``POST /links`` on the admin address names.
+    """Relay the links that are added with ``POST /links`` on the admin address.
 
     Its body is ``{"links": [{"listen": "ip:port", "target": "ip:port", "source":
     "north", "destination": "log"}], "domains": {"127.1.": "north"}}``. Faults are
     set for one direction with ``POST /faults``, for example ``{"source": "north",
     "destination": "log", "cut": "hold"}`` (or ``drop``, ``reset``, ``null``),
-    ``{"delay_ms": 0.5}``, or ``{"silent": true}``, which loses the connections
-    open now for good while new ones work. ``POST /heal`` ends all cuts.
+    ``{"delay_ms": 0.5}``, or ``{"silent": true}``, which silences the connections
+    that are open now for good; new ones work. ``POST /heal`` ends all partitions.
     """
 
     async def run() -> None:
--- a/standins/round_robin.py
+++ b/standins/round_robin.py
@@ -1,4 +1,4 @@
-"""What services do without a layer: round robin, and retries at each hop."""
+"""Baseline without eelgrassmount: round robin, with retries at each hop."""
 
 from __future__ import annotations
 
@@ -19,50 +19,50 @@
 RETRIES_VARIABLE = "ROUND_ROBIN_RETRIES"
 HOP_TIMEOUT_S = 4.0
 
-_LOOK_EVERY_S = 0.5
-_KEPT = ("eelgrassmount-call", "content-digest", "eelgrassmount-verdict")
+_REFRESH_INTERVAL_S = 0.5
+_FORWARDED_HEADERS = ("eelgrassmount-call", "content-digest", "eelgrassmount-verdict")
 
 
 @define
 class Directory:
-    """The servers of each service, as files in a folder that all processes share."""
+    """Servers of each service, stored as files in a folder shared by all processes."""
 
     folder: Path
-    _known: dict[str, tuple[float, list[str]]] = field(factory=dict)
+    _cached: dict[str, tuple[float, list[str]]] = field(factory=dict)
 
     def add(self, service: str, address: str) -> None:
-        """Announce a server."""
+        """Register a server."""
         path = self.folder / service / address
         path.parent.mkdir(exist_ok=True)
         path.touch()
 
     def remove(self, service: str, address: str) -> None:
-        """Take a server back."""
+        """Deregister a server."""
         (self.folder / service / address).unlink(missing_ok=True)
 
     def find(self, service: str) -> list[str]:
         """Return the addresses of a service's servers."""
-        seen_s, servers = self._known.get(service, (0.0, []))
-        if time.monotonic() - seen_s > _LOOK_EVERY_S:
+        listed_s, servers = self._cached.get(service, (0.0, []))
+        if time.monotonic() - listed_s > _REFRESH_INTERVAL_S:
             folder = self.folder / service
             servers = sorted(os.listdir(folder)) if folder.exists() else []
-            self._known[service] = (time.monotonic(), servers)
+            self._cached[service] = (time.monotonic(), servers)
         return servers
 
 
 @define
 class Balancer:
-    """Sends each request to the next server, and again when that failed."""
+    """Sends each request to the next server, and retries failed requests."""
 
     directory: Directory
     name: str
     retries: int
     client: Client = field(factory=Client)
-    # processes begin at different servers
+    # The process id makes processes start at different servers.
     _ids: itertools.count[int] = field(factory=lambda: itertools.count(os.getpid()))
 
     async def handle(self, request: Request) -> Response | None:
-        """Forward a request; stop when whoever sent it has gone."""
+        """Forward a request; cancel it when the client disconnects."""
         body = await request.read()
         response = None
         async with anyio.create_task_group() as group:
@@ -101,14 +101,18 @@
             )
         except UnansweredError:
             return Response(504)
-        kept = {name: answer.headers[name] for name in _KEPT if name in answer.headers}
-        return Response(answer.status, answer.body, kept)
+        forwarded = {
+            name: answer.headers[name]
+            for name in _FORWARDED_HEADERS
+            if name in answer.headers
+        }
+        return Response(answer.status, answer.body, forwarded)
 
 
 def node(
     caller_address: str, backend_address: str, admin_address: str, **others: Any
 ) -> None:
-    """Stand where a node would, beside one backend server."""
+    """Serve in place of a node, for one backend server."""
     directory = Directory(Path(os.environ[FOLDER_VARIABLE]))
     retries = int(os.environ[RETRIES_VARIABLE])
     balancer = Balancer(directory, caller_address, retries)
@@ -117,8 +121,8 @@
         if request.path != "/_eelgrassmount/server":
             return await balancer.handle(request)
         body = await request.read_json()
-        gone = request.method == "DELETE" or body["state"] != "serving"
-        change = directory.remove if gone else directory.add
+        removed = request.method == "DELETE" or body["state"] != "serving"
+        change = directory.remove if removed else directory.add
         change(body["service"], body["address"])
         return Response.from_json({"incarnation": "1", "in_flight": 0})
 
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of the stand-ins, with the power to drop connections."""
+"""HTTP listeners of the stand-ins, which can drop connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @define
 class Request:
-    """One HTTP request, with its body still to be read."""
+    """One HTTP request; its body has not been read yet."""
 
     method: str
     path: str
@@ -54,18 +54,22 @@
                 return b"".join(chunks)
 
     async def read_json(self) -> Any:
-        """Return the body read as JSON; an empty body is an empty object."""
+        """Return the parsed JSON body; an empty body counts as an empty object."""
         return json.loads(await self.read() or b"{}")
 
     async def wait_disconnect(self) -> None:
-        """Return when the client has closed the connection; the body must be read."""
+        """Wait until the client closes the connection; read the body before."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
 
 @frozen
 class Response:
-    """One HTTP answer."""
+    """One HTTP answer.
+
+    With ``cut_after``, the connection is closed after that many bytes of the body;
+    with ``repeat``, the answer is sent twice.
+    """
 
     status: int
     body: bytes = b""
@@ -80,7 +84,7 @@
         return cls(status, body, {"content-type": "application/json"})
 
     def encode(self) -> bytes:
-        """Return the answer as the bytes that go over the connection."""
+        """Return the encoded answer, for a second copy on the connection."""
         lines = [f"HTTP/1.1 {self.status} Repeated"]
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         lines += [f"content-length: {len(self.body)}", "", ""]
@@ -93,7 +97,7 @@
 class _Server(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        # the program itself listens to signals, not each of its listeners
+        # Signals are handled once per process, by serve_until_signal.
         yield
 
 
@@ -152,10 +156,10 @@
             response = None
         except (ValueError, KeyError, TypeError) as error:
             response = Response.from_json({"error": repr(error)}, 400)
-        # a client that has gone meanwhile needs no answer
+        # The client may have disconnected in the meantime.
         with contextlib.suppress(ConnectionResetError):
             if response is None:
-                self._transport(scope).abort()
+                self._find_transport(scope).abort()
             else:
                 await self._send(scope, send, response)
 
@@ -172,13 +176,13 @@
         if response.cut_after is not None:
             part = response.body[: response.cut_after]
             await send({"type": "http.response.body", "body": part, "more_body": True})
-            self._transport(scope).close()
+            self._find_transport(scope).close()
             return
         await send({"type": "http.response.body", "body": response.body})
         if response.repeat:
-            self._transport(scope).write(response.encode())
+            self._find_transport(scope).write(response.encode())
 
-    def _transport(self, scope: Any) -> Any:
+    def _find_transport(self, scope: Any) -> Any:
         for connection in self._server.server_state.connections:
             if connection.client == tuple(scope["client"]):
                 return connection.transport
--- a/tests/standins/fake_node.py
+++ b/tests/standins/fake_node.py
@@ -1,4 +1,4 @@
-"""A bare node for tests of the stand-ins: round robin over a folder of addresses."""
+"""Minimal node for tests of the stand-ins: round robin over a folder of addresses."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from standins.client import Client, UnansweredError
 from standins.web import Listener, Request, Response, serve_until_signal
 
-_KEPT = ("eelgrassmount-call", "content-digest")
+_FORWARDED_HEADERS = ("eelgrassmount-call", "content-digest")
 
 
 def node(
     caller_address: str, backend_address: str, admin_address: str, **others: Any
 ) -> None:
-    """Serve as a node of the folder that the environment names."""
+    """Serve as a node; servers register in the folder ``FAKE_NODE_FOLDER``."""
     folder = Path(os.environ["FAKE_NODE_FOLDER"])
     client = Client()
     ids = itertools.count(1)
@@ -55,9 +55,13 @@
             )
         except UnansweredError:
             return Response(502, b"", {"eelgrassmount-verdict": "may-have-run"})
-        kept = {name: answer.headers[name] for name in _KEPT if name in answer.headers}
+        forwarded = {
+            name: answer.headers[name]
+            for name in _FORWARDED_HEADERS
+            if name in answer.headers
+        }
         verdict = "answered" if answer.status == 200 else "not-run"
-        headers = {**kept, "eelgrassmount-verdict": verdict}
+        headers = {**forwarded, "eelgrassmount-verdict": verdict}
         return Response(answer.status, answer.body, headers)
 
     async def handle_backend(request: Request) -> Response:
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes, with a bare fake node between them."""
+"""Tests of the stand-ins as processes, connected by a minimal fake node."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
         time.sleep(0.02)
 
 
-def _ask(*requests, timeout_s=WAIT_S, gap_s=0.0):
-    """Send (address, method, path, headers, body) side by side."""
+def _send_all(*requests, timeout_s=WAIT_S, gap_s=0.0):
+    """Send requests, as (address, method, path, headers, body), concurrently."""
 
     async def send(client, delay_s, request):
         await asyncio.sleep(delay_s)
@@ -85,9 +85,11 @@
 def test_deep_chain_is_complete_and_runs_once(deployment):
     expect = deployment.spec.expect("POST", "/s0/x")
     assert expect.count("(") == DEPTH - 1
-    kind = CallClass("deep", "POST", "/s0/x", expect, keyed=True, timeout_ms=20_000)
+    call_class = CallClass(
+        "deep", "POST", "/s0/x", expect, keyed=True, timeout_ms=20_000
+    )
     nodes = tuple(deployment.caller_addresses)
-    records = run_load(Load(nodes, (kind,), (Phase(1.0, 15.0),), seed=3))
+    records = run_load(Load(nodes, (call_class,), (Phase(1.0, 15.0),), seed=3))
     assert len(records) > 5
     assert {record.outcome for record in records} == {"complete"}
     runs = deployment.get_runs()
@@ -106,24 +108,24 @@
         ({"silent": True}, lambda answer, _: answer == "timeout"),
     ],
 )
-def test_answers_are_spoiled(deployment, fault, check):
+def test_faults_change_answers(deployment, fault, check):
     [vm] = deployment.find_vms(LAST)
-    request = _make_request(vm.server_address, LAST, "spoiled", eelgrassmount_call="7")
-    [before] = _ask(request)
+    request = _make_request(vm.server_address, LAST, "first", eelgrassmount_call="7")
+    [before] = _send_all(request)
     assert before.headers["eelgrassmount-call"] == "7"
     set_fault(vm.server_admin_address, **fault)
     other = _make_request(vm.server_address, LAST, "other", eelgrassmount_call="8")
     timeout_s = 0.5 if "silent" in fault else WAIT_S
-    [answer] = _ask(other, timeout_s=timeout_s)
+    [answer] = _send_all(other, timeout_s=timeout_s)
     assert check(answer, before)
     set_fault(vm.server_admin_address, silent=False)
-    [after] = _ask(request)
-    assert json.loads(after.body)["request"] == "spoiled"
+    [after] = _send_all(request)
+    assert json.loads(after.body)["request"] == "first"
 
 
-def test_overloaded_server_sheds_gives_up_and_obeys_cancellation(deployment):
+def test_overloaded_server_sheds_times_out_and_obeys_cancellation(deployment):
     [vm] = deployment.find_vms(LAST)
-    # a server that is slow enough for its slots to stay full
+    # Slow enough for all slots to stay occupied.
     set_fault(vm.server_admin_address, slow_factor=400.0)
     requests = [
         _make_request(
@@ -135,15 +137,15 @@
         )
         for number, limit in enumerate(["500"] * 4 + ["300", "9000"])
     ]
-    answers = _ask(*requests, gap_s=0.02)
+    answers = _send_all(*requests, gap_s=0.02)
     assert [answer.status for answer in answers] == [504] * 4 + [503, 503]
     verdicts = [answer.headers["eelgrassmount-verdict"] for answer in answers]
     assert verdicts == ["may-have-run"] * 4 + ["not-run"] * 2
-    # a node takes no answer that does not name its call, nor a refusal
+    # A node ignores answers and refusals without the id of their call.
     calls = [answer.headers["eelgrassmount-call"] for answer in answers]
     assert calls == [f"shed-{number}" for number in range(6)]
-    [gone] = _ask(_make_request(vm.server_address, LAST, "r"), timeout_s=0.3)
-    assert gone == "timeout"
+    [cancelled] = _send_all(_make_request(vm.server_address, LAST, "r"), timeout_s=0.3)
+    assert cancelled == "timeout"
     _wait_for(lambda: get_stats(vm.server_admin_address)["running"] == 0)
     stats = get_stats(vm.server_admin_address)
     assert stats["outcomes"]["gave_up"] == 4
@@ -153,10 +155,10 @@
     set_fault(vm.server_admin_address, slow_factor=1.0)
 
 
-def test_journal_outlives_a_crash_and_a_stop_finishes_what_runs(deployment):
+def test_journal_survives_a_crash_and_a_stop_completes_running_requests(deployment):
     [vm] = deployment.find_vms("s3")
     body = json.dumps({"request": "bad", "crash": True, "crash_service": "s3"})
-    [answer] = _ask((vm.server_address, "POST", "/s3/x", {}, body.encode()))
+    [answer] = _send_all((vm.server_address, "POST", "/s3/x", {}, body.encode()))
     assert answer == "closed"
     assert vm.server.wait(WAIT_S) != 0
     [run] = deployment.get_runs("request=bad")
@@ -166,7 +168,7 @@
     set_fault(vm.server_admin_address, slow_factor=300.0)
     request = _make_request(vm.server_address, "s3", "last")
     vm.server.terminate()
-    [answer] = _ask(request)
+    [answer] = _send_all(request)
     assert answer.status == 200
     assert vm.server.wait(WAIT_S) == 0
 
@@ -178,21 +180,21 @@
         return False
 
 
-def test_log_appends_trims_waits_and_fails_as_told(deployment):
+def test_log_appends_trims_waits_and_applies_faults(deployment):
     path = "/streams/t/records"
     log = deployment.log_address
 
     def append(body):
-        [answer] = _ask((log, "POST", path, {}, body))
+        [answer] = _send_all((log, "POST", path, {}, body))
         return answer if isinstance(answer, str) else json.loads(answer.body)["offset"]
 
     def read(query):
-        [answer] = _ask((log, "GET", f"{path}?{query}", {}, b""))
+        [answer] = _send_all((log, "GET", f"{path}?{query}", {}, b""))
         return json.loads(answer.body)
 
     assert [append(b"a"), append(b"b"), append(b"c")] == [0, 1, 2]
     assert read("from=1&limit=1")["records"] == [{"offset": 1, "body": "Yg=="}]
-    waiting, _ = _ask(
+    waiting, _ = _send_all(
         (log, "GET", f"{path}?from=3&wait_ms=9000", {}, b""),
         (log, "POST", path, {}, b"d"),
         gap_s=0.1,
@@ -205,15 +207,15 @@
     deployment.set_log_fault(down=True)
     assert append(b"f") in ("closed", "connect")
     deployment.set_log_fault(down=False, slow_ms=200)
-    began = time.monotonic()
+    started = time.monotonic()
     assert append(b"g") == 5
-    assert time.monotonic() - began >= 0.2
+    assert time.monotonic() - started >= 0.2
     deployment.set_log_fault(slow_ms=0)
     appends = get_stats(deployment.log_admin_address)["appends"]["t"]
     assert sum(appends.values()) == 6
 
 
-def test_relay_delays_holds_resets_and_silences(deployment):
+def test_relay_delays_holds_resets_and_silences_links(deployment):
     relayed = deployment.log_addresses["north"]
 
     async def run():
@@ -231,32 +233,32 @@
         async def fault(**fault):
             await asyncio.to_thread(deployment.set_link_fault, **fault)
 
-        way = {"source": "north", "destination": "log"}
-        back = {"source": "log", "destination": "north"}
+        to_log = {"source": "north", "destination": "log"}
+        from_log = {"source": "log", "destination": "north"}
         assert await ask() == 200
-        await fault(**way, delay_ms=50)
-        await fault(**back, delay_ms=100)
-        began = time.monotonic()
+        await fault(**to_log, delay_ms=50)
+        await fault(**from_log, delay_ms=100)
+        started = time.monotonic()
         assert await ask() == 200
-        assert time.monotonic() - began >= 0.15
-        # an open connection is held in one direction and goes on once healed
-        await fault(**back, cut="hold")
+        assert time.monotonic() - started >= 0.15
+        # Bytes of an open connection are buffered, and delivered after the heal.
+        await fault(**from_log, cut="hold")
         held = asyncio.create_task(ask())
         await asyncio.sleep(0.4)
         assert not held.done()
         await asyncio.to_thread(deployment.heal)
         assert await held == 200
         for mode in ("hold", "drop"):
-            await fault(**way, cut=mode)
+            await fault(**to_log, cut=mode)
             assert await ask(0.4) == "timeout"
             await asyncio.to_thread(deployment.heal)
             assert await ask() == 200
-        await fault(**way, cut="reset")
+        await fault(**to_log, cut="reset")
         assert await ask() in ("closed", "connect")
         await asyncio.to_thread(deployment.heal)
-        # the kept connection is lost for good, a new one works
+        # The idle connection fails permanently; a new one works.
         assert await ask() == 200
-        await fault(**way, silent=True)
+        await fault(**to_log, silent=True)
         assert await ask(0.4) == "timeout"
         assert await ask() == 200
         client.close()
@@ -264,9 +266,9 @@
     asyncio.run(run())
 
 
-def test_free_addresses_are_not_those_of_outgoing_connections():
-    # A node that was to be stopped had ended by itself with the code of an address
-    # that can't be bound: its port was one that the system gives to others meanwhile.
+def test_free_addresses_avoid_ports_of_outgoing_connections():
+    # Guards against nodes that can't bind their address because the kernel has used
+    # the port for an outgoing connection in the meantime.
     found = [find_free_address("127.0.0.1") for _ in range(50)]
     ports = [int(address.rpartition(":")[2]) for address in found]
     assert len(set(ports)) == 50
