--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -1,4 +1,4 @@
-"""Nodes with one mechanism left out can still be wired and do their steps."""
+"""Nodes can be built and run with any single mechanism disabled."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(ABLATIONS))
-def test_node_without_a_mechanism_does_its_steps(name):
-    """A changed signature let a node end with an exception at its first step."""
+def test_node_runs_without_a_mechanism(name):
+    """Guards against an ablation that no longer fits the signature it replaces."""
     command = [sys.executable, "-c", PROGRAM.format(name=name)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
     assert done.stdout.strip().endswith("done"), done.stderr[-2000:]
--- a/tests/tools/test_days.py
+++ b/tests/tools/test_days.py
@@ -1,4 +1,4 @@
-"""The days that the hunts play: readable, explained, and without a site's names."""
+"""The day files are valid, explained, and free of names of a specific site."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 PLACEHOLDER = re.compile(r"@[csz]\d")
 
 
-def test_there_are_days():
+def test_day_files_are_found():
     assert len(DAYS) >= 7
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
-def test_day(path):
+def test_day_file_is_valid(path):
     text = path.read_text()
     day = tomllib.loads(text)
-    assert text.startswith("# "), "says what it is for"
+    assert text.startswith("# "), "the file starts with a comment that explains it"
     assert day["name"] == path.stem
-    # a day without traffic of its own is played with the site's
+    # Without traffic in the file, the day runs with the traffic of the site.
     assert "traffic" not in day
     assert day["faults"]
     for entry in (*day["plan"], *day["faults"]):
--- a/tests/tools/test_model_checker.py
+++ b/tests/tools/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The set-up of the model's checker, and what its absence does to a run."""
+"""Installation of the model checker, and test runs without it."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 ROOT = Path(__file__).parents[2]
 MODEL_TESTS = "tests/model/test_model.py"
-# what the script itself calls
-PLAIN = ("sh", "mkdir", "tail", "touch", "chmod")
+# Programs that the script itself calls.
+SCRIPT_PROGRAMS = ("sh", "mkdir", "tail", "touch", "chmod")
 
 
 @pytest.fixture
 def bare_path(tmp_path, monkeypatch):
-    """Return a directory that is the whole PATH, without spin, gcc and apt-get."""
+    """Set PATH to a directory without spin, gcc and apt-get; return the directory."""
     directory = tmp_path / "bin"
     directory.mkdir()
-    for name in PLAIN:
+    for name in SCRIPT_PROGRAMS:
         (directory / name).symlink_to(shutil.which(name))
     monkeypatch.setenv("PATH", str(directory))
     monkeypatch.delenv(ABSENCE_VARIABLE, raising=False)
@@ -39,15 +39,15 @@
     program.chmod(0o755)
 
 
-def add_installer(directory: Path, calls: Path, brings: str) -> None:
-    """Add an apt-get that notes its arguments and brings programs by ``install``."""
+def add_installer(directory: Path, calls: Path, installs: str) -> None:
+    """Add an apt-get that logs its arguments and installs empty programs."""
     lines = [f'echo "$*" >>{calls}', '[ "$1" = update ] && exit 0']
-    paths = [str(directory / name) for name in brings.split()]
+    paths = [str(directory / name) for name in installs.split()]
     lines += [f"touch {path}; chmod +x {path}" for path in paths]
     add_program(directory, "apt-get", "\n".join(lines))
 
 
-def test_nothing_to_do(bare_path, tmp_path):
+def test_nothing_is_installed_when_complete(bare_path, tmp_path):
     calls = tmp_path / "calls"
     add_installer(bare_path, calls, "")
     add_program(bare_path, "spin")
@@ -57,31 +57,31 @@
 
 
 @pytest.mark.parametrize(
-    ("there", "packages"),
+    ("present", "packages"),
     [("", "spin gcc libc6-dev"), ("gcc", "spin"), ("spin", "gcc libc6-dev")],
 )
-def test_installs_only_what_is_missing(bare_path, tmp_path, there, packages):
+def test_installs_only_what_is_missing(bare_path, tmp_path, present, packages):
     calls = tmp_path / "calls"
     add_installer(bare_path, calls, "spin gcc")
-    if there:
-        add_program(bare_path, there)
+    if present:
+        add_program(bare_path, present)
     assert set_up_checker() == ""
     assert calls.read_text().splitlines()[-1].endswith(f"-y {packages}")
 
 
-def test_no_installer(bare_path):
+def test_missing_installer_is_reported(bare_path):
     reason = set_up_checker()
     assert reason == "spin gcc libc6-dev missing, and no apt-get to install with"
 
 
-def test_installer_fails(bare_path):
+def test_failure_of_installer_is_reported(bare_path):
     script = "echo first >&2; echo E: are you root? >&2; exit 100"
     add_program(bare_path, "apt-get", script)
     reason = set_up_checker()
     assert reason == "spin gcc libc6-dev not installed: E: are you root?"
 
 
-def test_installer_brings_nothing(bare_path, tmp_path):
+def test_incomplete_installation_is_reported(bare_path, tmp_path):
     add_installer(bare_path, tmp_path / "calls", "gcc")
     assert set_up_checker() == "spin gcc libc6-dev installed, but no spin on the PATH"
 
@@ -100,7 +100,7 @@
 
 
 def run_model_tests(report: Path, **environment: str):
-    """Run the model's cases in a process of their own and sum up."""
+    """Run the model tests in a child process and return the summary."""
     command = (sys.executable, "-m", "pytest", f"--junitxml={report}", MODEL_TESTS)
     subprocess.run(
         command, cwd=ROOT, env={**os.environ, **environment}, capture_output=True
@@ -108,8 +108,8 @@
     return sum_up(read_pytest(report), ())
 
 
-# A machine without the checker must not look as if the model had been checked, and
-# one where nobody tried to install it, or CI, must not pass it over.
+# Guards against model tests that pass without the checker, and against skipped ones in
+# CI or where no installation was attempted.
 @pytest.mark.parametrize(
     ("reason", "ci", "status"),
     [
--- a/tests/tools/test_reports.py
+++ b/tests/tools/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports of pytest and behave as results."""
+"""Conversion of pytest and behave reports to results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tools.reports import read_behave, read_pytest
 from tools.results import Result, Status
 
-OWN_FILE = "tests/tools/test_reports.py"
+THIS_FILE = "tests/tools/test_reports.py"
 PYTEST = """<testsuites><testsuite>
 <testcase classname="tests.tools.test_reports" name="test_a[x]" />
 <testcase classname="tests.tools.test_reports.TestB" name="run"><failure/></testcase>
@@ -42,10 +42,10 @@
     report = tmp_path / "report.xml"
     report.write_text(PYTEST)
     assert list(read_pytest(report)) == [
-        Result(f"{OWN_FILE}::test_a[x]", Status.PASSED),
-        Result(f"{OWN_FILE}::TestB::run", Status.FAILED),
-        Result(f"{OWN_FILE}::test_c", Status.SKIPPED),
-        Result(f"{OWN_FILE}::test_d", Status.SKIPPED, "no x"),
+        Result(f"{THIS_FILE}::test_a[x]", Status.PASSED),
+        Result(f"{THIS_FILE}::TestB::run", Status.FAILED),
+        Result(f"{THIS_FILE}::test_c", Status.SKIPPED),
+        Result(f"{THIS_FILE}::test_d", Status.SKIPPED, "no x"),
         Result("collection::tests.broken", Status.FAILED),
     ]
 
--- a/tests/tools/test_results.py
+++ b/tests/tools/test_results.py
@@ -1,4 +1,4 @@
-"""The summary of a run of checks."""
+"""Summaries of the results of checks."""
 
 from __future__ import annotations
 
@@ -37,6 +37,6 @@
     assert parse_known_red(text) == (entry,)
 
 
-def test_skipped_with_reason():
+def test_skipped_checks_are_listed_with_reason():
     skipped = Result("c", Status.SKIPPED, "no checker")
     assert sum_up([skipped, SKIPPED], ()).skipped == ("c: no checker", "c")
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for those who work on the project."""
+"""Development tools of the project."""
--- a/tools/binary_main.py
+++ b/tools/binary_main.py
@@ -1,15 +1,14 @@
-"""Start of the one-file program; it stands in the file as ``__main__``.
+"""Entry point (``__main__``) of the zip application.
 
-The file is a zip application. Python imports its modules from inside the file,
-but the C library loads C extensions from files only: each is written to a
-temporary file, loaded, and removed again at once.
+The dynamic linker can't load C extensions from inside a zip file, so each is
+written to a temporary file, loaded, and the file removed.
 """
 
 import sys
 
 if sys.version_info[:2] != (3, 11):
     version = ".".join(map(str, sys.version_info[:2]))
-    sys.exit(f"this file needs Python 3.11, not {version}: start it by python3.11")
+    sys.exit(f"this program needs Python 3.11, not {version}: run it with python3.11")
 
 import os
 import tempfile
@@ -21,16 +20,16 @@
 
 
 class TemporaryFileLoader(ExtensionFileLoader):
-    """Loads one C extension out of the program file."""
+    """Loads C extensions from the zip application."""
 
     def create_module(self, spec):
-        """Load the extension; its file is gone when this returns."""
+        """Load the extension from a temporary file, which is then removed."""
         try:
             return self._load(spec)
         except (OSError, ImportError) as error:
             sys.exit(
-                f"can't load {spec.name} by a temporary file ({error}): set TMPDIR to "
-                "a folder where files can be written and executed"
+                f"can't load {spec.name} from a temporary file ({error}): set TMPDIR "
+                "to a folder that allows writing and executing files"
             )
 
     def _load(self, spec):
@@ -45,7 +44,7 @@
 
 
 class ExtensionFinder:
-    """Finds the C extensions that are part of the program file."""
+    """Finds the C extensions in the zip application."""
 
     @staticmethod
     def find_spec(name, path=None, target=None):
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,4 +1,4 @@
-"""Builds the one-file program ``dist/eelgrassmount``."""
+"""Builds the zip application ``dist/eelgrassmount``."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 INTERPRETER = "/usr/bin/env python3.11"
 
 _PINNED = re.compile(r"^([a-zA-Z0-9._-]+)==([^ ]+)", re.MULTILINE)
-_LEFT_OUT = (".pyi", ".pyx", ".pxd", ".c", ".h", ".pyc", "RECORD", "INSTALLER")
-# the same input gives the same bytes
+_EXCLUDED_SUFFIXES = (".pyi", ".pyx", ".pxd", ".c", ".h", ".pyc", "RECORD", "INSTALLER")
+# A fixed timestamp makes builds reproducible.
 _TIMESTAMP = (1980, 1, 1, 0, 0, 0)
 _EXTENSION_SUFFIXES = tuple(importlib.machinery.EXTENSION_SUFFIXES)
 
@@ -50,24 +50,24 @@
 
 def _copy_sources(staging: Path) -> None:
     for source, name in _list_sources():
-        place = staging / name
-        place.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy(source, place)
+        destination = staging / name
+        destination.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copy(source, destination)
 
 
 def _list_sources() -> Iterator[tuple[Path, str]]:
-    """Yield each file of the program with its name inside of it."""
+    """Yield each file of the program with its name in the archive."""
     for path in sorted((ROOT / "eelgrassmount").rglob("*.py")):
         yield path, str(path.relative_to(ROOT))
     for name, version in _PINNED.findall(LOCK.read_text()):
         package = distribution(name)
         if package.version != version:
             raise SystemExit(
-                f"{name} {package.version} is installed, {version} is locked: "
+                f"{name} {package.version} is installed, but {version} is locked: "
                 "remove .venv and build again"
             )
         for file in package.files or ():
-            if ".." not in file.parts and not file.name.endswith(_LEFT_OUT):
+            if ".." not in file.parts and not file.name.endswith(_EXCLUDED_SUFFIXES):
                 yield Path(file.locate()), str(file)
 
 
@@ -82,7 +82,7 @@
 
 
 def _compile_modules(staging: Path) -> None:
-    """Replace each module by its compiled form, which is quicker to import."""
+    """Replace each module by its bytecode, which shortens the start."""
     for path in sorted(staging.rglob("*.py")):
         py_compile.compile(
             str(path),
@@ -109,5 +109,5 @@
 
 if __name__ == "__main__":
     if sys.version_info[:2] != (3, 11):
-        sys.exit("build it with Python 3.11, which is what it runs on")
+        sys.exit("the program runs on Python 3.11 and must be built with it")
     fire.Fire(build)
--- a/tools/model_checker.py
+++ b/tools/model_checker.py
@@ -1,4 +1,4 @@
-"""Sets up the model's checker, and says why it can't be had on a machine."""
+"""Installs the model checker, or determines why it is unavailable."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# tells the tests of the model that an install was tried, and why it failed
+# Environment variable with the reason of a failed installation, for the model tests.
 ABSENCE_VARIABLE = "MODEL_CHECKER_ABSENCE"
 
 _SCRIPT = Path(__file__).with_name("set_up_checker.sh")
 
 
 def set_up_checker() -> str:
-    """Install the checker where it is missing; return why not, or an empty text."""
+    """Install the checker if missing; return why that failed, or an empty text."""
     done = subprocess.run((_SCRIPT,), capture_output=True, text=True, check=False)
     if done.returncode == 0:
         return ""
-    said = done.stdout.strip() or done.stderr.strip()
-    return said or f"{_SCRIPT.name} exited with {done.returncode}"
+    output = done.stdout.strip() or done.stderr.strip()
+    return output or f"{_SCRIPT.name} exited with {done.returncode}"
 
 
 def describe_absence(environment: Mapping[str, str] = os.environ) -> str:
-    """Return why the model may be left unchecked; empty if it must be checked.
+    """Return why the model tests may be skipped; empty if they must run.
 
-    It must be in CI, and wherever nobody has tried to install the checker.
+    They must run in CI, and where no installation of the checker was attempted.
     """
     if environment.get("CI") == "true":
         return ""
--- a/tools/reports.py
+++ b/tools/reports.py
@@ -1,4 +1,4 @@
-"""Reads the reports that pytest and behave write."""
+"""Readers for the reports of pytest and behave."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def read_pytest(path: Path) -> Iterator[Result]:
-    """Return the result of each test of a JUnit report, by pytest's node id."""
+    """Yield the result of each test in a JUnit report, with pytest's node id."""
     for case in ElementTree.parse(path).iter("testcase"):
-        place = _find_place(case.get("classname") or "")
-        id = f"{place}::{case.get('name')}"
-        yield Result(id, _judge_case(case), _find_skip_reason(case))
+        path = _find_test_path(case.get("classname") or "")
+        id = f"{path}::{case.get('name')}"
+        yield Result(id, _read_case_status(case), _find_skip_reason(case))
 
 
-def _find_place(class_name: str) -> str:
+def _find_test_path(class_name: str) -> str:
     """Return ``tests/a/test_b.py::TestC`` for ``tests.a.test_b.TestC``."""
     parts = class_name.split(".")
     for count in range(len(parts), 0, -1):
@@ -31,7 +31,7 @@
     return class_name or "collection"
 
 
-def _judge_case(case: ElementTree.Element) -> Status:
+def _read_case_status(case: ElementTree.Element) -> Status:
     if case.find("failure") is not None or case.find("error") is not None:
         return Status.FAILED
     if case.find("skipped") is not None:
@@ -45,16 +45,18 @@
 
 
 def read_behave(path: Path) -> Iterator[Result]:
-    """Return the result of each scenario of a behave report in JSON."""
+    """Yield the result of each scenario in a JSON report of behave."""
     for feature in json.loads(path.read_text()):
         file_name = feature["location"].rpartition(":")[0]
         for element in feature.get("elements", ()):
             if element["type"] != "background":
                 id = f"{file_name}::{element['name']}"
-                yield Result(id, _judge_status(element), _describe_failure(element))
+                yield Result(
+                    id, _read_scenario_status(element), _describe_failure(element)
+                )
 
 
-def _judge_status(element: dict[str, Any]) -> Status:
+def _read_scenario_status(element: dict[str, Any]) -> Status:
     match element.get("status"):
         case "passed":
             return Status.PASSED
@@ -64,7 +66,7 @@
 
 
 def _describe_failure(element: dict[str, Any]) -> str:
-    """Return the failed step with its error, which behave's progress leaves out."""
+    """Return the failed step with its error, which behave's progress format omits."""
     for step in element.get("steps", ()):
         lines = step.get("result", {}).get("error_message")
         if lines:
--- a/tools/results.py
+++ b/tools/results.py
@@ -1,4 +1,4 @@
-"""Results of checks, and the list of tests that are known to fail."""
+"""Results of checks, and the list of tests that are expected to fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Status(StrEnum):
-    """How one check ended."""
+    """Outcome of one check."""
 
     PASSED = "passed"
     FAILED = "failed"
@@ -23,7 +23,7 @@
 
 @frozen
 class Result:
-    """One check or test by its id; ``detail`` says why it failed or was skipped."""
+    """Result of a check or test; ``detail`` is the reason of a failure or skip."""
 
     id: str
     status: Status
@@ -32,7 +32,7 @@
 
 @frozen
 class KnownRed:
-    """A test that fails for a fault that is written down."""
+    """A test that fails for a documented fault."""
 
     id: str
     cause: str
@@ -41,23 +41,23 @@
 
 @frozen
 class Summary:
-    """All results, with the known failures taken apart from the others.
+    """All results, with known failures separate from unexpected ones.
 
-    ``skipped`` holds ids, each with its reason where one is known.
-    ``complaints`` are faults of the list of known failures itself: these count
-    as failures too.
+    ``skipped`` holds ids, each with its reason if there is one.
+    ``known_red_errors`` are errors in the list of known failures; they count as
+    failures.
     """
 
     passed: int
     failed: tuple[str, ...]
     skipped: tuple[str, ...]
     known_red: tuple[KnownRed, ...]
-    complaints: tuple[str, ...]
+    known_red_errors: tuple[str, ...]
 
     @property
     def closing_line(self) -> str:
-        """Return the last line of the run."""
-        failed = len(self.failed) + len(self.complaints)
+        """The last line of the output."""
+        failed = len(self.failed) + len(self.known_red_errors)
         line = f"{self.passed} passed, {failed} failed"
         if self.skipped:
             line += f", {len(self.skipped)} skipped"
@@ -65,12 +65,12 @@
 
     @property
     def green(self) -> bool:
-        """Tell whether something ran and nothing failed unexpectedly."""
-        return self.passed > 0 and not self.failed and not self.complaints
+        """Whether a check passed and none failed unexpectedly."""
+        return self.passed > 0 and not self.failed and not self.known_red_errors
 
 
 def parse_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Return the entries of the list: a line each, ``test: cause: issue``."""
+    """Parse the list of known failures, with lines ``test: cause: issue``."""
     entries = []
     for line in filter(None, map(str.strip, text.splitlines())):
         parts = line.split(": ", 2)
@@ -80,7 +80,7 @@
 
 
 def sum_up(results: Iterable[Result], known: tuple[KnownRed, ...]) -> Summary:
-    """Return the summary of results, given the known failures."""
+    """Return the summary of results, with known failures taken into account."""
     results = tuple(results)
     failed = [item.id for item in results if item.status is Status.FAILED]
     known_ids = {entry.id for entry in known}
@@ -89,7 +89,7 @@
         failed=tuple(id for id in failed if id not in known_ids),
         skipped=tuple(_list_skipped(results)),
         known_red=tuple(entry for entry in known if entry.id in failed),
-        complaints=tuple(_check_known(known, failed)),
+        known_red_errors=tuple(_check_known_red(known, failed)),
     )
 
 
@@ -99,11 +99,11 @@
             yield f"{item.id}: {item.detail}" if item.detail else item.id
 
 
-def _check_known(known: tuple[KnownRed, ...], failed: list[str]) -> Iterable[str]:
+def _check_known_red(known: tuple[KnownRed, ...], failed: list[str]) -> Iterable[str]:
     if len(known) > MAX_KNOWN_RED:
-        yield f"{len(known)} known failures are listed, at most {MAX_KNOWN_RED} may be"
+        yield f"{len(known)} known failures are listed, the maximum is {MAX_KNOWN_RED}"
     for entry in known:
         if not (entry.cause and entry.issue):
-            yield f"{entry.id}: write 'test: cause: issue'"
+            yield f"{entry.id}: the entry must be 'test: cause: issue'"
         elif entry.id not in failed:
-            yield f"{entry.id}: did not fail in this run, take it off the list"
+            yield f"{entry.id}: did not fail in this run, remove it from the list"
--- a/tools/run_checks.py
+++ b/tools/run_checks.py
@@ -1,4 +1,4 @@
-"""Runs formatter, linter, pytest and behave, and sums up in one line."""
+"""Runs formatter, linter, pytest and behave, and prints a summary."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @frozen
 class Check:
-    """A command; a check with a report is counted test by test."""
+    """A command; with a report, each test in it counts as a result of its own."""
 
     name: str
     arguments: tuple[str, ...]
@@ -46,7 +46,7 @@
         "behave",
         (
             *("behave", "--format", "json", "--outfile", str(BEHAVE_REPORT)),
-            # the second format has no file and so goes to standard output
+            # Only the first format has an output file, the second goes to stdout.
             *("--format", "progress", "tests/features"),
         ),
         BEHAVE_REPORT,
@@ -58,7 +58,7 @@
 def main() -> int:
     """Run all checks and return the exit code."""
     OUT.mkdir(exist_ok=True)
-    announce_checker()
+    prepare_model_checker()
     results = [result for check in CHECKS for result in run_check(check)]
     known_text = KNOWN_RED.read_text() if KNOWN_RED.exists() else ""
     summary = sum_up(results, parse_known_red(known_text))
@@ -66,12 +66,12 @@
     return 0 if summary.green else 1
 
 
-def announce_checker() -> None:
-    """Set up the model's checker; say so and pass the reason on if it can't be."""
+def prepare_model_checker() -> None:
+    """Install the model checker; if that fails, print why and pass it to the tests."""
     reason = set_up_checker()
     os.environ[ABSENCE_VARIABLE] = reason
     if reason:
-        print(f"the model can't be checked here: {reason}", flush=True)
+        print(f"the model checker is unavailable: {reason}", flush=True)
 
 
 def run_check(check: Check) -> list[Result]:
@@ -92,7 +92,7 @@
         print(f"{check.name}: no report ({error})")
         return [Result(check.name, Status.FAILED)]
     failed = any(result.status is Status.FAILED for result in results)
-    # such as a fault outside of any test, or no test at all
+    # An error outside of any test, or no test at all, must not count as a pass.
     if not results or (status != 0 and not failed):
         results.append(Result(check.name, Status.FAILED))
     for result in results:
@@ -107,7 +107,7 @@
         print(f"skipped: {text}")
     for entry in summary.known_red:
         print(f"known red: {entry.id}: {entry.cause}: {entry.issue}")
-    for text in (*summary.failed, *summary.complaints):
+    for text in (*summary.failed, *summary.known_red_errors):
         print(f"failed: {text}")
     print(summary.closing_line)
 
--- a/tools/set_up_checker.sh
+++ b/tools/set_up_checker.sh
@@ -1,7 +1,6 @@
 #!/bin/sh
-# Installs Spin and a C compiler, which check the models, where they are missing.
-# Prints nothing if they are there at the end; else one line that says why not, and
-# exits with 1.
+# Installs Spin and a C compiler, which the model checks need, if they are missing.
+# On failure prints one line with the reason and exits with 1.
 
 missing=""
 command -v spin >/dev/null || missing="spin"
@@ -15,12 +14,12 @@
 
 install() {
   apt-get update -qq || return
-  # unquoted: one word for each package
+  # Unquoted, so that each package is an argument of its own.
   DEBIAN_FRONTEND=noninteractive apt-get install -qq -y $missing
 }
 
-if ! said=$(install 2>&1 </dev/null); then
-  echo "$missing not installed: $(echo "$said" | tail -n 1)"
+if ! output=$(install 2>&1 </dev/null); then
+  echo "$missing not installed: $(echo "$output" | tail -n 1)"
   exit 1
 fi
 
