--- a/standins/caller.py
+++ b/standins/caller.py
@@ -126,14 +126,14 @@
             key = prefix + uuid.UUID(int=self._random.getrandbits(128)).hex
         record = Record(call_class.name, key, t_start or time.monotonic())
         node = self._random.choice(self._load.nodes)
-        for attempt in range(1 + self._load.retries):
+        for attempt_index in range(1 + self._load.retries):
             # Without a key, each attempt is a request of its own.
-            name = request if key else f"{request}.{attempt + 1}"
+            name = request if key else f"{request}.{attempt_index + 1}"
             attempt = await self._send_once(call_class, node, name, key)
             record.sendings.append(attempt)
             if attempt.outcome in _FINAL or attempt.status in _FINAL_STATUSES:
                 break
-            if attempt < self._load.retries:
+            if attempt_index < self._load.retries:
                 await self._pause(attempt)
                 if not self._load.sticky:
                     node = self._choose_other(node)
--- a/tools/reports.py
+++ b/tools/reports.py
@@ -16,8 +16,8 @@
 def read_pytest(path: Path) -> Iterator[Result]:
     """Yield the result of each test in a JUnit report, with pytest's node id."""
     for case in ElementTree.parse(path).iter("testcase"):
-        path = _find_test_path(case.get("classname") or "")
-        id = f"{path}::{case.get('name')}"
+        test_path = _find_test_path(case.get("classname") or "")
+        id = f"{test_path}::{case.get('name')}"
         yield Result(id, _read_case_status(case), _find_skip_reason(case))
 
 
