--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -23,16 +23,17 @@
 from loguru import logger
 
 from benchmarks.capacity_cluster import Cluster, Shape
-from benchmarks.capacity_cut import show_cut
 from benchmarks.capacity_fit import MEASURES, REST_TERMS, fit, show_fit
-from benchmarks.capacity_force import (
+from benchmarks.capacity_partition import show_cut
+from benchmarks.capacity_periodic_work import show_tables
+from benchmarks.capacity_plan import show_plan, work_out
+from benchmarks.capacity_propagation import (
     Accepted,
     find_wait,
     measure_force,
     read_versions,
     show_force,
 )
-from benchmarks.capacity_plan import show_plan, work_out
 from benchmarks.capacity_samples import (
     Appends,
     Cost,
@@ -42,7 +43,6 @@
     show_costs,
 )
 from benchmarks.capacity_tables import measure_tables
-from benchmarks.capacity_works import show_tables
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
--- a/benchmarks/capacity_plan.py
+++ b/benchmarks/capacity_plan.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
+    from benchmarks.capacity_periodic_work import Table
     from benchmarks.capacity_samples import Cost
-    from benchmarks.capacity_works import Table
 
 DAY_S = 86_400
 MEMBERS = 715
--- a/benchmarks/capacity_force.py
+++ b/benchmarks/capacity_propagation.py
@@ -13,14 +13,14 @@
 from attrs import field, frozen
 
 from benchmarks.capacity_cluster import publish
-from benchmarks.capacity_cut import measure_cut
+from benchmarks.capacity_partition import measure_cut
 from standins.deploy import PYTHON, Deployment, DeploymentSpec, ServiceSpec
 from standins.processes import make_flags
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from benchmarks.capacity_cut import CutCost
+    from benchmarks.capacity_partition import CutCost
     from standins.processes import Process
 
 MEMBERS = 2
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -17,7 +17,7 @@
 from attrs import evolve
 
 from benchmarks.capacity_cluster import read_usage
-from benchmarks.capacity_works import Table, Work
+from benchmarks.capacity_periodic_work import Table, Work
 from eelgrassmount.blackboard import LocalServer
 from eelgrassmount.compose.node import Node, build_node
 from eelgrassmount.config.readers import READERS
