--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -25,9 +25,9 @@
     from eelgrassmount.load.queue import WaitingCall
     from eelgrassmount.load.state import ServiceLoad
 
-_CHECK_PERIOD_S = 0.001
-_SPREAD = 0.3
-_BACKLOG_TIMEOUT_S = 1.0
+_CHECK_INTERVAL_S = 0.001
+_SERVICE_TIME_SIGMA = 0.3
+_REQUEST_TIMEOUT_S = 1.0
 
 
 @frozen
@@ -39,7 +39,7 @@
     service_s: float
     offered: Callable[[float], float]
     refused_last_share: float = 0.2
-    entry_delay_s: float = 0.1
+    ingress_delay_s: float = 0.1
     slowdown: Callable[[float], float] = lambda now_s: 1.0
 
     @property
@@ -53,8 +53,8 @@
     """What happened in one second, by tier."""
 
     offered: Counter[Tier] = field(factory=Counter)
-    refused_at_entry: Counter[Tier] = field(factory=Counter)
-    refused_at_gate: Counter[Tier] = field(factory=Counter)
+    refused_at_ingress: Counter[Tier] = field(factory=Counter)
+    refused_at_dispatcher: Counter[Tier] = field(factory=Counter)
     complete: Counter[Tier] = field(factory=Counter)
     inversions: int = 0
     threshold: int = 0
@@ -72,18 +72,18 @@
 
 
 @define
-class World:
+class Simulation:
     """The simulation: one entry, one gate and one server."""
 
     scenario: Scenario
     rng: random.Random
     timers: TimerService = field(init=False)
-    gate: LimitedDispatcher = field(init=False)
-    heard: ServiceLoad | None = None
+    dispatcher: LimitedDispatcher = field(init=False)
+    received_load: ServiceLoad | None = None
     seconds: list[Second] = field(factory=list)
-    count: int = 0
+    request_count: int = 0
     busy: int = 0
-    inside: deque[ServerRun] = field(factory=deque)
+    server_queue: deque[ServerRun] = field(factory=deque)
     pending: list[WaitingCall] = field(factory=list)
     refused_last_at_s: float = -math.inf
 
@@ -93,9 +93,9 @@
         identity = Identity("127.0.0.1:1", "here", "region", "1")
         board = Blackboard(identity)
         board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-        self.gate = LimitedDispatcher(board, self.timers)
+        self.dispatcher = LimitedDispatcher(board, self.timers)
         self.timers.schedule(0.0, self.arrive)
-        self.timers.subscribe(_CHECK_PERIOD_S, self.check_pending)
+        self.timers.subscribe(_CHECK_INTERVAL_S, self.check_pending)
 
     def second(self) -> Second:
         """Return the counters of the present second."""
@@ -108,24 +108,24 @@
         now_s = self.timers.read()
         rate = self.scenario.offered(now_s) * self.scenario.capacity_per_s
         self.timers.schedule(self.rng.expovariate(rate), self.arrive)
-        self.count += 1
-        is_last = self.rng.random() < self.scenario.refused_last_share
-        tier = Tier.REFUSED_LAST if is_last else Tier.REFUSED_FIRST
+        self.request_count += 1
+        is_refused_last = self.rng.random() < self.scenario.refused_last_share
+        tier = Tier.REFUSED_LAST if is_refused_last else Tier.REFUSED_FIRST
         context = self.make_context(tier)
         second = self.second()
         second.offered[tier] += 1
         if self.admits(context):
             self.timers.schedule(
-                self.scenario.entry_delay_s, lambda: self.offer(context)
+                self.scenario.ingress_delay_s, lambda: self.offer(context)
             )
         else:
-            second.refused_at_entry[tier] += 1
-            self.note_refusal(tier)
+            second.refused_at_ingress[tier] += 1
+            self.record_refusal(tier)
 
     def make_context(self, tier: Tier) -> Context:
         """Return the context of a new request."""
-        root_id = str(self.count)
-        deadline_s = self.timers.read() + _BACKLOG_TIMEOUT_S
+        root_id = str(self.request_count)
+        deadline_s = self.timers.read() + _REQUEST_TIMEOUT_S
         priority = compute_priority(root_id)
         return Context(
             root_id, root_id, "", tier.name, deadline_s, 3, tier, priority, 0, True
@@ -133,85 +133,89 @@
 
     def admits(self, context: Context) -> bool:
         """Decide at the entry, by what was heard."""
-        if self.heard is None:
+        if self.received_load is None:
             return True
-        threshold = compute_effective_threshold(self.heard, self.timers.read())
+        threshold = compute_effective_threshold(self.received_load, self.timers.read())
         return rank_call(context.tier, context.priority) < threshold
 
-    def note_refusal(self, tier: Tier) -> None:
+    def record_refusal(self, tier: Tier) -> None:
         """Remember when a refused-last call was refused."""
         if tier is Tier.REFUSED_LAST:
             self.refused_last_at_s = self.timers.read()
 
     def offer(self, context: Context) -> None:
         """Let a request come to the gate."""
-        self.pending.append(self.gate.offer(context))
+        self.pending.append(self.dispatcher.offer(context))
         self.check_pending()
 
     def check_pending(self) -> None:
         """Start what has been admitted and count what has been refused."""
         decided = [one for one in self.pending if one.admitted or one.refusal]
-        still = [one for one in self.pending if not (one.admitted or one.refusal)]
-        self.pending = still
+        undecided = [one for one in self.pending if not (one.admitted or one.refusal)]
+        self.pending = undecided
         for waiting in decided:
             if waiting.refusal:
-                self.second().refused_at_gate[waiting.tier] += 1
-                self.note_refusal(waiting.tier)
-                self.answer()
+                self.second().refused_at_dispatcher[waiting.tier] += 1
+                self.record_refusal(waiting.tier)
+                self.send_load()
                 continue
             if waiting.tier is Tier.REFUSED_FIRST:
                 recent = self.timers.read() - self.refused_last_at_s < 0.01
                 self.second().inversions += recent
             run = ServerRun(waiting, self.timers.read())
             remaining_s = waiting.context.measure_remaining(run.started_s)
-            self.timers.schedule(remaining_s, lambda run=run: self.time_out(run))
-            self.inside.append(run)
-        self.serve()
+            self.timers.schedule(remaining_s, lambda run=run: self.time_out_run(run))
+            self.server_queue.append(run)
+        self.start_queued_runs()
 
-    def serve(self) -> None:
+    def start_queued_runs(self) -> None:
         """Give free slots to the calls inside the server."""
-        while self.inside and self.busy < self.scenario.slots:
-            run = self.inside.popleft()
+        while self.server_queue and self.busy < self.scenario.slots:
+            run = self.server_queue.popleft()
             if run.ended:
                 continue
             self.busy += 1
             run.has_slot = True
-            factor = self.rng.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
+            factor = self.rng.lognormvariate(
+                -(_SERVICE_TIME_SIGMA**2) / 2, _SERVICE_TIME_SIGMA
+            )
             slowdown = self.scenario.slowdown(self.timers.read())
             service_s = self.scenario.service_s * slowdown * factor
-            self.timers.schedule(service_s, lambda run=run: self.finish(run))
+            self.timers.schedule(service_s, lambda run=run: self.complete_run(run))
 
-    def time_out(self, run: ServerRun) -> None:
+    def time_out_run(self, run: ServerRun) -> None:
         """Cancel a run that has reached its deadline."""
         if not run.ended:
-            self.end(run, SampleKind.TIMEOUT)
+            self.end_run(run, SampleKind.TIMEOUT)
 
-    def finish(self, run: ServerRun) -> None:
+    def complete_run(self, run: ServerRun) -> None:
         """Answer one run."""
         if not run.ended:
             self.second().complete[run.waiting.tier] += 1
-            self.end(run, SampleKind.COMPLETE)
+            self.end_run(run, SampleKind.COMPLETE)
 
-    def end(self, run: ServerRun, kind: SampleKind) -> None:
+    def end_run(self, run: ServerRun, kind: SampleKind) -> None:
         """End one run on the server."""
         run.ended = True
         self.busy -= run.has_slot
         latency_s = self.timers.read() - run.started_s
         name = run.waiting.context.class_name
-        self.gate.leave(Sample(kind, latency_s, class_name=name))
-        self.answer()
+        self.dispatcher.leave(Sample(kind, latency_s, class_name=name))
+        self.send_load()
         self.check_pending()
 
-    def answer(self) -> None:
+    def send_load(self) -> None:
         """Send the load back to the entry."""
-        load = self.gate.describe()
-        self.timers.schedule(self.scenario.entry_delay_s, lambda: self.hear(load))
+        load = self.dispatcher.describe()
+        self.timers.schedule(
+            self.scenario.ingress_delay_s, lambda: self.receive_load(load)
+        )
 
-    def hear(self, load: ServiceLoad) -> None:
+    def receive_load(self, load: ServiceLoad) -> None:
         """Take in the load at the entry."""
-        self.heard = evolve(load, heard_s=self.timers.read())
+        self.received_load = evolve(load, heard_s=self.timers.read())
         self.second().threshold = load.threshold
-        self.second().limit = self.gate.limiter.limit
+        self.second().limit = self.dispatcher.limiter.limit
 
 
 def surge(factor: float) -> Callable[[float], float]:
@@ -219,7 +223,7 @@
     return lambda now_s: factor if 5.0 <= now_s < 15.0 else 0.7
 
 
-def slow_for_a_while(now_s: float) -> float:
+def slow_during_surge(now_s: float) -> float:
     """Return a tenfold slowdown from second 5 to 15."""
     return 10.0 if 5.0 <= now_s < 15.0 else 1.0
 
@@ -231,16 +235,18 @@
     Scenario("surge 5x", 25, 0.05, surge(5.0)),
     Scenario("surge 5x, small", 5, 0.08, surge(5.0)),
     Scenario("surge 5x, half refused last", 25, 0.05, surge(5.0), 0.5),
-    Scenario("surge 5x, far entry", 25, 0.05, surge(5.0), entry_delay_s=0.5),
-    Scenario("surge 2x, tenfold slow", 25, 0.05, surge(2.0), slowdown=slow_for_a_while),
+    Scenario("surge 5x, far entry", 25, 0.05, surge(5.0), ingress_delay_s=0.5),
+    Scenario(
+        "surge 2x, tenfold slow", 25, 0.05, surge(2.0), slowdown=slow_during_surge
+    ),
 )
 
 
 def measure(scenario: Scenario, seconds: float, seed: int = SEED) -> list[Second]:
     """Run one scenario."""
-    world = World(scenario, random.Random(seed))
-    world.timers.advance(seconds)
-    return world.seconds
+    simulation = Simulation(scenario, random.Random(seed))
+    simulation.timers.advance(seconds)
+    return simulation.seconds
 
 
 def main() -> None:
@@ -249,15 +255,15 @@
         print(scenario.name, f"capacity {scenario.capacity_per_s:.0f}/s")
         print("  s offered   entry-refused gate-refused complete inv threshold limit")
         seconds = measure(scenario, 25.0)
-        lows = sum(second.complete.total() for second in seconds[6:15])
-        print(f"  complete in 6-15 s: {lows / 9:.0f}/s")
+        completed = sum(second.complete.total() for second in seconds[6:15])
+        print(f"  complete in 6-15 s: {completed / 9:.0f}/s")
         if "--short" in sys.argv:
             seconds = seconds[4:20]
         for at, second in enumerate(seconds):
             counters = (
                 second.offered,
-                second.refused_at_entry,
-                second.refused_at_gate,
+                second.refused_at_ingress,
+                second.refused_at_dispatcher,
                 second.complete,
             )
             pairs = " ".join(
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,15 +24,15 @@
 
 from benchmarks.capacity_cluster import Cluster, Shape
 from benchmarks.capacity_fit import MEASURES, REST_TERMS, fit, show_fit
-from benchmarks.capacity_partition import show_cut
+from benchmarks.capacity_partition import show_partition
 from benchmarks.capacity_periodic_work import show_tables
-from benchmarks.capacity_plan import show_plan, work_out
+from benchmarks.capacity_plan import show_plan, estimate_needs
 from benchmarks.capacity_propagation import (
-    Accepted,
-    find_wait,
-    measure_force,
-    read_versions,
-    show_force,
+    AcceptedVersion,
+    compute_delay,
+    measure_propagation,
+    read_in_force_times,
+    show_propagation,
 )
 from benchmarks.capacity_samples import (
     Appends,
@@ -51,12 +51,12 @@
 SHAPES = "2x5x5,2x10x5,2x40x5,2x20x20,6x10x5,14x5x5,14x10x10"
 PARTS = ("nodes", "force", "tables")
 SETTLE_S = 15.0
-PUBLISH_EVERY_S = 0.5
-FLIP_EVERY_S = 0.8
-FLIP_S = 0.4
-RESTART_EVERY_S = 3.0
-REJOIN_LIMIT_S = 90.0
-TEXT = """failure_domains = [{domains}]
+PUBLISH_INTERVAL_S = 0.5
+DRAIN_INTERVAL_S = 0.8
+DRAIN_S = 0.4
+RESTART_INTERVAL_S = 3.0
+REJOIN_TIMEOUT_S = 90.0
+CONFIGURATION = """failure_domains = [{domains}]
 
 [[class]]
 name = "booking"
@@ -68,27 +68,27 @@
 """
 
 
-def make_text(shape: Shape, number: int) -> str:
+def make_configuration(shape: Shape, number: int) -> str:
     domains = ", ".join(f'"domain-{index}"' for index in range(shape.domains))
-    return TEXT.format(domains=domains, fraction=900 + number % 99)
+    return CONFIGURATION.format(domains=domains, fraction=900 + number % 99)
 
 
-def rest(deadline: float) -> int:
+def make_no_changes(deadline_s: float) -> int:
     return 0
 
 
-def make_publishing(
-    cluster: Cluster, accepted: list[Accepted]
+def make_publishes(
+    cluster: Cluster, accepted: list[AcceptedVersion]
 ) -> Callable[[float], int]:
     """Publish configurations at a steady rate and note when."""
 
-    def publish(deadline: float) -> int:
+    def publish(deadline_s: float) -> int:
         for number in itertools.count():
-            due_s = time.monotonic() + PUBLISH_EVERY_S
+            due_s = time.monotonic() + PUBLISH_INTERVAL_S
             sent_s = time.time()
-            version = cluster.publish(make_text(cluster.shape, number + 1))
-            accepted.append(Accepted(version, sent_s, time.time()))
-            if due_s >= deadline:
+            version = cluster.publish(make_configuration(cluster.shape, number + 1))
+            accepted.append(AcceptedVersion(version, sent_s, time.time()))
+            if due_s >= deadline_s:
                 return number + 1
             time.sleep(max(0.0, due_s - time.monotonic()))
         return 0
@@ -96,35 +96,35 @@
     return publish
 
 
-def make_flipping(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
+def make_drain_changes(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
     """Let one server after the other say that it drains, and serve again."""
 
-    def flip(deadline: float) -> int:
+    def drain_servers(deadline_s: float) -> int:
         changes = 0
-        while time.monotonic() + FLIP_EVERY_S < deadline:
-            due_s = time.monotonic() + FLIP_EVERY_S
+        while time.monotonic() + DRAIN_INTERVAL_S < deadline_s:
+            due_s = time.monotonic() + DRAIN_INTERVAL_S
             node = rng.choice(cluster.nodes)
             cluster.announce(node, "draining")
-            time.sleep(FLIP_S)
+            time.sleep(DRAIN_S)
             cluster.announce(node, "serving")
             changes += 2
             time.sleep(max(0.0, due_s - time.monotonic()))
         return changes
 
-    return flip
+    return drain_servers
 
 
-def make_restarting(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
+def make_restarts(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
     """Replace one node after the other without a warning."""
 
-    def restart(deadline: float) -> int:
+    def restart(deadline_s: float) -> int:
         changes = 0
         for node in rng.sample(cluster.nodes, len(cluster.nodes)):
-            if time.monotonic() + RESTART_EVERY_S >= deadline:
+            if time.monotonic() + RESTART_INTERVAL_S >= deadline_s:
                 break
             node.process.restart()
             changes += 1
-            time.sleep(RESTART_EVERY_S)
+            time.sleep(RESTART_INTERVAL_S)
         return changes
 
     return restart
@@ -133,15 +133,15 @@
 def make_mass_restart(cluster: Cluster) -> Callable[[float], int]:
     """Replace all nodes at once and wait until they know each other."""
 
-    def restart(deadline: float) -> int:
-        began_s = time.monotonic()
+    def restart(deadline_s: float) -> int:
+        started_s = time.monotonic()
         for node in cluster.nodes:
             node.process.kill()
         for node in cluster.nodes:
             node.process.start()
-        cluster.wait_until_joined(time.monotonic() + REJOIN_LIMIT_S)
-        took_s = time.monotonic() - began_s
-        print(f"all of {cluster.shape.nodes} nodes joined again in {took_s:.1f} s")
+        cluster.wait_until_joined(time.monotonic() + REJOIN_TIMEOUT_S)
+        elapsed_s = time.monotonic() - started_s
+        print(f"all of {cluster.shape.nodes} nodes joined again in {elapsed_s:.1f} s")
         return cluster.shape.nodes
 
     return restart
@@ -150,38 +150,38 @@
 def measure_shape(shape: Shape, rest_s: float, changes_s: float) -> list[Phase]:
     """Run one cluster through all phases."""
     rng = random.Random(SEED)
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     with Cluster(shape) as cluster:
-        print(f"{shape}: joined after {time.monotonic() - began_s:.1f} s", flush=True)
-        cluster.publish(make_text(shape, 0))
+        print(f"{shape}: joined after {time.monotonic() - started_s:.1f} s", flush=True)
+        cluster.publish(make_configuration(shape, 0))
         time.sleep(SETTLE_S)
-        accepted: list[Accepted] = []
-        plan = (
-            ("rest", rest_s, rest),
-            ("publishes", changes_s, make_publishing(cluster, accepted)),
-            ("server states", changes_s, make_flipping(cluster, rng)),
-            ("restarts", changes_s, make_restarting(cluster, rng)),
+        accepted: list[AcceptedVersion] = []
+        phase_plan = (
+            ("rest", rest_s, make_no_changes),
+            ("publishes", changes_s, make_publishes(cluster, accepted)),
+            ("server states", changes_s, make_drain_changes(cluster, rng)),
+            ("restarts", changes_s, make_restarts(cluster, rng)),
             ("mass restart", changes_s, make_mass_restart(cluster)),
         )
         phases = []
-        for name, seconds, work in plan:
-            phases.append(measure(cluster, name, seconds, work))
+        for name, seconds, make_changes in phase_plan:
+            phases.append(measure(cluster, name, seconds, make_changes))
             show_costs(phases[-1].costs)
             show_appends(phases[-1].appends)
             if name == "publishes":
-                show_spread(cluster, accepted)
+                show_node_delays(cluster, accepted)
             if phases[-1].errors:
                 print(f"    errors counted by nodes: {phases[-1].errors:.0f}")
         return phases
 
 
-def show_spread(cluster: Cluster, accepted: Sequence[Accepted]) -> None:
+def show_node_delays(cluster: Cluster, accepted: Sequence[AcceptedVersion]) -> None:
     """Print how long versions took from being sent to the last of the nodes."""
     # the last one may still be under way
     accepted = accepted[:-1]
-    logs = [read_versions(node.process.read_log()) for node in cluster.nodes]
+    logs = [read_in_force_times(node.process.read_log()) for node in cluster.nodes]
     last = [
-        max(find_wait(log, one) for log in logs) + one.accepted_s - one.sent_s
+        max(compute_delay(log, one) for log in logs) + one.accepted_s - one.sent_s
         for one in accepted
     ]
     p50, p99 = np.percentile(last, (50, 99))
@@ -211,15 +211,15 @@
         cost for cost in at_rest if (cost.domains, cost.members, cost.services) == shape
     ]
 
-    def extra(name: str) -> float:
+    def compute_extra(name: str) -> float:
         changed = statistics.mean(getattr(cost, name) for cost in costs)
         before = statistics.mean(getattr(cost, name) for cost in same)
         return (changed - before) / one.changes_a_second
 
     print(
         f"{one.phase:16} {one.domains:3} x {one.members:3} {one.services:3} services"
-        f" cpu ms {extra('cpu_ms'):.3f} bytes {extra('bytes_sent'):.0f}"
-        f" messages {extra('messages_sent'):.2f}"
+        f" cpu ms {compute_extra('cpu_ms'):.3f} bytes {compute_extra('bytes_sent'):.0f}"
+        f" messages {compute_extra('messages_sent'):.2f}"
     )
 
 
@@ -246,7 +246,7 @@
     options = parser.parse_args()
     logger.remove()
     parts = options.parts.split(",")
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     figures: dict[str, object] = {}
     if "nodes" in parts:
         shapes = [parse_shape(text) for text in options.shapes.split(",")]
@@ -259,21 +259,21 @@
         figures["costs"] = [asdict(cost) for phase in phases for cost in phase.costs]
         figures["appends"] = [summarize_appends(phase.appends) for phase in phases]
     if "force" in parts:
-        forces, cut = measure_force(options.force_domains, options.publishes)
-        show_force(forces)
-        show_cut(cut)
+        situations, cut = measure_propagation(options.force_domains, options.publishes)
+        show_propagation(situations)
+        show_partition(cut)
         figures["cut"] = [asdict(cost) for cost in cut]
-        figures["force"] = [asdict(force) for force in forces]
+        figures["force"] = [asdict(force) for force in situations]
     if "tables" in parts:
         tables = measure_tables()
         show_tables(tables)
         figures["tables"] = [asdict(table) for table in tables]
     if "nodes" in parts and "tables" in parts:
         costs = [cost for phase in phases for cost in phase.costs]
-        show_plan(work_out(costs, tables))
+        show_plan(estimate_needs(costs, tables))
     if options.output is not None:
         options.output.write_text(json.dumps(figures))
-    print(f"took {time.monotonic() - began_s:.0f} s")
+    print(f"took {time.monotonic() - started_s:.0f} s")
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity_announcers.py
+++ b/benchmarks/capacity_announcers.py
@@ -19,8 +19,8 @@
     from standins.processes import Process
 
 ANNOUNCEMENT_PATH = "/_eelgrassmount/server"
-_ANNOUNCE_S = 1.0
-_ANNOUNCE_LIMIT_S = 2.0
+_ANNOUNCE_INTERVAL_S = 1.0
+_ANNOUNCE_TIMEOUT_S = 2.0
 
 
 @define(eq=False)
@@ -50,14 +50,14 @@
 
     def __init__(self, nodes: Iterable[NodeProcess]) -> None:
         self._nodes = list(nodes)
-        self._ending = threading.Event()
+        self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
         self._thread.start()
 
     def stop(self) -> None:
-        self._ending.set()
+        self._stopping.set()
         self._thread.join()
 
     def _run(self) -> None:
@@ -67,19 +67,23 @@
         client = Client()
         async with asyncio.TaskGroup() as group:
             for index, node in enumerate(self._nodes):
-                phase_s = _ANNOUNCE_S * index / len(self._nodes)
-                group.create_task(self._announce(client, node, phase_s))
+                offset_s = _ANNOUNCE_INTERVAL_S * index / len(self._nodes)
+                group.create_task(self._announce(client, node, offset_s))
         client.close()
 
-    async def _announce(self, client: Client, node: NodeProcess, wait_s: float) -> None:
-        await asyncio.sleep(wait_s)
-        while not self._ending.is_set():
-            began_s = time.monotonic()
+    async def _announce(
+        self, client: Client, node: NodeProcess, offset_s: float
+    ) -> None:
+        await asyncio.sleep(offset_s)
+        while not self._stopping.is_set():
+            started_s = time.monotonic()
             if node.process.running:
-                await self._tell(client, node)
-            await asyncio.sleep(max(0.0, began_s + _ANNOUNCE_S - time.monotonic()))
+                await self._send_announcement(client, node)
+            await asyncio.sleep(
+                max(0.0, started_s + _ANNOUNCE_INTERVAL_S - time.monotonic())
+            )
 
-    async def _tell(self, client: Client, node: NodeProcess) -> None:
+    async def _send_announcement(self, client: Client, node: NodeProcess) -> None:
         headers = {"content-type": "application/json"}
         body = json.dumps(describe_server(node)).encode()
         # a node that is just starting is told again in a second
@@ -90,5 +94,5 @@
                 ANNOUNCEMENT_PATH,
                 headers,
                 body,
-                _ANNOUNCE_LIMIT_S,
+                _ANNOUNCE_TIMEOUT_S,
             )
--- a/benchmarks/capacity_cluster.py
+++ b/benchmarks/capacity_cluster.py
@@ -29,14 +29,14 @@
     poll_until,
 )
 
-START_LIMIT_S = 120.0
-HTTP_LIMIT_S = 10.0
+START_TIMEOUT_S = 120.0
+HTTP_TIMEOUT_S = 10.0
 _FIRST_OCTET = 20
-_OCTETS = 200
-_TICKS = os.sysconf("SC_CLK_TCK")
-_USER_TICKS = 11
-_SYSTEM_TICKS = 12
-_KIB = 1024
+_OCTET_COUNT = 200
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+_USER_TICKS_FIELD = 11
+_SYSTEM_TICKS_FIELD = 12
+_KIB_PER_MIB = 1024
 
 
 @frozen
@@ -77,16 +77,16 @@
     text = Path(f"/proc/{pid}/stat").read_text()
     # the name of the program may hold spaces
     fields = text.rpartition(")")[2].split()
-    ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
+    ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
     status = Path(f"/proc/{pid}/status").read_text()
     resident = next(line for line in status.splitlines() if line.startswith("VmRSS"))
-    return Usage(ticks / _TICKS, int(resident.split()[1]) / _KIB)
+    return Usage(ticks / _TICKS_PER_S, int(resident.split()[1]) / _KIB_PER_MIB)
 
 
-def read_series(admin_address: str) -> dict[str, float]:
+def read_metrics(admin_address: str) -> dict[str, float]:
     """Return a node's metrics by name and labels."""
     url = f"http://{admin_address}/metrics"
-    with urllib.request.urlopen(url, timeout=HTTP_LIMIT_S) as answer:
+    with urllib.request.urlopen(url, timeout=HTTP_TIMEOUT_S) as answer:
         text = answer.read().decode()
     lines = (line for line in text.splitlines() if line and not line.startswith("#"))
     series = (line.rpartition(" ") for line in lines)
@@ -95,19 +95,19 @@
 
 def read_traffic(admin_address: str) -> Traffic:
     """Return what a node has sent and received so far."""
-    series = read_series(admin_address)
+    series = read_metrics(admin_address)
 
-    def find(name: str) -> float:
-        begin = f"eelgrassmount_{name}"
-        return sum(value for key, value in series.items() if key.startswith(begin))
+    def sum_series(name: str) -> float:
+        prefix = f"eelgrassmount_{name}"
+        return sum(value for key, value in series.items() if key.startswith(prefix))
 
     return Traffic(
-        bytes_sent=find('peer_bytes_total{direction="sent"'),
-        bytes_received=find('peer_bytes_total{direction="received"'),
-        messages_sent=find('peer_messages_total{direction="sent"'),
-        messages_received=find('peer_messages_total{direction="received"'),
-        log_errors=find("log_errors_total"),
-        internal_errors=find("internal_errors_total"),
+        bytes_sent=sum_series('peer_bytes_total{direction="sent"'),
+        bytes_received=sum_series('peer_bytes_total{direction="received"'),
+        messages_sent=sum_series('peer_messages_total{direction="sent"'),
+        messages_received=sum_series('peer_messages_total{direction="received"'),
+        log_errors=sum_series("log_errors_total"),
+        internal_errors=sum_series("internal_errors_total"),
     )
 
 
@@ -116,7 +116,7 @@
     base = call_admin(admin_address, "GET", "/config")["version"]
     url = f"http://{admin_address}/config?base={base}"
     request = urllib.request.Request(url, text.encode(), method="POST")
-    with urllib.request.urlopen(request, timeout=HTTP_LIMIT_S) as answer:
+    with urllib.request.urlopen(request, timeout=HTTP_TIMEOUT_S) as answer:
         return json.loads(answer.read())["version"]
 
 
@@ -136,7 +136,7 @@
 
     def __attrs_post_init__(self) -> None:
         self._temporary = tempfile.TemporaryDirectory(prefix="capacity-")
-        first = _FIRST_OCTET + os.getpid() % _OCTETS
+        first = _FIRST_OCTET + os.getpid() % _OCTET_COUNT
         platform_ip = f"127.{first}.0.1"
         log_address = find_free_address(platform_ip)
         self.log_admin_address = find_free_address(platform_ip)
@@ -206,12 +206,12 @@
         for node in self.nodes:
             node.process.start()
         self._announcers.start()
-        self.wait_until_joined(time.monotonic() + START_LIMIT_S)
+        self.wait_until_joined(time.monotonic() + START_TIMEOUT_S)
 
-    def wait_until_joined(self, deadline: float) -> None:
+    def wait_until_joined(self, deadline_s: float) -> None:
         """Wait until each node knows its failure domain and all services."""
         for node in self.nodes:
-            for _ in poll_until(deadline, node.name):
+            for _ in poll_until(deadline_s, node.name):
                 if not node.process.running:
                     raise RuntimeError(f"{node.name}: {node.process.read_log()}")
                 with contextlib.suppress(OSError):
@@ -226,8 +226,8 @@
             for one in known["summaries"]
             if one["service"] and one["failure_domain"] != node.failure_domain
         }
-        wanted = (self.shape.domains - 1) * self.shape.services
-        return len(alive) >= self.shape.members and len(services) >= wanted
+        expected_services = (self.shape.domains - 1) * self.shape.services
+        return len(alive) >= self.shape.members and len(services) >= expected_services
 
     def announce(self, node: NodeProcess, state: str) -> None:
         """Announce a new state of a node's server, at once and from now on."""
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -20,7 +20,7 @@
     """One thing that a cost depends on."""
 
     name: str
-    read: Callable[[Cost], float]
+    get_value: Callable[[Cost], float]
 
 
 @frozen
@@ -29,7 +29,7 @@
 
     measure: str
     names: tuple[str, ...]
-    values: tuple[float, ...]
+    coefficients: tuple[float, ...]
     errors: tuple[float, ...]
     residual: float
     worst: float
@@ -52,22 +52,22 @@
 
 def fit(costs: Sequence[Cost], terms: Sequence[Term], measure: str) -> Fit:
     """Fit a measure of the costs by a sum of the terms."""
-    table = np.array([[term.read(cost) for term in terms] for cost in costs])
-    seen = np.array([getattr(cost, measure) for cost in costs])
-    values, _, rank, _ = np.linalg.lstsq(table, seen, rcond=None)
-    left = seen - table @ values
-    freedom = max(1, len(costs) - int(rank))
-    variance = float(left @ left) / freedom
-    errors = np.sqrt(np.diag(np.linalg.pinv(table.T @ table)) * variance)
-    spread = float(((seen - seen.mean()) ** 2).sum())
+    matrix = np.array([[term.get_value(cost) for term in terms] for cost in costs])
+    observed = np.array([getattr(cost, measure) for cost in costs])
+    coefficients, _, rank, _ = np.linalg.lstsq(matrix, observed, rcond=None)
+    residuals = observed - matrix @ coefficients
+    degrees_of_freedom = max(1, len(costs) - int(rank))
+    variance = float(residuals @ residuals) / degrees_of_freedom
+    errors = np.sqrt(np.diag(np.linalg.pinv(matrix.T @ matrix)) * variance)
+    total_squares = float(((observed - observed.mean()) ** 2).sum())
     return Fit(
         measure,
         tuple(term.name for term in terms),
-        tuple(float(value) for value in values),
+        tuple(float(value) for value in coefficients),
         tuple(float(error) for error in errors),
         variance**0.5,
-        float(np.abs(left).max()),
-        1.0 - float(left @ left) / spread if spread else 1.0,
+        float(np.abs(residuals).max()),
+        1.0 - float(residuals @ residuals) / total_squares if total_squares else 1.0,
         len(costs),
     )
 
@@ -77,7 +77,7 @@
     terms = "  ".join(
         f"{name} {value:.4f} ±{error:.4f}"
         for name, value, error in zip(
-            result.names, result.values, result.errors, strict=True
+            result.names, result.coefficients, result.errors, strict=True
         )
     )
     print(
--- a/benchmarks/capacity_partition.py
+++ b/benchmarks/capacity_partition.py
@@ -20,13 +20,13 @@
 
 PHASE_S = 10.0
 # longer than a silent failure domain stays in the tables
-CUT_S = 30.0
-HEAL_LIMIT_S = 60.0
-_MS = 1000
+PARTITION_S = 30.0
+HEAL_TIMEOUT_S = 60.0
+_MS_PER_S = 1000
 
 
 @frozen
-class CutCost:
+class PartitionCost:
     """The mean cost of a node a second; ``known_s`` until all know all again."""
 
     phase: str
@@ -40,38 +40,38 @@
 
 @frozen
 class _Reading:
-    moment_s: float
+    now_s: float
     usages: list[Usage]
     traffics: list[Traffic]
 
 
-def measure_cut(deployment: Deployment) -> list[CutCost]:
+def measure_partition(deployment: Deployment) -> list[PartitionCost]:
     """Cut one half of the failure domains from the other, and heal."""
     domains = deployment.spec.failure_domains
     half = len(domains) // 2
     pairs = list(itertools.product(domains[:half], domains[half:]))
-    costs = [_measure(deployment, "before the cut", lambda: _wait(PHASE_S))]
+    costs = [_measure(deployment, "before the cut", lambda: _sleep(PHASE_S))]
     for one, other in pairs:
         deployment.cut(one, other, "drop")
-    costs.append(_measure(deployment, "first seconds", lambda: _wait(PHASE_S)))
-    costs.append(_measure(deployment, "cut", lambda: _wait(CUT_S)))
+    costs.append(_measure(deployment, "first seconds", lambda: _sleep(PHASE_S)))
+    costs.append(_measure(deployment, "cut", lambda: _sleep(PARTITION_S)))
     deployment.heal()
-    costs.append(_measure(deployment, "healing", lambda: _wait_known(deployment)))
-    costs.append(_measure(deployment, "healed", lambda: _wait(PHASE_S)))
+    costs.append(_measure(deployment, "healing", lambda: _wait_until_known(deployment)))
+    costs.append(_measure(deployment, "healed", lambda: _sleep(PHASE_S)))
     return costs
 
 
-def _wait(seconds: float) -> float:
+def _sleep(seconds: float) -> float:
     time.sleep(seconds)
     return 0.0
 
 
-def _wait_known(deployment: Deployment) -> float:
-    began_s = time.monotonic()
-    deadline = began_s + HEAL_LIMIT_S
+def _wait_until_known(deployment: Deployment) -> float:
+    started_s = time.monotonic()
+    deadline_s = started_s + HEAL_TIMEOUT_S
     count = len(deployment.spec.failure_domains) - 1
     for vm in deployment.vms:
-        for _ in poll_until(deadline, f"all failure domains at {vm.name}"):
+        for _ in poll_until(deadline_s, f"all failure domains at {vm.name}"):
             known = call_admin(vm.admin_address, "GET", "/members")["summaries"]
             others = {
                 one["failure_domain"]
@@ -80,25 +80,27 @@
             }
             if len(others) == count:
                 break
-    return time.monotonic() - began_s
+    return time.monotonic() - started_s
 
 
-def _measure(deployment: Deployment, phase: str, wait: Callable[[], float]) -> CutCost:
+def _measure(
+    deployment: Deployment, phase: str, wait: Callable[[], float]
+) -> PartitionCost:
     before = _read(deployment)
     known_s = wait()
     after = _read(deployment)
-    took_s = after.moment_s - before.moment_s
+    elapsed_s = after.now_s - before.now_s
     cpu = [
-        _MS * (one.cpu_s - other.cpu_s) / took_s
+        _MS_PER_S * (one.cpu_s - other.cpu_s) / elapsed_s
         for one, other in zip(after.usages, before.usages, strict=True)
     ]
     sent = [
-        (one.bytes_sent - other.bytes_sent) / took_s
+        (one.bytes_sent - other.bytes_sent) / elapsed_s
         for one, other in zip(after.traffics, before.traffics, strict=True)
     ]
-    return CutCost(
+    return PartitionCost(
         phase,
-        took_s,
+        elapsed_s,
         statistics.mean(cpu),
         max(cpu),
         statistics.mean(sent),
@@ -113,7 +115,7 @@
     return _Reading(time.monotonic(), usages, traffics)
 
 
-def show_cut(costs: list[CutCost]) -> None:
+def show_partition(costs: list[PartitionCost]) -> None:
     """Print the cost of each phase."""
     print("\nhalf of the failure domains cut from the other half")
     for cost in costs:
--- a/benchmarks/capacity_periodic_work.py
+++ b/benchmarks/capacity_periodic_work.py
@@ -5,8 +5,8 @@
 import numpy as np
 from attrs import frozen
 
-_SHOWN = 6
-_MS = 1000
+_MAX_SHOWN_WORKS = 6
+_US_PER_MS = 1000
 
 
 @frozen
@@ -23,7 +23,7 @@
     @property
     def ms(self) -> float:
         """Milliseconds a second."""
-        return self.each_us * self.rate / _MS
+        return self.each_us * self.rate / _US_PER_MS
 
 
 @frozen
@@ -53,19 +53,19 @@
             f" {table.summaries:5} summaries, {role:8}"
             f" {table.ms:7.2f} ms/s, tables {table.memory_mb:5.1f} MB"
         )
-        for work in table.works[:_SHOWN]:
+        for work in table.works[:_MAX_SHOWN_WORKS]:
             print(f"      {work.ms:7.3f} ms/s {work.each_us:9.1f} us {work.name}")
         for work in table.works:
             if not work.rate:
                 print(f"                   {work.each_us:9.1f} us {work.name}")
     for delegate in (False, True):
-        chosen = [table for table in tables if table.delegate is delegate]
-        terms = np.array([[1.0, one.members, one.summaries] for one in chosen])
-        seen = np.array([one.ms for one in chosen])
-        values, *_ = np.linalg.lstsq(terms, seen, rcond=None)
-        left = np.abs(seen - terms @ values).max()
+        selected = [table for table in tables if table.delegate is delegate]
+        terms = np.array([[1.0, one.members, one.summaries] for one in selected])
+        observed = np.array([one.ms for one in selected])
+        coefficients, *_ = np.linalg.lstsq(terms, observed, rcond=None)
+        max_residual = np.abs(observed - terms @ coefficients).max()
         print(
-            f"{'delegate' if delegate else 'other':8} ms/s: {values[0]:.3f}"
-            f" + {values[1]:.5f} a member + {values[2]:.6f} a summary,"
-            f" worst residual {left:.3f}"
+            f"{'delegate' if delegate else 'other':8} ms/s: {coefficients[0]:.3f}"
+            f" + {coefficients[1]:.5f} a member + {coefficients[2]:.6f} a summary,"
+            f" worst residual {max_residual:.3f}"
         )
--- a/benchmarks/capacity_plan.py
+++ b/benchmarks/capacity_plan.py
@@ -13,19 +13,19 @@
     from benchmarks.capacity_periodic_work import Table
     from benchmarks.capacity_samples import Cost
 
-DAY_S = 86_400
-MEMBERS = 715
-SERVICES = 370
+SECONDS_PER_DAY = 86_400
+MEMBERS_PER_DOMAIN = 715
+SERVICES_PER_DOMAIN = 370
 DOMAINS = 14
-PUBLISHES_A_DAY = 9_800
-RESTARTS_A_DAY = 770 + 18
-BUDGET_CPU_MS = 13.0
-BUDGET_MEMORY_MB = 128.0
-BUDGET_BYTES = 8_000.0
+PUBLISHES_PER_DAY = 9_800
+RESTARTS_PER_DAY = 770 + 18
+MAX_CPU_MS_PER_S = 13.0
+MAX_MEMORY_MB = 128.0
+MAX_BYTES_SENT_PER_S = 8_000.0
 
 
 @frozen
-class Need:
+class ResourceNeed:
     """What one role needs: milliseconds and bytes a second, and memory."""
 
     role: str
@@ -40,7 +40,9 @@
         return self.rest_ms + self.tables_ms + self.changes_ms
 
 
-def work_out(costs: Sequence[Cost], tables: Sequence[Table]) -> list[Need]:
+def estimate_needs(
+    costs: Sequence[Cost], tables: Sequence[Table]
+) -> list[ResourceNeed]:
     """Return the need of each role.
 
     Rest is the mean of the nodes of that role in the clusters where it does most
@@ -60,39 +62,39 @@
         "delegate": lambda cost: cost.domains == widest and cost.delegate,
     }
     return [
-        _work_out(role, [cost for cost in rest if chosen(cost)], costs, tables)
-        for role, chosen in roles.items()
+        _estimate_need(role, [cost for cost in rest if selected(cost)], costs, tables)
+        for role, selected in roles.items()
     ]
 
 
-def _work_out(
-    role: str, chosen: Sequence[Cost], costs: Sequence[Cost], tables: Sequence[Table]
-) -> Need:
+def _estimate_need(
+    role: str, selected: Sequence[Cost], costs: Sequence[Cost], tables: Sequence[Table]
+) -> ResourceNeed:
     delegate = role == "delegate"
-    ranked = [table for table in tables if table.delegate is delegate]
-    small = min(ranked, key=lambda table: table.members + table.summaries)
-    full = max(ranked, key=lambda table: table.members + table.summaries)
-    publishes = PUBLISHES_A_DAY / DAY_S
-    restarts = RESTARTS_A_DAY / DOMAINS / DAY_S
+    role_tables = [table for table in tables if table.delegate is delegate]
+    small = min(role_tables, key=lambda table: table.members + table.summaries)
+    full = max(role_tables, key=lambda table: table.members + table.summaries)
+    publishes = PUBLISHES_PER_DAY / SECONDS_PER_DAY
+    restarts = RESTARTS_PER_DAY / DOMAINS / SECONDS_PER_DAY
 
     def mean(name: str) -> float:
-        return statistics.mean(getattr(cost, name) for cost in chosen)
+        return statistics.mean(getattr(cost, name) for cost in selected)
 
-    def change(name: str) -> float:
-        published = measure_change(costs, "publishes", name) * publishes
-        return published + measure_change(costs, "restarts", name) * restarts
+    def compute_change(name: str) -> float:
+        published = compute_change_cost(costs, "publishes", name) * publishes
+        return published + compute_change_cost(costs, "restarts", name) * restarts
 
-    return Need(
+    return ResourceNeed(
         role,
         rest_ms=mean("cpu_ms"),
         tables_ms=full.ms - small.ms,
-        changes_ms=change("cpu_ms"),
-        bytes_sent=mean("bytes_sent") + change("bytes_sent"),
+        changes_ms=compute_change("cpu_ms"),
+        bytes_sent=mean("bytes_sent") + compute_change("bytes_sent"),
         memory_mb=mean("memory_mb") + max(table.memory_mb for table in tables),
     )
 
 
-def measure_change(costs: Sequence[Cost], phase: str, name: str) -> float:
+def compute_change_cost(costs: Sequence[Cost], phase: str, name: str) -> float:
     """Return what one change cost each node beyond rest, the dearest of all shapes."""
     shapes = {(cost.domains, cost.members, cost.services) for cost in costs}
     extras = []
@@ -114,12 +116,12 @@
     return statistics.mean(getattr(cost, name) for cost in costs)
 
 
-def show_plan(needs: Sequence[Need]) -> None:
+def show_plan(needs: Sequence[ResourceNeed]) -> None:
     """Print each role beside its budget."""
     print(
-        f"\nat {MEMBERS} members, {SERVICES} services in each of {DOMAINS} failure"
-        f" domains, {PUBLISHES_A_DAY} publishes and {RESTARTS_A_DAY} restarts a day;"
-        f" budget {BUDGET_CPU_MS:g} ms/s, {BUDGET_BYTES:g} B/s, {BUDGET_MEMORY_MB:g} MB"
+        f"\nat {MEMBERS_PER_DOMAIN} members, {SERVICES_PER_DOMAIN} services in each of {DOMAINS} failure"
+        f" domains, {PUBLISHES_PER_DAY} publishes and {RESTARTS_PER_DAY} restarts a day;"
+        f" budget {MAX_CPU_MS_PER_S:g} ms/s, {MAX_BYTES_SENT_PER_S:g} B/s, {MAX_MEMORY_MB:g} MB"
     )
     for need in needs:
         print(
--- a/benchmarks/capacity_propagation.py
+++ b/benchmarks/capacity_propagation.py
@@ -13,25 +13,25 @@
 from attrs import field, frozen
 
 from benchmarks.capacity_cluster import publish
-from benchmarks.capacity_partition import measure_cut
+from benchmarks.capacity_partition import measure_partition
 from standins.deploy import PYTHON, Deployment, DeploymentSpec, ServiceSpec
 from standins.processes import make_flags
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from benchmarks.capacity_partition import CutCost
+    from benchmarks.capacity_partition import PartitionCost
     from standins.processes import Process
 
 MEMBERS = 2
 PEER_DELAY_MS = 1.0
 SETTLE_S = 10.0
-EVERY_S = 0.5
-LIMIT_S = 15.0
-LOAD_RATE = 300.0
-LOAD_WARM_S = 3.0
-AFTER_CUT_S = 5.0
-TEXT = """failure_domains = [{domains}]
+PUBLISH_INTERVAL_S = 0.5
+IN_FORCE_TIMEOUT_S = 15.0
+LOAD_PER_S = 300.0
+LOAD_WARM_UP_S = 3.0
+PARTITION_SETTLE_S = 5.0
+CONFIGURATION = """failure_domains = [{domains}]
 
 [[class]]
 name = "price"
@@ -40,11 +40,11 @@
 complete_fraction = 0.{fraction}
 within_ms = 1000
 """
-_IN_FORCE = re.compile(r"configuration (\d+) is in force")
+_IN_FORCE_MESSAGE = re.compile(r"configuration (\d+) is in force")
 
 
 @frozen
-class Force:
+class PropagationTimes:
     """Seconds from accepted to in force, over all publishes of one situation.
 
     A version may be in force before its operator is told so, which counts as 0;
@@ -66,7 +66,7 @@
 
 
 @frozen
-class Accepted:
+class AcceptedVersion:
     """A version and the moments when it was sent and accepted."""
 
     version: int
@@ -74,7 +74,9 @@
     accepted_s: float
 
 
-def measure_force(domains: int, count: int) -> tuple[list[Force], list[CutCost]]:
+def measure_propagation(
+    domains: int, count: int
+) -> tuple[list[PropagationTimes], list[PartitionCost]]:
     """Measure at rest, under load, and with one failure domain cut from the log.
 
     A cut between two halves of the failure domains follows.
@@ -87,37 +89,42 @@
     with Deployment(spec) as deployment:
         time.sleep(SETTLE_S)
         _publish_all(deployment, 1)
-        forces = [_measure(deployment, "rest", count)]
+        situations = [_measure(deployment, "rest", count)]
         load = _start_load(deployment, count)
-        time.sleep(LOAD_WARM_S)
-        forces.append(_measure(deployment, "under load", count))
+        time.sleep(LOAD_WARM_UP_S)
+        situations.append(_measure(deployment, "under load", count))
         load.kill()
         cut = names[-1]
         deployment.cut(cut, "log", "drop")
-        time.sleep(AFTER_CUT_S)
-        forces.append(_measure(deployment, "one cut from the log", count, cut))
+        time.sleep(PARTITION_SETTLE_S)
+        situations.append(_measure(deployment, "one cut from the log", count, cut))
         deployment.heal()
-        time.sleep(AFTER_CUT_S)
-        costs = measure_cut(deployment)
-    return forces, costs
+        time.sleep(PARTITION_SETTLE_S)
+        costs = measure_partition(deployment)
+    return situations, costs
 
 
-def _publish_all(deployment: Deployment, count: int) -> list[Accepted]:
+def _publish_all(deployment: Deployment, count: int) -> list[AcceptedVersion]:
     names = ", ".join(f'"{name}"' for name in deployment.spec.failure_domains)
     accepted = []
     for number in range(count):
-        text = TEXT.format(domains=names, fraction=100 + number % 800)
+        text = CONFIGURATION.format(domains=names, fraction=100 + number % 800)
         vm = deployment.vms[number % MEMBERS]
         sent_s = time.time()
         version = publish(vm.admin_address, text)
-        accepted.append(Accepted(version, sent_s, time.time()))
-        time.sleep(EVERY_S)
+        accepted.append(AcceptedVersion(version, sent_s, time.time()))
+        time.sleep(PUBLISH_INTERVAL_S)
     return accepted
 
 
 def _start_load(deployment: Deployment, count: int) -> Process:
     classes = [{"name": "price", "method": "GET", "path": "/ratebook/price"}]
-    phases = [[LOAD_WARM_S + LIMIT_S + 2 * count * EVERY_S, LOAD_RATE]]
+    phases = [
+        [
+            LOAD_WARM_UP_S + IN_FORCE_TIMEOUT_S + 2 * count * PUBLISH_INTERVAL_S,
+            LOAD_PER_S,
+        ]
+    ]
     flags = make_flags(
         {
             "nodes": ",".join(deployment.caller_addresses),
@@ -131,49 +138,51 @@
 
 def _measure(
     deployment: Deployment, situation: str, count: int, cut: str = ""
-) -> Force:
+) -> PropagationTimes:
     accepted = _publish_all(deployment, count)
-    deployment.wait_until_in_force(accepted[-1].version, LIMIT_S)
-    seen = {vm.name: read_versions(vm.node.read_log()) for vm in deployment.vms}
+    deployment.wait_until_in_force(accepted[-1].version, IN_FORCE_TIMEOUT_S)
+    seen = {vm.name: read_in_force_times(vm.node.read_log()) for vm in deployment.vms}
     domains = {vm.name: vm.failure_domain for vm in deployment.vms}
-    waits = {
-        name: [find_wait(versions, one) for one in accepted]
+    delays = {
+        name: [compute_delay(versions, one) for one in accepted]
         for name, versions in seen.items()
     }
-    everywhere = [max(each) for each in zip(*waits.values(), strict=True)]
-    return Force(
+    everywhere = [max(each) for each in zip(*delays.values(), strict=True)]
+    return PropagationTimes(
         situation=situation,
         domains=len(deployment.spec.failure_domains),
         processes=len(deployment.vms),
         versions=count,
         publish_s=[one.accepted_s - one.sent_s for one in accepted],
         since_sent=[
-            wait + one.accepted_s - one.sent_s
-            for wait, one in zip(everywhere, accepted, strict=True)
+            delay + one.accepted_s - one.sent_s
+            for delay, one in zip(everywhere, accepted, strict=True)
         ],
-        everywhere=[max(0.0, wait) for wait in everywhere],
-        nodes=[max(0.0, wait) for each in waits.values() for wait in each],
+        everywhere=[max(0.0, delay) for delay in everywhere],
+        nodes=[max(0.0, delay) for each in delays.values() for delay in each],
         cut=[
-            max(0.0, wait)
-            for name in waits
+            max(0.0, delay)
+            for name in delays
             if domains[name] == cut
-            for wait in waits[name]
+            for delay in delays[name]
         ],
     )
 
 
-def read_versions(log: str) -> list[tuple[float, int]]:
+def read_in_force_times(log: str) -> list[tuple[float, int]]:
     """Return when each version came into force, from the log lines of a node."""
     found = []
     for line in log.splitlines():
-        match = _IN_FORCE.search(line)
+        match = _IN_FORCE_MESSAGE.search(line)
         if match is not None:
             moment = datetime.fromisoformat(json.loads(line)["time"])
             found.append((moment.timestamp(), int(match[1])))
     return found
 
 
-def find_wait(versions: Sequence[tuple[float, int]], accepted: Accepted) -> float:
+def compute_delay(
+    versions: Sequence[tuple[float, int]], accepted: AcceptedVersion
+) -> float:
     """Return the seconds from accepted to in force, negative if it was before."""
     for moment_s, version in versions:
         if version >= accepted.version:
@@ -181,10 +190,10 @@
     return math.inf
 
 
-def show_force(forces: Sequence[Force]) -> None:
+def show_propagation(situations: Sequence[PropagationTimes]) -> None:
     """Print the percentiles of each situation."""
     print("\nseconds from accepted to in force            p50     p99   worst")
-    for force in forces:
+    for force in situations:
         rows = {
             "in every failure domain": force.everywhere,
             "at each node": force.nodes,
--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -19,7 +19,7 @@
 
     from benchmarks.capacity_cluster import Cluster, Shape, Traffic, Usage
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 @frozen
@@ -69,16 +69,18 @@
 
 def find_delegates(cluster: Cluster) -> set[str]:
     """Return the peer addresses of the nodes that speak for their failure domain."""
-    return _choose(cluster, lambda domain: domain, DELEGATES)
+    return _choose_per_domain(cluster, lambda domain: domain, DELEGATES)
 
 
 def find_readers(cluster: Cluster) -> set[str]:
     """Return the peer addresses of the nodes that always tail the configuration."""
     # the rule of eelgrassmount.config.readers with its lasting salt
-    return _choose(cluster, lambda domain: "", READERS)
+    return _choose_per_domain(cluster, lambda domain: "", READERS)
 
 
-def _choose(cluster: Cluster, key: Callable[[str], str], count: int) -> set[str]:
+def _choose_per_domain(
+    cluster: Cluster, key: Callable[[str], str], count: int
+) -> set[str]:
     domains: dict[str, list[str]] = {}
     for node in cluster.nodes:
         domains.setdefault(node.failure_domain, []).append(node.peer_address)
@@ -90,7 +92,7 @@
 
 
 @frozen
-class Reading:
+class ProcessReading:
     """What one process had used and sent up to some moment."""
 
     pid: int
@@ -99,7 +101,7 @@
 
 
 def measure(
-    cluster: Cluster, name: str, seconds: float, work: Callable[[float], int]
+    cluster: Cluster, name: str, seconds: float, make_changes: Callable[[float], int]
 ) -> Phase:
     """Measure all nodes while ``work`` makes changes until its deadline.
 
@@ -111,48 +113,54 @@
     traffics = [read_traffic(node.admin_address) for node in cluster.nodes]
     usages = [read_usage(node.process.pid) for node in cluster.nodes]
     before = {
-        node.name: Reading(node.process.pid, usage, traffic)
+        node.name: ProcessReading(node.process.pid, usage, traffic)
         for node, usage, traffic in zip(cluster.nodes, usages, traffics, strict=True)
     }
-    began_s = time.monotonic()
-    changes = work(began_s + seconds)
-    time.sleep(max(0.0, began_s + seconds - time.monotonic()))
-    took_s = time.monotonic() - began_s
-    stayed = [
+    started_s = time.monotonic()
+    changes = make_changes(started_s + seconds)
+    time.sleep(max(0.0, started_s + seconds - time.monotonic()))
+    elapsed_s = time.monotonic() - started_s
+    unchanged_nodes = [
         node for node in cluster.nodes if node.process.pid == before[node.name].pid
     ]
-    usages = [read_usage(node.process.pid) for node in stayed]
+    usages = [read_usage(node.process.pid) for node in unchanged_nodes]
     after = {
-        node.name: Reading(node.process.pid, usage, read_traffic(node.admin_address))
-        for node, usage in zip(stayed, usages, strict=True)
+        node.name: ProcessReading(
+            node.process.pid, usage, read_traffic(node.admin_address)
+        )
+        for node, usage in zip(unchanged_nodes, usages, strict=True)
     }
     delegates, readers = find_delegates(cluster), find_readers(cluster)
     costs = [
         evolve(
-            _compare(before[node.name], after[node.name], took_s),
+            _compute_cost(before[node.name], after[node.name], elapsed_s),
             phase=name,
             domains=cluster.shape.domains,
             members=cluster.shape.members,
             services=cluster.shape.services,
             delegate=node.peer_address in delegates,
             reader=node.peer_address in readers,
-            changes_a_second=changes / took_s,
+            changes_a_second=changes / elapsed_s,
         )
-        for node in stayed
+        for node in unchanged_nodes
     ]
     return Phase(
         costs,
-        _compare_appends(cluster, name, appends, took_s),
+        _compute_appends(cluster, name, appends, elapsed_s),
         _sum_errors(after) - _sum_errors({name: before[name] for name in after}),
     )
 
 
-def _compare(before: Reading, after: Reading, took_s: float) -> Cost:
+def _compute_cost(
+    before: ProcessReading, after: ProcessReading, elapsed_s: float
+) -> Cost:
     def rate(name: str) -> float:
-        return (getattr(after.traffic, name) - getattr(before.traffic, name)) / took_s
+        return (
+            getattr(after.traffic, name) - getattr(before.traffic, name)
+        ) / elapsed_s
 
     return Cost(
-        cpu_ms=_MS * (after.usage.cpu_s - before.usage.cpu_s) / took_s,
+        cpu_ms=_MS_PER_S * (after.usage.cpu_s - before.usage.cpu_s) / elapsed_s,
         memory_mb=after.usage.memory_mb,
         bytes_sent=rate("bytes_sent"),
         bytes_received=rate("bytes_received"),
@@ -161,7 +169,7 @@
     )
 
 
-def _sum_errors(readings: dict[str, Reading]) -> float:
+def _sum_errors(readings: dict[str, ProcessReading]) -> float:
     traffics = [reading.traffic for reading in readings.values()]
     return sum(traffic.log_errors + traffic.internal_errors for traffic in traffics)
 
@@ -176,8 +184,8 @@
     )
 
 
-def _compare_appends(
-    cluster: Cluster, name: str, before: Counter[tuple[str, int]], took_s: float
+def _compute_appends(
+    cluster: Cluster, name: str, before: Counter[tuple[str, int]], elapsed_s: float
 ) -> Appends:
     new = _sum_appends(cluster) - before
     seconds: Counter[int] = Counter()
@@ -188,8 +196,8 @@
     return Appends(
         phase=name,
         shape=cluster.shape,
-        seconds=took_s,
-        mean=sum(seconds.values()) / took_s,
+        seconds=elapsed_s,
+        mean=sum(seconds.values()) / elapsed_s,
         worst=max(seconds.values(), default=0),
         streams=dict(streams),
     )
@@ -198,27 +206,27 @@
 def show_costs(costs: list[Cost]) -> None:
     """Print the mean of the nodes of each phase, and of the delegates."""
     for delegate in (False, True):
-        chosen = [cost for cost in costs if cost.delegate is delegate]
-        if not chosen:
+        selected = [cost for cost in costs if cost.delegate is delegate]
+        if not selected:
             continue
-        one = chosen[0]
-        cpu = [cost.cpu_ms for cost in chosen]
-        most = max(cost.bytes_sent for cost in chosen)
+        first_cost = selected[0]
+        cpu = [cost.cpu_ms for cost in selected]
+        max_bytes_sent = max(cost.bytes_sent for cost in selected)
 
-        def mean(name: str, chosen: list[Cost] = chosen) -> float:
-            return statistics.mean(getattr(cost, name) for cost in chosen)
+        def mean(name: str, selected: list[Cost] = selected) -> float:
+            return statistics.mean(getattr(cost, name) for cost in selected)
 
         print(
-            f"{one.phase:16} {one.domains:3} x {one.members:3},"
-            f" {one.services:3} services,"
-            f" {'delegates' if delegate else 'others':9} {len(chosen):4}"
+            f"{first_cost.phase:16} {first_cost.domains:3} x {first_cost.members:3},"
+            f" {first_cost.services:3} services,"
+            f" {'delegates' if delegate else 'others':9} {len(selected):4}"
             f" cpu ms/s {statistics.mean(cpu):6.2f} (most {max(cpu):6.2f})"
             f" MB {mean('memory_mb'):5.1f}"
-            f" B/s out {mean('bytes_sent'):6.0f} (most {most:6.0f})"
+            f" B/s out {mean('bytes_sent'):6.0f} (most {max_bytes_sent:6.0f})"
             f" in {mean('bytes_received'):6.0f}"
             f" msg/s out {mean('messages_sent'):5.1f}"
             f" in {mean('messages_received'):5.1f}"
-            f" changes/s {one.changes_a_second:.2f}",
+            f" changes/s {first_cost.changes_a_second:.2f}",
             flush=True,
         )
 
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -40,19 +40,19 @@
 SEED = 20261202
 SIZES = ((10, 5), (50, 370), (300, 100), (715, 5), (715, 370))
 OTHER_DOMAINS = 13
-ADDRESSES = 2
+ADDRESSES_PER_SUMMARY = 2
 IP = "127.0.0.1"
-OWN = "domain-0"
-SUBJECT = "service-0"
+LOCAL_DOMAIN = "domain-0"
+SERVICE = "service-0"
 FIRST_PORT = 1000
 LAST_PORT = 9000
-IDLE_PAUSE_S = 1.0
-KEYS_PLANS_PER_S = 2.0
+TAIL_CHECK_INTERVAL_S = 1.0
+KEY_PLANS_PER_S = 2.0
 _REPEATS = 15
-_US = 1_000_000
+_US_PER_S = 1_000_000
 
 
-class Idle:
+class IdleTaskGroup:
     """Takes tasks and runs none of them."""
 
     def start_soon(self, function: object, *args: object) -> None:
@@ -90,34 +90,36 @@
 async def _build(
     group: anyio.abc.TaskGroup, members: int, services: int, delegate: bool
 ) -> Node:
-    own = _find_address(members, delegate)
+    local_address = _find_local_address(members, delegate)
     # nothing listens; the addresses only have to differ
     others = ("caller_address", "backend_address", "admin_address", "log_address")
     flags = {name: f"{IP}:{port}" for port, name in enumerate(others, start=1)}
-    settings = load_settings({**flags, "peer_address": own, "failure_domain": OWN}, {})
+    settings = load_settings(
+        {**flags, "peer_address": local_address, "failure_domain": LOCAL_DOMAIN}, {}
+    )
     node = build_node(settings, group)
     _fill(node, members, services)
-    idle = Idle()
-    await node.base.peers.start(idle)
-    await node.membership.start(idle)
-    await node.follower.start(idle)
-    await node.keys.start(idle)
+    task_group = IdleTaskGroup()
+    await node.base.peers.start(task_group)
+    await node.membership.start(task_group)
+    await node.follower.start(task_group)
+    await node.keys.start(task_group)
     node.path.announcements.start()
     node.path.probes.start()
-    node.shutdown.start(idle)
-    node.base.board.server = LocalServer(SUBJECT, f"{IP}:9", ServerState.SERVING)
+    node.shutdown.start(task_group)
+    node.base.board.server = LocalServer(SERVICE, f"{IP}:9", ServerState.SERVING)
     return node
 
 
-def _find_address(members: int, delegate: bool) -> str:
+def _find_local_address(members: int, delegate: bool) -> str:
     """Return an own address whose hash makes the node a delegate, or not."""
     others = [_name_member(number) for number in range(members - 1)]
     for port in range(FIRST_PORT, LAST_PORT):
-        own = f"{IP}:{port}"
-        delegates = choose_addresses(OWN, [*others, own], DELEGATES)
-        readers = choose_addresses("", [*others, own], READERS)
-        if (own in delegates, own in readers) == (delegate, False):
-            return own
+        local_address = f"{IP}:{port}"
+        delegates = choose_addresses(LOCAL_DOMAIN, [*others, local_address], DELEGATES)
+        readers = choose_addresses("", [*others, local_address], READERS)
+        if (local_address in delegates, local_address in readers) == (delegate, False):
+            return local_address
     raise RuntimeError("no address with that rank")
 
 
@@ -131,7 +133,7 @@
             roster.learn_summary(_make_summary(domain, service, now_s), now_s)
     # what the own failure domain has published, as it would be after a while
     known = roster.table.members.values()
-    for summary in summarize_services(known, {}, OWN, now_s).values():
+    for summary in summarize_services(known, {}, LOCAL_DOMAIN, now_s).values():
         roster.learn_summary(evolve(summary, sequence=1), now_s)
 
 
@@ -143,7 +145,7 @@
     return Member(
         Identity(
             _name_member(number),
-            OWN,
+            LOCAL_DOMAIN,
             "default",
             f"{number:016x}",
         ),
@@ -162,12 +164,12 @@
         failure_domain=f"domain-{domain}",
         service=f"service-{service}",
         sequence=1,
-        servers=ADDRESSES,
+        servers=ADDRESSES_PER_SUMMARY,
         headroom=40,
         threshold=2048,
         addresses=tuple(
             f"127.{domain}.{service % 250}.{index + 1}:9000"
-            for index in range(ADDRESSES)
+            for index in range(ADDRESSES_PER_SUMMARY)
         ),
         heard_s=now_s,
     )
@@ -189,11 +191,11 @@
         follower._plan(core.read_roster())
 
     return [
-        Work("keys: roster and plan", _time(plan), KEYS_PLANS_PER_S),
+        Work("keys: roster and plan", _time(plan), KEY_PLANS_PER_S),
         Work(
             "ConfigFollower.tails_log",
             _time(lambda: node.follower.tails_log),
-            1.0 / IDLE_PAUSE_S,
+            1.0 / TAIL_CHECK_INTERVAL_S,
         ),
     ]
 
@@ -201,14 +203,14 @@
 def _time_path(node: Node) -> list[Work]:
     """Time the choices that each call costs."""
     control = node.path.control
-    far = _make_context("far")
+    remote_context = _make_context("far")
     excluded = {
         member.identity.address
-        for member in node.base.board.members.find_serving(SUBJECT)
+        for member in node.base.board.members.find_serving(SERVICE)
     }
 
     def choose(excluded: set[str]) -> None:
-        address = control.choose(far, SUBJECT, excluded)
+        address = control.choose(remote_context, SERVICE, excluded)
         if address is not None:
             control.routing.records[address].outstanding = 0
 
@@ -239,7 +241,7 @@
     action()
     times = []
     for _ in range(_REPEATS):
-        began_s = time.process_time()
+        started_s = time.process_time()
         action()
-        times.append(time.process_time() - began_s)
-    return float(np.median(times)) * _US
+        times.append(time.process_time() - started_s)
+    return float(np.median(times)) * _US_PER_S
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -141,12 +141,12 @@
         figures: dict[str, list[float]] = {"plain": [], "own": [], "minted": []}
         figures["repeat"] = []
         for number in range(ROUNDS):
-            own = [f"{number}-{index}" for index in range(CALLS)]
-            minted = [primary.mint() for _ in range(CALLS)]
-            figures["plain"].append(await time_calls(answer_at_once, own))
-            figures["own"].append(await time_calls(primary.run, own))
-            figures["repeat"].append(await time_calls(primary.run, own))
-            figures["minted"].append(await time_calls(primary.run, minted))
+            new_keys = [f"{number}-{index}" for index in range(CALLS)]
+            minted_keys = [primary.mint() for _ in range(CALLS)]
+            figures["plain"].append(await time_calls(answer_at_once, new_keys))
+            figures["own"].append(await time_calls(primary.run, new_keys))
+            figures["repeat"].append(await time_calls(primary.run, new_keys))
+            figures["minted"].append(await time_calls(primary.run, minted_keys))
         group.cancel_scope.cancel()
     for name, values in figures.items():
         low, high = min(values), max(values)
@@ -157,7 +157,7 @@
     table = KeyTable(Budget(KEYS, 1 << 30))
     gc.collect()
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    start_bytes = tracemalloc.get_traced_memory()[0]
     for number in range(KEYS):
         key = f"0194f3c2-7a11-7000-8000-{number:012x}"
         body = b'{"booking": %d, "state": "accepted"}' % number
@@ -165,9 +165,11 @@
         table.put(entry)
         table.finish(entry, Outcome(Answered(201, (), body)), 1.0)
         find_slot(key)
-    used = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - start_bytes
     tracemalloc.stop()
-    print(f"memory   {used / KEYS:7.0f} bytes a key at each holder, body included")
+    print(
+        f"memory   {used_bytes / KEYS:7.0f} bytes a key at each holder, body included"
+    )
 
 
 def main() -> None:
--- a/benchmarks/limiter.py
+++ b/benchmarks/limiter.py
@@ -15,17 +15,17 @@
 
 _SECONDS = 30
 _SEED = 7
-_CHANGE_S = 10.0
-_BACK_S = 20.0
+_SLOWDOWN_START_S = 10.0
+_SLOWDOWN_END_S = 20.0
 
 
 @define
-class Gradient:
+class GradientLimiter:
     """Latency gradient against a slowly following baseline."""
 
     size: float = 8.0
-    short_s: float = 0.0
-    long_s: float = 0.0
+    fast_average_s: float = 0.0
+    slow_average_s: float = 0.0
 
     @property
     def limit(self) -> int:
@@ -44,26 +44,26 @@
             self.size *= 0.95
             return
         service_s = sample.latency_s - sample.downstream_s
-        self.short_s += 0.05 * (service_s - self.short_s)
-        if not self.long_s:
-            self.short_s = self.long_s = service_s
-        self.long_s += 0.001 * (service_s - self.long_s)
-        if self.long_s > 2.0 * self.short_s:
-            self.long_s *= 0.95
+        self.fast_average_s += 0.05 * (service_s - self.fast_average_s)
+        if not self.slow_average_s:
+            self.fast_average_s = self.slow_average_s = service_s
+        self.slow_average_s += 0.001 * (service_s - self.slow_average_s)
+        if self.slow_average_s > 2.0 * self.fast_average_s:
+            self.slow_average_s *= 0.95
         if in_flight < self.size / 2:
             return
-        gradient = min(1.0, max(0.5, 1.2 * self.long_s / self.short_s))
-        aim = self.size * gradient + math.sqrt(self.size)
-        self.size = max(2.0, 0.95 * self.size + 0.05 * aim)
+        gradient = min(1.0, max(0.5, 1.2 * self.slow_average_s / self.fast_average_s))
+        target = self.size * gradient + math.sqrt(self.size)
+        self.size = max(2.0, 0.95 * self.size + 0.05 * target)
 
 
 @define
-class Aimd:
+class AimdLimiter:
     """Additive growth, and a cut when latency passes a multiple of the least."""
 
     size: float = 8.0
-    least_s: float = math.inf
-    last_cut_s: float = 0.0
+    min_s: float = math.inf
+    last_reduction_s: float = 0.0
 
     @property
     def limit(self) -> int:
@@ -75,19 +75,19 @@
 
     def adjust(self, now_s: float) -> None:
         """Let the baseline age."""
-        self.least_s *= 1.005
+        self.min_s *= 1.005
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
         """Grow by one for each full round of runs, or cut."""
         service_s = sample.latency_s - sample.downstream_s
         slow = sample.kind is SampleKind.SHED
         if not slow:
-            self.least_s = min(self.least_s, service_s)
-            slow = service_s > 4.0 * self.least_s
+            self.min_s = min(self.min_s, service_s)
+            slow = service_s > 4.0 * self.min_s
         if slow:
-            if now_s - sample.latency_s > self.last_cut_s:
+            if now_s - sample.latency_s > self.last_reduction_s:
                 self.size = max(2.0, self.size * 0.9)
-                self.last_cut_s = now_s
+                self.last_reduction_s = now_s
         elif in_flight >= self.size * 0.9:
             self.size += 1.0 / self.size
 
@@ -98,19 +98,19 @@
 
     name: str
     slots: int
-    mean_s: float
-    spread: float
-    change: Callable[[float], float] = lambda now_s: 1.0
+    mean_service_s: float
+    sigma: float
+    slowdown: Callable[[float], float] = lambda now_s: 1.0
     downstream_s: float = 0.0
-    most_in_flight: int = 1_000_000
+    max_in_flight: int = 1_000_000
 
 
-def _cold(now_s: float) -> float:
+def _slow_at_start(now_s: float) -> float:
     return 1.0 + 7.0 * math.exp(-now_s / 2.0)
 
 
-def _slow(now_s: float) -> float:
-    return 10.0 if _CHANGE_S <= now_s < _BACK_S else 1.0
+def _slow_from_10_to_20_s(now_s: float) -> float:
+    return 10.0 if _SLOWDOWN_START_S <= now_s < _SLOWDOWN_END_S else 1.0
 
 
 SCENARIOS = (
@@ -118,12 +118,12 @@
     Scenario("25 slots, wide", 25, 0.05, 0.8),
     Scenario("180 slots", 180, 0.05, 0.3),
     Scenario("180 slots, wide", 180, 0.05, 0.8),
-    Scenario("180, cold", 180, 0.05, 0.3, _cold),
-    Scenario("25, slow at 10-20", 25, 0.05, 0.3, _slow),
-    Scenario("180, slow at 10-20", 180, 0.05, 0.3, _slow),
+    Scenario("180, cold", 180, 0.05, 0.3, _slow_at_start),
+    Scenario("25, slow at 10-20", 25, 0.05, 0.3, _slow_from_10_to_20_s),
+    Scenario("180, slow at 10-20", 180, 0.05, 0.3, _slow_from_10_to_20_s),
     Scenario("25, downstream", 25, 0.05, 0.3, downstream_s=0.2),
     Scenario("5 slots", 5, 0.08, 0.3),
-    Scenario("25, sheds at 30", 25, 0.05, 0.3, most_in_flight=30),
+    Scenario("25, sheds at 30", 25, 0.05, 0.3, max_in_flight=30),
 )
 
 
@@ -135,16 +135,16 @@
 ) -> Run:
     """Run one scenario at a multiple of its capacity."""
     rng = random.Random(_SEED)
-    shift = -(scenario.spread**2) / 2.0
+    mu = -(scenario.sigma**2) / 2.0
 
     def draw_service_s(now_s: float) -> float:
-        factor = rng.lognormvariate(shift, scenario.spread)
-        return scenario.mean_s * scenario.change(now_s) * factor
+        factor = rng.lognormvariate(mu, scenario.sigma)
+        return scenario.mean_service_s * scenario.slowdown(now_s) * factor
 
-    held_s = scenario.mean_s + scenario.downstream_s
-    offered = load * scenario.slots / held_s
+    slot_time_s = scenario.mean_service_s + scenario.downstream_s
+    offered = load * scenario.slots / slot_time_s
     server = ServerModel(
-        scenario.slots, draw_service_s, scenario.downstream_s, scenario.most_in_flight
+        scenario.slots, draw_service_s, scenario.downstream_s, scenario.max_in_flight
     )
     run = Run(server, limiter, lambda now_s: offered, rng)
     simulate(run, seconds)
@@ -154,13 +154,14 @@
 def _report(scenario: Scenario, name: str, limiter: LimiterPort) -> None:
     points = measure(scenario, limiter).points
     limits = " ".join(
-        f"{points[at].limit:4.0f}" for at in (0, 1, 2, 4, 8, 11, 13, 18, 20, 22, 28)
+        f"{points[second].limit:4.0f}"
+        for second in (0, 1, 2, 4, 8, 11, 13, 18, 20, 22, 28)
     )
-    held_s = scenario.mean_s + scenario.downstream_s
+    slot_time_s = scenario.mean_service_s + scenario.downstream_s
     goodput = sum(
-        point.completed * scenario.change(point.second + 0.5) for point in points[3:]
+        point.completed * scenario.slowdown(point.second + 0.5) for point in points[3:]
     )
-    share = goodput * held_s / scenario.slots / (len(points) - 3)
+    share = goodput * slot_time_s / scenario.slots / (len(points) - 3)
     shed = sum(point.shed for point in points)
     print(f"{scenario.name:20} {name:9} {limits}  {share:5.2f} {shed:5}")
 
@@ -171,8 +172,8 @@
     for scenario in SCENARIOS:
         _report(scenario, "probe", Limiter())
         if "--all" in sys.argv:
-            _report(scenario, "gradient", Gradient())
-            _report(scenario, "aimd", Aimd())
+            _report(scenario, "gradient", GradientLimiter())
+            _report(scenario, "aimd", AimdLimiter())
 
 
 if __name__ == "__main__":
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -30,21 +30,21 @@
 _PROTOCOL = TBinaryProtocolAcceleratedFactory()
 _FRAME_BYTES = 4
 # passes of the event loop without any event after which nothing is left to do
-_QUIET_PASSES = 6
+_IDLE_PASSES = 6
 
 
 @define
-class Log:
+class InMemoryLog:
     """A log in memory that can be out."""
 
     down: bool = False
     records: list[Record] = field(factory=list)
-    first: int = 0
+    first_offset: int = 0
 
     async def append(self, stream: str, body: bytes) -> Appended | LogFailure:
         if self.down:
             return LogFailure("down", sent=False)
-        self.records.append(Record(self.first + len(self.records), body))
+        self.records.append(Record(self.first_offset + len(self.records), body))
         return Appended(self.records[-1].offset)
 
     async def read(
@@ -53,8 +53,8 @@
         if self.down:
             return LogFailure("down", sent=False)
         kept = [record for record in self.records if record.offset >= offset]
-        end = self.first + len(self.records)
-        return Page(self.first, end, tuple(kept[:limit]))
+        end = self.first_offset + len(self.records)
+        return Page(self.first_offset, end, tuple(kept[:limit]))
 
 
 @define(eq=False)
@@ -90,13 +90,13 @@
     async def ask(
         self, address: str, message: ttypes.Message, timeout_s: float
     ) -> ttypes.Message | PeerFailure:
-        reply = await self.network.carry(self, address, message, timeout_s)
+        reply = await self.network.deliver(self, address, message, timeout_s)
         while self.frozen:
             await self.thawed.wait()
         return reply
 
     async def tell(self, address: str, message: ttypes.Message) -> bool:
-        reply = await self.network.carry(self, address, message, 0.0)
+        reply = await self.network.deliver(self, address, message, 0.0)
         return not isinstance(reply, PeerFailure)
 
     def serve(self, service: str, state: ServerState = ServerState.SERVING) -> None:
@@ -124,14 +124,18 @@
         if message.ping is not None and not message.ping.address:
             return body
         kind = "gossip" if message.gossip is not None else "ping"
-        who = sender.identity
+        identity = sender.identity
         hello = ttypes.Hello(
-            who.address, who.failure_domain, who.region, who.incarnation, 1
+            identity.address,
+            identity.failure_domain,
+            identity.region,
+            identity.incarnation,
+            1,
         )
         reply = await self.membership.handlers()[kind](hello, message)
         return None if reply is None else serialize(reply, _PROTOCOL)
 
-    def sees(self, address: str) -> MemberState | None:
+    def get_member_state(self, address: str) -> MemberState | None:
         member = self.board.members.members.get(address)
         return None if member is None else member.state
 
@@ -143,9 +147,9 @@
     rng: random.Random
     clock: ManualClock = field(factory=ManualClock)
     pace: Pace = field(factory=Pace)
-    log: Log = field(factory=Log)
+    log: InMemoryLog = field(factory=InMemoryLog)
     loss: float = 0.0
-    is_cut: Callable[[Node, Node], bool] = lambda source, target: False
+    is_partitioned: Callable[[Node, Node], bool] = lambda source, target: False
     nodes: dict[str, Node] = field(factory=dict)
     timers: TimerService = field(init=False)
     tasks: anyio.abc.TaskGroup = field(init=False)
@@ -185,7 +189,7 @@
         await node.membership.start(node)
         return node
 
-    async def carry(
+    async def deliver(
         self, source: Node, address: str, message: ttypes.Message, timeout_s: float
     ) -> ttypes.Message | PeerFailure:
         self.events += 1
@@ -195,7 +199,7 @@
         body = serialize(message, _PROTOCOL)
         source.bytes_out += len(body) + _FRAME_BYTES
         source.messages_out += 1
-        if self._loses(source, target):
+        if self._drops(source, target):
             return await self._time_out(address, timeout_s)
         if target.frozen:
             target.backlog.append((source, body))
@@ -206,42 +210,42 @@
             return ttypes.Message()
         target.bytes_out += len(reply) + _FRAME_BYTES
         target.messages_out += 1
-        if self._loses(target, source):
+        if self._drops(target, source):
             return await self._time_out(address, timeout_s)
         source.bytes_in += len(reply) + _FRAME_BYTES
         return deserialize(ttypes.Message(), reply, _PROTOCOL)
 
-    def _loses(self, source: Node, target: Node) -> bool:
-        return self.is_cut(source, target) or self.rng.random() < self.loss
+    def _drops(self, source: Node, target: Node) -> bool:
+        return self.is_partitioned(source, target) or self.rng.random() < self.loss
 
     async def _time_out(self, address: str, timeout_s: float) -> PeerFailure:
-        over = anyio.Event()
-        self.timers.schedule(timeout_s, over.set)
-        await over.wait()
+        expired = anyio.Event()
+        self.timers.schedule(timeout_s, expired.set)
+        await expired.wait()
         self.events += 1
         return PeerFailure(address, sent=True)
 
     async def run(self, seconds: float) -> None:
         await self.run_until(lambda: False, seconds)
 
-    async def run_until(self, holds: Callable[[], bool], limit_s: float) -> float:
+    async def run_until(self, condition: Callable[[], bool], limit_s: float) -> float:
         """Move the clock until something holds; return the seconds it took."""
         start_s = self.clock.now_s
-        while self.clock.now_s < start_s + limit_s and not holds():
+        while self.clock.now_s < start_s + limit_s and not condition():
             self.clock.now_s += STEP_S
-            started = time.process_time()
+            started_s = time.process_time()
             for node in list(self.nodes.values()):
                 if not node.frozen:
                     node.timers.run_due()
             self.timers.run_due()
             await self._settle()
-            self.cpu_s += time.process_time() - started
+            self.cpu_s += time.process_time() - started_s
         return self.clock.now_s - start_s
 
     async def _settle(self) -> None:
         """Let all tasks run until they wait for the clock."""
-        quiet = 0
-        while quiet < _QUIET_PASSES:
+        idle_passes = 0
+        while idle_passes < _IDLE_PASSES:
             before = self.events
             await anyio.sleep(0)
-            quiet = quiet + 1 if self.events == before else 0
+            idle_passes = idle_passes + 1 if self.events == before else 0
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -34,11 +34,11 @@
 SEED = 20261202
 SETTLE_S = 20.0
 MEASURE_S = 20.0
-BETWEEN_FREEZES_S = 10.0
+FREEZE_INTERVAL_S = 10.0
 FREEZES_S = (0.1, 0.3, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
-JOIN_LIMIT_S = 120.0
+JOIN_TIMEOUT_S = 120.0
 PARTS = ("costs", "detection", "drain", "ideas", "all")
-GONE = (MemberState.SUSPECT, MemberState.DEAD)
+SUSPECT_OR_DEAD = (MemberState.SUSPECT, MemberState.DEAD)
 
 
 @frozen
@@ -77,14 +77,14 @@
 
 
 def make_load(rng: random.Random, changing: bool) -> Callable[[], ServiceLoad]:
-    def describe() -> ServiceLoad:
+    def describe_load() -> ServiceLoad:
         headroom = rng.choice([5, 20, 80]) if changing else 20
         return ServiceLoad("service", headroom=headroom)
 
-    return describe
+    return describe_load
 
 
-async def grow(
+async def start_nodes(
     network: Network, domains: int, nodes: int, services: int, changing: bool
 ) -> float:
     """Start all nodes at once through a few seeds; return the time it took."""
@@ -97,14 +97,14 @@
             node.serve(f"service-{index % services}")
 
     def complete() -> bool:
-        wanted = (domains - 1) * services
+        expected_summaries = (domains - 1) * services
         return all(
             len(node.board.members.members) == nodes
-            and len(node.board.members.summaries) == wanted
+            and len(node.board.members.summaries) == expected_summaries
             for node in network.nodes.values()
         )
 
-    return await network.run_until(complete, JOIN_LIMIT_S)
+    return await network.run_until(complete, JOIN_TIMEOUT_S)
 
 
 async def measure_cost(
@@ -114,23 +114,23 @@
     rng = random.Random(SEED)
     async with Network(rng).open() as network:
         changing = scenario == "load changes"
-        join_s = await grow(network, domains, nodes, services, changing)
-        everyone = list(network.nodes.values())
-        total = len(everyone)
-        join_kb = sum(node.bytes_out for node in everyone) / total / 1024
+        join_s = await start_nodes(network, domains, nodes, services, changing)
+        nodes_measured = list(network.nodes.values())
+        total = len(nodes_measured)
+        join_kb = sum(node.bytes_out for node in nodes_measured) / total / 1024
         await network.run(SETTLE_S)
-        before = [(node.bytes_out, node.messages_out) for node in everyone]
+        before = [(node.bytes_out, node.messages_out) for node in nodes_measured]
         pulls = count(network, Count.PULLS)
         cpu_s = network.cpu_s
         await (churn(network, churn_s) if churn_s else network.run(MEASURE_S))
         cpu_s = network.cpu_s - cpu_s
         sent = [
-            node.bytes_out - was
-            for node, (was, _) in zip(everyone, before, strict=True)
+            node.bytes_out - previous
+            for node, (previous, _) in zip(nodes_measured, before, strict=True)
         ]
         messages = [
-            node.messages_out - was
-            for node, (_, was) in zip(everyone, before, strict=True)
+            node.messages_out - previous
+            for node, (_, previous) in zip(nodes_measured, before, strict=True)
         ]
         return Cost(
             scenario,
@@ -170,32 +170,32 @@
 
 async def measure_spread(domains: int, nodes: int, loss: float, runs: int) -> Spread:
     async with Network(random.Random(SEED)).open() as network:
-        await grow(network, domains, nodes, min(nodes, 10), changing=False)
+        await start_nodes(network, domains, nodes, min(nodes, 10), changing=False)
         network.loss = loss
-        took = []
+        durations = []
         for _ in range(runs):
             await network.run(5.0)
             leaving = network.rng.choice(list(network.nodes.values()))
             service = leaving.board.server.service
             leaving.serve(service, ServerState.DRAINING)
-            unknown = partial(is_unknown, network, leaving.address, service)
-            took.append(await network.run_until(unknown, 30.0))
+            drain_known = partial(is_drain_known, network, leaving.address, service)
+            durations.append(await network.run_until(drain_known, 30.0))
             leaving.serve(service)
-        return Spread(domains * nodes, domains, loss, runs, took)
+        return Spread(domains * nodes, domains, loss, runs, durations)
 
 
-def is_unknown(network: Network, address: str, service: str) -> bool:
+def is_drain_known(network: Network, address: str, service: str) -> bool:
     return not any(
-        knows_as_serving(node, address, service) for node in network.nodes.values()
+        is_seen_serving(node, address, service) for node in network.nodes.values()
     )
 
 
-def knows_as_serving(node: Node, address: str, service: str) -> bool:
-    near = node.board.members.members.get(address)
-    if near is not None and near.serves:
+def is_seen_serving(node: Node, address: str, service: str) -> bool:
+    member = node.board.members.members.get(address)
+    if member is not None and member.serves:
         return True
-    far = node.board.members.find_summaries(service)
-    return any(address in summary.addresses for summary in far)
+    summaries = node.board.members.find_summaries(service)
+    return any(address in summary.addresses for summary in summaries)
 
 
 def show_spreads(spreads: list[Spread]) -> None:
@@ -219,14 +219,14 @@
     print(json.dumps({"spreads": [asdict(one) for one in spreads]}))
 
 
-async def run_ideas(runs: int) -> None:
+async def run_comparisons(runs: int) -> None:
     """Compare staggered publishing and damped flapping with the lack of them."""
     for stagger_s in (Pace().stagger_s, 0.0):
-        published, took = await measure_stagger(stagger_s, runs)
+        published, durations = await measure_stagger(stagger_s, runs)
         print(
             f"stagger {stagger_s:.1f} s: {published:.2f} summaries a change,"
-            f" no new work after {statistics.median(took):.2f} s"
-            f" (worst {max(took):.2f})"
+            f" no new work after {statistics.median(durations):.2f} s"
+            f" (worst {max(durations):.2f})"
         )
     for max_hold_s in (flapping.MAX_HOLD_S, 0.0):
         returns, share = await measure_flapping(max_hold_s)
@@ -240,10 +240,10 @@
     """Return summaries published for each change, and the times until known."""
     pace = Pace(stagger_s=stagger_s)
     async with Network(random.Random(SEED), pace=pace).open() as network:
-        await grow(network, 3, 12, 4, changing=False)
+        await start_nodes(network, 3, 12, 4, changing=False)
         await network.run(SETTLE_S)
         before = count(network, Count.SUMMARIES_PUBLISHED)
-        took = []
+        durations = []
         for run in range(2 * runs):
             node = list(network.nodes.values())[7 * (run // 2) % 36]
             service = node.board.server.service
@@ -251,23 +251,23 @@
                 node.serve(service)
             else:
                 node.serve(service, ServerState.DRAINING)
-                unknown = partial(is_unknown, network, node.address, service)
-                took.append(await network.run_until(unknown, 30.0))
+                drain_known = partial(is_drain_known, network, node.address, service)
+                durations.append(await network.run_until(drain_known, 30.0))
             await network.run(5.0)
         published = count(network, Count.SUMMARIES_PUBLISHED) - before
-        return published / (2 * runs), took
+        return published / (2 * runs), durations
 
 
 async def measure_flapping(max_hold_s: float) -> tuple[float, float]:
     """Freeze one of 20 nodes for 2 s in each 5 s, for two minutes."""
-    usual_s, flapping.MAX_HOLD_S = flapping.MAX_HOLD_S, max_hold_s
+    default_max_hold_s, flapping.MAX_HOLD_S = flapping.MAX_HOLD_S, max_hold_s
     async with Network(random.Random(SEED)).open() as network:
-        await grow(network, 1, 20, 1, changing=False)
+        await start_nodes(network, 1, 20, 1, changing=False)
         victim, *others = network.nodes.values()
         seen = dict.fromkeys((node.address for node in others), True)
         returns = steps = serving = 0
 
-        def watch() -> bool:
+        def observe() -> bool:
             nonlocal returns, steps, serving
             for node in others:
                 serves = node.board.members.members[victim.address].serves
@@ -279,10 +279,10 @@
 
         for _ in range(24):
             victim.freeze()
-            await network.run_until(watch, 2.0)
+            await network.run_until(observe, 2.0)
             victim.thaw()
-            await network.run_until(watch, 3.0)
-    flapping.MAX_HOLD_S = usual_s
+            await network.run_until(observe, 3.0)
+    flapping.MAX_HOLD_S = default_max_hold_s
     return returns / len(others), serving / steps
 
 
@@ -297,9 +297,9 @@
     result = Detection(nodes, freeze_s, runs, 0, 0)
     suspected = dead = 0
     async with Network(rng).open() as network:
-        await grow(network, 1, nodes, 1, changing=False)
+        await start_nodes(network, 1, nodes, 1, changing=False)
         for _ in range(runs):
-            await network.run(BETWEEN_FREEZES_S)
+            await network.run(FREEZE_INTERVAL_S)
             victim = rng.choice(list(network.nodes.values()))
             seen = await freeze(network, victim, freeze_s, result)
             suspected += MemberState.SUSPECT in seen or MemberState.DEAD in seen
@@ -324,10 +324,10 @@
     seen: set[MemberState] = set()
     start_s = network.clock.now_s
 
-    def watch() -> bool:
-        states = {node.sees(victim.address) for node in others}
+    def observe() -> bool:
+        states = {node.get_member_state(victim.address) for node in others}
         elapsed_s = network.clock.now_s - start_s
-        if not seen & set(GONE) and states & set(GONE):
+        if not seen & set(SUSPECT_OR_DEAD) and states & set(SUSPECT_OR_DEAD):
             result.suspect_s.append(elapsed_s)
         if MemberState.DEAD not in seen and MemberState.DEAD in states:
             result.dead_s.append(elapsed_s)
@@ -335,14 +335,17 @@
         return False
 
     victim.freeze()
-    await network.run_until(watch, freeze_s)
+    await network.run_until(observe, freeze_s)
     victim.thaw()
 
-    def back() -> bool:
-        watch()
-        return all(node.sees(victim.address) is MemberState.ALIVE for node in others)
+    def all_see_alive() -> bool:
+        observe()
+        return all(
+            node.get_member_state(victim.address) is MemberState.ALIVE
+            for node in others
+        )
 
-    result.back_s.append(await network.run_until(back, 60.0))
+    result.back_s.append(await network.run_until(all_see_alive, 60.0))
     return seen
 
 
@@ -370,9 +373,11 @@
         values = np.array([getattr(cost, name) for cost in rest])
         slope, base = np.polyfit(nodes, values, 1)
         fitted = slope * nodes + base
-        spread = ((values - values.mean()) ** 2).sum()
-        fit = 1 - ((values - fitted) ** 2).sum() / spread if spread else 1.0
-        print(f"{name}: {base:.3f} + {slope:.6f} a member, r2 {fit:.3f}")
+        total_squares = ((values - values.mean()) ** 2).sum()
+        r2 = (
+            1 - ((values - fitted) ** 2).sum() / total_squares if total_squares else 1.0
+        )
+        print(f"{name}: {base:.3f} + {slope:.6f} a member, r2 {r2:.3f}")
 
 
 def show_detections(detections: list[Detection]) -> None:
@@ -437,7 +442,7 @@
     if options.part in ("drain", "all"):
         anyio.run(run_spreads, options.runs)
     if options.part in ("ideas", "all"):
-        anyio.run(run_ideas, options.runs)
+        anyio.run(run_comparisons, options.runs)
     print(f"took {time.monotonic() - started_s:.0f} s")
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -18,12 +18,12 @@
 import fire
 from attrs import asdict, evolve, frozen
 
-from benchmarks.overload_figures import Figures, Trial, compute_figures, list_goodput
+from benchmarks.overload_figures import Figures, Trial, compute_figures, count_goodput
 from benchmarks.overload_scenarios import (
-    AFTER_S,
-    BEFORE_S,
-    CALM,
-    CAUSE_S,
+    RECOVERY_S,
+    BASELINE_S,
+    NORMAL_LOAD,
+    DISTURBANCE_S,
     SCENARIOS,
     Scenario,
 )
@@ -35,15 +35,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_OUT = Path("out") / "overload"
+_OUTPUT_FOLDER = Path("out") / "overload"
 _CALLERS = 3
 _CALLER_RETRIES = 2
-_CALLER_PAUSE_MS = 300
+_CALLER_RETRY_PAUSE_MS = 300
 _HOP_RETRIES = 2
-_JOIN_S = 4.0
+_JOIN_WAIT_S = 4.0
 _CALLER_START_S = 1.0
-_CALLER_END_S = 60.0
-_CRASH_SHARE = 0.002
+_CALLER_EXIT_TIMEOUT_S = 60.0
+_CRASH_WEIGHT = 0.002
 
 
 @frozen
@@ -57,7 +57,7 @@
     letter: str
     name: str
     node_command: tuple[str, ...]
-    queue_slots: float | None = None
+    queue_factor: float | None = None
 
 
 _ROUND_ROBIN = (PYTHON, "-m", "standins.round_robin")
@@ -72,7 +72,7 @@
     """Run one scenario with one system and return what was recorded."""
     spec = DeploymentSpec(
         shape.failure_domains,
-        shape.make_services(system.queue_slots),
+        shape.make_services(system.queue_factor),
         relays=True,
         peer_delay_ms=shape.delay_ms,
         node_command=system.node_command,
@@ -84,8 +84,8 @@
         with Deployment(spec) as deployment:
             if system.letter == "c":
                 _publish(deployment, shape)
-            time.sleep(_JOIN_S)
-            return _load(deployment, scenario, shape, Path(folder))
+            time.sleep(_JOIN_WAIT_S)
+            return _run_load(deployment, scenario, shape, Path(folder))
 
 
 def _publish(deployment: Deployment, shape: Shape) -> None:
@@ -94,7 +94,7 @@
         raise RuntimeError(f"publishing failed: {result.stdout}{result.stderr}")
 
 
-def _load(
+def _run_load(
     deployment: Deployment, scenario: Scenario, shape: Shape, folder: Path
 ) -> Trial:
     outputs = [folder / f"records-{number}" for number in range(_CALLERS)]
@@ -102,17 +102,17 @@
         _start_caller(deployment, scenario, shape, number, output)
         for number, output in enumerate(outputs)
     ]
-    began_s = time.monotonic() + _CALLER_START_S
+    started_s = time.monotonic() + _CALLER_START_S
     cpu_before = _measure_cpu(deployment)
-    _sleep_until(began_s + BEFORE_S)
-    if scenario.begin is not None:
-        scenario.begin(deployment, shape)
-    _sleep_until(began_s + BEFORE_S + CAUSE_S)
-    if scenario.end is not None:
-        scenario.end(deployment, shape)
+    _sleep_until(started_s + BASELINE_S)
+    if scenario.start_fault is not None:
+        scenario.start_fault(deployment, shape)
+    _sleep_until(started_s + BASELINE_S + DISTURBANCE_S)
+    if scenario.end_fault is not None:
+        scenario.end_fault(deployment, shape)
     fault_end_s = time.monotonic()
     for caller in callers:
-        caller.wait(AFTER_S + _CALLER_END_S)
+        caller.wait(RECOVERY_S + _CALLER_EXIT_TIMEOUT_S)
     cpu_after = _measure_cpu(deployment)
     records = [
         Record.load(line)
@@ -120,18 +120,18 @@
         for line in output.read_text().splitlines()
     ]
     start_s = min(record.t_start for record in records)
-    cause_s = start_s + BEFORE_S
-    cause_end_s = cause_s + CAUSE_S
-    if scenario.end is not None:
-        cause_end_s = max(cause_end_s, fault_end_s)
+    disturbance_start_s = start_s + BASELINE_S
+    disturbance_end_s = disturbance_start_s + DISTURBANCE_S
+    if scenario.end_fault is not None:
+        disturbance_end_s = max(disturbance_end_s, fault_end_s)
     trial = Trial(
         shape,
         records,
         deployment.get_runs(),
         start_s,
-        cause_s,
-        cause_end_s,
-        start_s + BEFORE_S + CAUSE_S + AFTER_S,
+        disturbance_start_s,
+        disturbance_end_s,
+        start_s + BASELINE_S + DISTURBANCE_S + RECOVERY_S,
     )
     trial.cpu_s = {
         name: cpu_after[name] - cpu_before.get(name, 0.0) for name in cpu_after
@@ -148,16 +148,16 @@
 ) -> subprocess.Popen[bytes]:
     rate = shape.capacity_per_s / _CALLERS
     phases = [
-        (BEFORE_S, CALM * rate),
-        (CAUSE_S, scenario.load * rate),
-        (AFTER_S, CALM * rate),
+        (BASELINE_S, NORMAL_LOAD * rate),
+        (DISTURBANCE_S, scenario.load * rate),
+        (RECOVERY_S, NORMAL_LOAD * rate),
     ]
     # the command line of the callers reads true and false as words
     classes = [
         {**asdict(one), "keyed": int(one.keyed)} for one in shape.make_call_classes()
     ]
     if scenario.crashing and number == 0:
-        classes.append(_make_crashing(shape))
+        classes.append(_make_crash_class(shape))
     command = (
         PYTHON,
         "-m",
@@ -167,21 +167,21 @@
         f"--phases={json.dumps(phases)}",
         f"--output={output}",
         f"--retries={_CALLER_RETRIES}",
-        f"--pause_ms={_CALLER_PAUSE_MS}",
+        f"--pause_ms={_CALLER_RETRY_PAUSE_MS}",
         f"--seed={number + 1}",
     )
     return subprocess.Popen(command, stdout=subprocess.DEVNULL)
 
 
-def _make_crashing(shape: Shape) -> dict[str, object]:
+def _make_crash_class(shape: Shape) -> dict[str, object]:
     """Return a request that ends every server of the scarce service it reaches."""
     lookup = next(
         one
         for one in shape.make_call_classes()
-        if one.path.startswith(f"/{shape.scarce}/")
+        if one.path.startswith(f"/{shape.bottleneck}/")
     )
-    crash = {"request": "crash", "crash": True, "crash_service": shape.scarce}
-    return asdict(evolve(lookup, weight=_CRASH_SHARE, extra=crash))
+    crash = {"request": "crash", "crash": True, "crash_service": shape.bottleneck}
+    return asdict(evolve(lookup, weight=_CRASH_WEIGHT, extra=crash))
 
 
 def _sleep_until(at_s: float) -> None:
@@ -202,29 +202,29 @@
     return used
 
 
-def _report(
+def _print_figures(
     scenario: Scenario, system: System, shape: Shape, trial: Trial, figures: Figures
 ) -> None:
     print(f"\n{shape.name} {scenario.name} ({system.letter}) {system.name}")
     print("  class       offered/s  good/s refused/s  p50 ms  p99 ms")
     for one in figures.classes:
         print(
-            f"  {one.name:11} {one.offered_per_s:9.1f} {one.good_per_s:7.1f}"
+            f"  {one.name:11} {one.offered_per_s:9.1f} {one.goodput_per_s:7.1f}"
             f" {one.refused_per_s:9.1f} {one.p50_ms:7.0f} {one.p99_ms:7.0f}"
         )
     recovery = figures.recovery_s
     print(
-        f"  good {figures.good_per_s:.1f}/s; of {shape.scarce}"
-        f" {figures.scarce_good_per_s:.1f}/s of {shape.scarce_limit_per_s:.1f}/s;"
-        f" wasted {figures.wasted:.1%};"
-        f" calls per good request {figures.calls_per_good:.2f};"
-        f" sendings per request {figures.sendings_per_request:.2f}"
+        f"  good {figures.goodput_per_s:.1f}/s; of {shape.bottleneck}"
+        f" {figures.bottleneck_goodput_per_s:.1f}/s of {shape.bottleneck_capacity_per_s:.1f}/s;"
+        f" wasted {figures.wasted_share:.1%};"
+        f" calls per good request {figures.calls_per_good_request:.2f};"
+        f" sendings per request {figures.attempts_per_request:.2f}"
     )
     print(
         f"  recovery {'none' if recovery is None else f'{recovery:.1f} s'};"
-        f" refused-last refusals {figures.refused_last},"
+        f" refused-last refusals {figures.refused_last_refusals},"
         f" of them near a refused-first start {figures.inversions};"
-        f" doubled {figures.doubled}; false refusals {figures.false_refusals}"
+        f" doubled {figures.duplicate_runs}; false refusals {figures.false_refusals}"
     )
     used = ", ".join(f"{name} {cpu:.0f}" for name, cpu in sorted(trial.cpu_s.items()))
     print(f"  processor s: {used}", flush=True)
@@ -241,13 +241,15 @@
     trials = list(trials)
     figure, axes = pyplot.subplots(len(trials), 1, sharex=True, squeeze=False)
     for (system, trial), axis in zip(trials, axes[:, 0], strict=True):
-        counts = list_goodput(trial)
+        counts = count_goodput(trial)
         seconds = range(int(trial.end_s - trial.start_s))
         for name, count in counts.items():
             style = ":" if name == "offered" else "-"
             axis.plot(seconds, [count[at] for at in seconds], style, label=name)
         axis.axvspan(
-            trial.cause_s - trial.start_s, trial.cause_end_s - trial.start_s, alpha=0.1
+            trial.disturbance_start_s - trial.start_s,
+            trial.disturbance_end_s - trial.start_s,
+            alpha=0.1,
         )
         axis.set_title(f"({system.letter}) {system.name}")
         axis.set_ylabel("good/s")
@@ -255,11 +257,11 @@
     axes[-1, 0].set_xlabel("seconds")
     figure.set_size_inches(8, 3 * len(trials))
     figure.tight_layout()
-    figure.savefig(_OUT / f"{shape.name}-{scenario.name}.png")
+    figure.savefig(_OUTPUT_FOLDER / f"{shape.name}-{scenario.name}.png")
     pyplot.close(figure)
 
 
-def _choose(wanted: str, names: Iterable[str]) -> set[str]:
+def _parse_choice(wanted: str, names: Iterable[str]) -> set[str]:
     known = set(names)
     chosen = set(wanted.split(",")) if wanted else known
     if chosen - known:
@@ -271,24 +273,24 @@
     return value if isinstance(value, str) else ",".join(value)
 
 
-_USUAL_SCENARIOS = "surge-2x,surge-5x,slow-2x"
-_USUAL_SHAPE = "samiti"
+_DEFAULT_SCENARIOS = "surge-2x,surge-5x,slow-2x"
+_DEFAULT_SHAPE = "samiti"
 
 
 def main(
-    scenarios: str | tuple[str, ...] = _USUAL_SCENARIOS,
+    scenarios: str | tuple[str, ...] = _DEFAULT_SCENARIOS,
     systems: str | tuple[str, ...] = "",
-    shapes: str | tuple[str, ...] = _USUAL_SHAPE,
+    shapes: str | tuple[str, ...] = _DEFAULT_SHAPE,
 ) -> None:
     """Run the chosen scenarios and print the figures of each system.
 
     The usual ones take about eight minutes; ``--scenarios= --shapes=`` runs
     all of them, which takes most of an hour.
     """
-    _OUT.mkdir(parents=True, exist_ok=True)
-    chosen = _choose(_join(scenarios), (one.name for one in SCENARIOS))
-    letters = _choose(_join(systems), (one.letter for one in SYSTEMS))
-    for name in sorted(_choose(_join(shapes), SHAPES)):
+    _OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
+    chosen = _parse_choice(_join(scenarios), (one.name for one in SCENARIOS))
+    letters = _parse_choice(_join(systems), (one.letter for one in SYSTEMS))
+    for name in sorted(_parse_choice(_join(shapes), SHAPES)):
         shape = SHAPES[name]
         for scenario in SCENARIOS:
             if scenario.name not in chosen:
@@ -299,7 +301,7 @@
                     continue
                 trial = run_trial(scenario, system, shape)
                 figures = compute_figures(trial)
-                _report(scenario, system, shape, trial, figures)
+                _print_figures(scenario, system, shape, trial, figures)
                 trials.append((system, trial))
             _plot(scenario, shape, trials)
 
--- a/benchmarks/overload_figures.py
+++ b/benchmarks/overload_figures.py
@@ -15,8 +15,8 @@
     from standins.records import Record
 
 _SETTLE_S = 4.0
-_WITHIN = 0.95
-_SAME_TIME_S = 0.02
+_RECOVERED_SHARE = 0.95
+_MAX_INVERSION_GAP_S = 0.02
 
 
 @define
@@ -31,8 +31,8 @@
     records: list[Record]
     runs: list[dict[str, Any]]
     start_s: float
-    cause_s: float
-    cause_end_s: float
+    disturbance_start_s: float
+    disturbance_end_s: float
     end_s: float
     cpu_s: dict[str, float] = field(factory=dict)
 
@@ -43,7 +43,7 @@
 
     name: str
     offered_per_s: float
-    good_per_s: float
+    goodput_per_s: float
     refused_per_s: float
     p50_ms: float
     p99_ms: float
@@ -57,15 +57,15 @@
     """
 
     classes: tuple[ClassFigures, ...]
-    good_per_s: float
-    scarce_good_per_s: float
-    wasted: float
-    calls_per_good: float
-    sendings_per_request: float
+    goodput_per_s: float
+    bottleneck_goodput_per_s: float
+    wasted_share: float
+    calls_per_good_request: float
+    attempts_per_request: float
     recovery_s: float | None
     inversions: int
-    refused_last: int
-    doubled: int
+    refused_last_refusals: int
+    duplicate_runs: int
     false_refusals: int
 
 
@@ -78,47 +78,49 @@
 def compute_figures(trial: Trial) -> Figures:
     """Return the figures of a trial."""
     shape = trial.shape
-    seconds = trial.cause_end_s - trial.cause_s
-    classes = tuple(_measure_class(trial, one) for one in shape.classes)
-    scarce = sum(
-        figures.good_per_s * shape.count_scarce_calls(one)
+    seconds = trial.disturbance_end_s - trial.disturbance_start_s
+    classes = tuple(_compute_class_figures(trial, one) for one in shape.classes)
+    bottleneck = sum(
+        figures.goodput_per_s * shape.count_bottleneck_calls(one)
         for figures, one in zip(classes, shape.classes, strict=True)
     )
-    good = sum(figures.good_per_s for figures in classes)
-    started = [
+    good = sum(figures.goodput_per_s for figures in classes)
+    started_runs = [
         run
         for run in trial.runs
-        if trial.cause_s <= (run["started"] or 0.0) < trial.cause_end_s
+        if trial.disturbance_start_s
+        <= (run["started"] or 0.0)
+        < trial.disturbance_end_s
     ]
     sendings = sum(
-        trial.cause_s <= sending.t_start < trial.cause_end_s
+        trial.disturbance_start_s <= sending.t_start < trial.disturbance_end_s
         for record in trial.records
         for sending in record.sendings
     )
     offered = sum(figures.offered_per_s for figures in classes) * seconds
-    inversions, refused_last = _count_inversions(trial)
+    inversions, refused_last_refusals = _count_inversions(trial)
     return Figures(
         classes=classes,
-        good_per_s=good,
-        scarce_good_per_s=scarce,
-        wasted=_measure_waste(trial, started),
-        calls_per_good=len(started) / max(good * seconds, 1.0),
-        sendings_per_request=sendings / max(offered, 1.0),
-        recovery_s=measure_recovery(trial),
+        goodput_per_s=good,
+        bottleneck_goodput_per_s=bottleneck,
+        wasted_share=_compute_wasted_share(trial, started_runs),
+        calls_per_good_request=len(started_runs) / max(good * seconds, 1.0),
+        attempts_per_request=sendings / max(offered, 1.0),
+        recovery_s=find_recovery_s(trial),
         inversions=inversions,
-        refused_last=refused_last,
-        doubled=len(find_doubled(trial.runs)),
+        refused_last_refusals=refused_last_refusals,
+        duplicate_runs=len(find_doubled(trial.runs)),
         false_refusals=len(find_false_refusals(trial.records, trial.runs)),
     )
 
 
-def _measure_class(trial: Trial, one: ClassSpec) -> ClassFigures:
-    seconds = trial.cause_end_s - trial.cause_s
+def _compute_class_figures(trial: Trial, one: ClassSpec) -> ClassFigures:
+    seconds = trial.disturbance_end_s - trial.disturbance_start_s
     records = [
         record
         for record in trial.records
         if record.class_name == one.name
-        and trial.cause_s <= record.t_start < trial.cause_end_s
+        and trial.disturbance_start_s <= record.t_start < trial.disturbance_end_s
     ]
     good = [record for record in records if is_good(record, one)]
     refused = sum(record.outcome == "refused" for record in records)
@@ -133,7 +135,7 @@
     )
 
 
-def _measure_waste(trial: Trial, started: list[dict[str, Any]]) -> float:
+def _compute_wasted_share(trial: Trial, started_runs: list[dict[str, Any]]) -> float:
     """Return the part of the servers' time spent on requests that failed."""
     complete = {
         record.sendings[-1].request
@@ -142,7 +144,7 @@
     }
     busy_s = 0.0
     wasted_s = 0.0
-    for run in started:
+    for run in started_runs:
         run_s = (run["finished"] or trial.end_s) - run["started"]
         busy_s += run_s
         if run["request"] not in complete or run["outcome"] != "finished":
@@ -161,7 +163,9 @@
     starts = sorted(
         run["started"]
         for run in trial.runs
-        if run["service"] == shape.scarce and run["route"] in first and run["started"]
+        if run["service"] == shape.bottleneck
+        and run["route"] in first
+        and run["started"]
     )
     last = {one.name for one in shape.classes if one.refuse_last}
     refusals = [
@@ -171,14 +175,16 @@
         for sending in record.sendings
         if sending.reason in ("overload", "queue-full")
     ]
-    wrong = 0
+    inversions = 0
     for at_s in refusals:
-        index = bisect_left(starts, at_s - _SAME_TIME_S)
-        wrong += index < len(starts) and starts[index] <= at_s + _SAME_TIME_S
-    return wrong, len(refusals)
+        index = bisect_left(starts, at_s - _MAX_INVERSION_GAP_S)
+        inversions += (
+            index < len(starts) and starts[index] <= at_s + _MAX_INVERSION_GAP_S
+        )
+    return inversions, len(refusals)
 
 
-def list_goodput(trial: Trial) -> dict[str, Counter[int]]:
+def count_goodput(trial: Trial) -> dict[str, Counter[int]]:
     """Return good requests by class and by the second in which they began."""
     specs = {one.name: one for one in trial.shape.classes}
     counts: dict[str, Counter[int]] = {name: Counter() for name in specs}
@@ -191,30 +197,32 @@
     return counts
 
 
-def measure_recovery(trial: Trial) -> float | None:
+def find_recovery_s(trial: Trial) -> float | None:
     """Return the seconds after the cause until goodput is back, and stays.
 
     Goodput is the fraction of the requests begun in a second that were good;
     back is within 5 % of the mean before the cause.
     """
-    counts = list_goodput(trial)
+    counts = count_goodput(trial)
     offered = counts.pop("offered")
     good: Counter[int] = Counter()
     for one in counts.values():
         good.update(one)
-    cause = int(trial.cause_s - trial.start_s)
-    before = range(int(_SETTLE_S), cause)
-    usual = sum(good[at] for at in before) / max(sum(offered[at] for at in before), 1)
-    first = int(trial.cause_end_s - trial.start_s)
+    disturbance_second = int(trial.disturbance_start_s - trial.start_s)
+    before = range(int(_SETTLE_S), disturbance_second)
+    baseline_share = sum(good[at] for at in before) / max(
+        sum(offered[at] for at in before), 1
+    )
+    first = int(trial.disturbance_end_s - trial.start_s)
     last = int(trial.end_s - trial.start_s)
-    back = None
+    recovered_second = None
     for second in range(first, last):
         if not offered[second]:
             continue
-        if good[second] / offered[second] < _WITHIN * usual:
-            back = None
-        elif back is None:
-            back = second
-    if back is None:
+        if good[second] / offered[second] < _RECOVERED_SHARE * baseline_share:
+            recovered_second = None
+        elif recovered_second is None:
+            recovered_second = second
+    if recovered_second is None:
         return None
-    return max(0.0, back - (trial.cause_end_s - trial.start_s))
+    return max(0.0, recovered_second - (trial.disturbance_end_s - trial.start_s))
--- a/benchmarks/overload_scenarios.py
+++ b/benchmarks/overload_scenarios.py
@@ -14,10 +14,10 @@
     from benchmarks.overload_shapes import Shape
     from standins.deploy import Deployment
 
-CALM = 0.6
-BEFORE_S = 12.0
-CAUSE_S = 15.0
-AFTER_S = 20.0
+NORMAL_LOAD = 0.6
+BASELINE_S = 12.0
+DISTURBANCE_S = 15.0
+RECOVERY_S = 20.0
 SLOWDOWN = 10.0
 
 
@@ -30,32 +30,32 @@
 
     name: str
     load: float
-    begin: Callable[[Deployment, Shape], None] | None = None
-    end: Callable[[Deployment, Shape], None] | None = None
+    start_fault: Callable[[Deployment, Shape], None] | None = None
+    end_fault: Callable[[Deployment, Shape], None] | None = None
     crashing: bool = False
 
 
 def _slow(factor: float) -> Callable[[Deployment, Shape], None]:
     def change(deployment: Deployment, shape: Shape) -> None:
-        for vm in deployment.find_vms(shape.scarce):
+        for vm in deployment.find_vms(shape.bottleneck):
             set_fault(vm.server_admin_address, slow_factor=factor)
 
     return change
 
 
-def _lose_domain(deployment: Deployment, shape: Shape) -> None:
+def _kill_domain(deployment: Deployment, shape: Shape) -> None:
     for vm in deployment.find_vms(failure_domain=shape.failure_domains[-1]):
         vm.kill()
 
 
-def _restore_domain(deployment: Deployment, shape: Shape) -> None:
+def _restart_domain(deployment: Deployment, shape: Shape) -> None:
     for vm in deployment.find_vms(failure_domain=shape.failure_domains[-1]):
         vm.restart()
 
 
-def _lie(load: float | None) -> Callable[[Deployment, Shape], None]:
+def _set_reported_load(load: float | None) -> Callable[[Deployment, Shape], None]:
     def change(deployment: Deployment, shape: Shape) -> None:
-        vm = deployment.find_vms(shape.scarce)[0]
+        vm = deployment.find_vms(shape.bottleneck)[0]
         set_fault(vm.server_admin_address, load=load)
 
     return change
@@ -66,11 +66,11 @@
         vm.server.restart()
 
 
-def _stop_log(deployment: Deployment, shape: Shape) -> None:
+def _freeze_log(deployment: Deployment, shape: Shape) -> None:
     deployment.log.freeze()
 
 
-def _wake_log(deployment: Deployment, shape: Shape) -> None:
+def _resume_log(deployment: Deployment, shape: Shape) -> None:
     deployment.log.wake()
 
 
@@ -78,9 +78,9 @@
     Scenario("surge-2x", 2.0),
     Scenario("surge-5x", 5.0),
     Scenario("slow-2x", 2.0, _slow(SLOWDOWN), _slow(1.0)),
-    Scenario("domain-lost", CALM, _lose_domain, _restore_domain),
-    Scenario("lying-2x", 2.0, _lie(0.0), _lie(None)),
-    Scenario("cold-half", CALM, _restart_half),
-    Scenario("log-out-2x", 2.0, _stop_log, _wake_log),
-    Scenario("crashing", CALM, crashing=True),
+    Scenario("domain-lost", NORMAL_LOAD, _kill_domain, _restart_domain),
+    Scenario("lying-2x", 2.0, _set_reported_load(0.0), _set_reported_load(None)),
+    Scenario("cold-half", NORMAL_LOAD, _restart_half),
+    Scenario("log-out-2x", 2.0, _freeze_log, _resume_log),
+    Scenario("crashing", NORMAL_LOAD, crashing=True),
 )
--- a/benchmarks/overload_shapes.py
+++ b/benchmarks/overload_shapes.py
@@ -9,7 +9,7 @@
 from standins.plans import Plan, expect_shape
 
 # slots, connections and so the rates are divided by this
-SCALE = 5
+SCALE_DIVISOR = 5
 CALLER_TIMEOUT_MS = 6000.0
 
 
@@ -44,7 +44,7 @@
     @property
     def scaled_slots(self) -> int:
         """Return the slots of one server here."""
-        return self.slots // SCALE
+        return self.slots // SCALE_DIVISOR
 
 
 @frozen
@@ -56,7 +56,7 @@
     delay_ms: float
     services: tuple[ServiceShape, ...]
     classes: tuple[ClassSpec, ...]
-    scarce: str
+    bottleneck: str
 
     @property
     def plans(self) -> dict[str, Plan]:
@@ -70,18 +70,18 @@
         """Return a service by name."""
         return next(one for one in self.services if one.name == name)
 
-    def expect(self, one: ClassSpec) -> str:
+    def describe_complete_answer(self, one: ClassSpec) -> str:
         """Return the shape of a complete answer."""
         return expect_shape(self.plans, one.method, one.path)
 
-    def count_scarce_calls(self, one: ClassSpec) -> int:
+    def count_bottleneck_calls(self, one: ClassSpec) -> int:
         """Return how many calls of the scarce service a request makes."""
-        return self.expect(one).count(self.scarce)
+        return self.describe_complete_answer(one).count(self.bottleneck)
 
     @property
-    def scarce_limit_per_s(self) -> float:
+    def bottleneck_capacity_per_s(self) -> float:
         """Return what the scarce service can do: slots by service time."""
-        service = self.find_service(self.scarce)
+        service = self.find_service(self.bottleneck)
         slots = service.scaled_slots * len(self.failure_domains)
         return slots / (service.service_time_ms / 1000)
 
@@ -89,8 +89,10 @@
     def capacity_per_s(self) -> float:
         """Return the rate of requests of the mix that fills the scarce service."""
         total = sum(one.weight for one in self.classes)
-        calls = sum(one.weight * self.count_scarce_calls(one) for one in self.classes)
-        return self.scarce_limit_per_s * total / calls
+        calls = sum(
+            one.weight * self.count_bottleneck_calls(one) for one in self.classes
+        )
+        return self.bottleneck_capacity_per_s * total / calls
 
     def make_call_classes(self) -> tuple[CallClass, ...]:
         """Return the classes as the callers know them."""
@@ -99,7 +101,7 @@
                 one.name,
                 one.method,
                 one.path,
-                self.expect(one),
+                self.describe_complete_answer(one),
                 one.weight,
                 one.keyed,
                 CALLER_TIMEOUT_MS,
@@ -107,7 +109,7 @@
             for one in self.classes
         )
 
-    def make_services(self, queue_slots: float | None) -> tuple[ServiceSpec, ...]:
+    def make_services(self, queue_factor: float | None) -> tuple[ServiceSpec, ...]:
         """Return the services for a deployment.
 
         A server sheds beyond its connections, or beyond ``queue_slots`` times
@@ -116,9 +118,9 @@
         specs = []
         for service in self.services:
             slots = service.scaled_slots
-            queue = service.connections // SCALE - slots
-            if queue_slots is not None:
-                queue = max(1, int(queue_slots * slots))
+            queue = service.connections // SCALE_DIVISOR - slots
+            if queue_factor is not None:
+                queue = max(1, int(queue_factor * slots))
             specs.append(
                 ServiceSpec(
                     service.name,
@@ -185,7 +187,7 @@
         ClassSpec("status", "GET", "/proofline/status", 0.5, False, 0.9, 3000),
         ClassSpec("price", "GET", "/ratebook/prices", 0.2, False, 0.9, 2000),
     ),
-    scarce="proofline",
+    bottleneck="proofline",
 )
 
 _HISTORY = Plan((("GET", "/history-svc/events"),))
@@ -246,7 +248,7 @@
         ClassSpec("tracking", "GET", "/status-svc/tracking", 0.5, False, 0.9, 3000),
         ClassSpec("history", "GET", "/history-svc/events", 0.2, False, 0.9, 2000),
     ),
-    scarce="status-svc",
+    bottleneck="status-svc",
 )
 
 SHAPES = {shape.name: shape for shape in (SAMITI, SFRAGIDA)}
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -40,8 +40,8 @@
 complete_fraction = 0.9
 within_ms = 5000
 """
-IN_FORCE_WITHIN_S = 20.0
-WARM_REQUESTS = 600
+IN_FORCE_TIMEOUT_S = 20.0
+WARM_UP_REQUESTS = 600
 SEQUENTIAL_REQUESTS = 1500
 # calls in a row on one route, long enough for the ticks of processor time
 SEQUENTIAL_BLOCK = 100
@@ -50,7 +50,7 @@
 CONCURRENT_REQUESTS = 2560
 START_TRIALS = 5
 DIRECT = "direct"
-AIM_MS = 0.38
+MAX_ADDED_P99_MS = 0.38
 
 
 @frozen
@@ -77,7 +77,7 @@
         """Return the processor time that the nodes spent on one call."""
         return self.cpu_s * 1000 / max(1, len(self.latencies_ms) + self.refused)
 
-    def find(self, fraction: float) -> float:
+    def quantile_ms(self, fraction: float) -> float:
         """Return a quantile."""
         ordered = sorted(self.latencies_ms)
         if not ordered:
@@ -101,7 +101,7 @@
     def on_message_complete(self) -> None:
         self._done.set_result(self._parser.get_status_code())
 
-    async def ask(self, request: bytes) -> int:
+    async def send(self, request: bytes) -> int:
         """Send a request and return the status of its answer."""
         self._parser = httptools.HttpResponseParser(self)
         self._done = asyncio.get_running_loop().create_future()
@@ -115,14 +115,14 @@
     return caller
 
 
-def _encode(route: Route) -> bytes:
+def _encode_request(route: Route) -> bytes:
     head = f"GET {route.path} HTTP/1.1\r\nhost: {route.address}\r\n"
     return f"{head}accept: application/json\r\nuser-agent: bench\r\n\r\n".encode()
 
 
 async def _measure(route: Route, caller: _Caller, series: Series) -> None:
     started_s = time.perf_counter()
-    status = await caller.ask(_encode(route))
+    status = await caller.send(_encode_request(route))
     seconds = time.perf_counter() - started_s
     if status == route.status:
         series.latencies_ms.append(seconds * 1000)
@@ -139,10 +139,10 @@
     for _ in range(requests // SEQUENTIAL_BLOCK):
         for route in routes:
             series = found[route.name]
-            before_s = _find_cpu_s(route.pids)
+            before_s = _read_cpu_s(route.pids)
             for _ in range(SEQUENTIAL_BLOCK):
                 await _measure(route, callers[route.name], series)
-            series.cpu_s += _find_cpu_s(route.pids) - before_s
+            series.cpu_s += _read_cpu_s(route.pids) - before_s
     return found
 
 
@@ -160,9 +160,9 @@
 
 
 async def _measure_block(route: Route, requests: int, series: Series) -> None:
-    before_s = _find_cpu_s(route.pids)
+    before_s = _read_cpu_s(route.pids)
     await _send_block(route, requests, series)
-    series.cpu_s += _find_cpu_s(route.pids) - before_s
+    series.cpu_s += _read_cpu_s(route.pids) - before_s
 
 
 async def _send_block(route: Route, requests: int, series: Series) -> None:
@@ -206,11 +206,11 @@
             Route(f"{label}+ peer hop", near, "/far/x", 200, pids),
         ]
 
-    def find_direct(self) -> Route:
+    def make_direct_route(self) -> Route:
         """Return the call sent straight to the backend server."""
         return Route(DIRECT, self.vms[0].server_address, "/near/x")
 
-    def measure_start(self) -> float:
+    def measure_start_s(self) -> float:
         """Restart a node and return the seconds until it answers callers."""
         vm = self.vms[1]
         vm.node.kill()
@@ -219,12 +219,12 @@
         asyncio.run(_wait_for_answer(vm.caller_address))
         return time.perf_counter() - started_s
 
-    def find_rss_mib(self) -> list[float]:
+    def read_rss_mib(self) -> list[float]:
         """Return the resident memory of each node."""
-        return [_find_rss_mib(vm.node.pid) for vm in self.vms]
+        return [_read_rss_mib(vm.node.pid) for vm in self.vms]
 
 
-def _find_cpu_s(pids: Iterable[int]) -> float:
+def _read_cpu_s(pids: Iterable[int]) -> float:
     ticks = 0
     for pid in pids:
         # user and system time, counted behind the name in parentheses
@@ -233,7 +233,7 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def _find_rss_mib(pid: int) -> float:
+def _read_rss_mib(pid: int) -> float:
     status = Path(f"/proc/{pid}/status").read_text()
     line = next(line for line in status.splitlines() if line.startswith("VmRSS:"))
     return int(line.split()[1]) / 1024
@@ -244,7 +244,7 @@
     while True:
         try:
             caller = await _connect(route)
-            await caller.ask(_encode(route))
+            await caller.send(_encode_request(route))
             return
         except ConnectionError:
             await asyncio.sleep(0.002)
@@ -265,11 +265,11 @@
     )
     print("{:32}{:>8}{:>8}{:>11}{:>11}{:>8}{:>8}{:>9}".format(*head))
     for name, series in found.items():
-        p50, p99 = series.find(0.5), series.find(0.99)
-        d50, d99 = direct.find(0.5), direct.find(0.99)
+        p50, p99 = series.quantile_ms(0.5), series.quantile_ms(0.99)
+        direct_p50, direct_p99 = direct.quantile_ms(0.5), direct.quantile_ms(0.99)
         print(
-            f"{name:32}{p50:8.3f}{p99:8.3f}{p50 - d50:11.3f}{p99 - d99:11.3f}"
-            f"{p50 / d50:8.2f}{p99 / d99:8.2f}{series.refused:9}{series.cpu_ms:9.3f}"
+            f"{name:32}{p50:8.3f}{p99:8.3f}{p50 - direct_p50:11.3f}{p99 - direct_p99:11.3f}"
+            f"{p50 / direct_p50:8.2f}{p99 / direct_p99:8.2f}{series.refused:9}{series.cpu_ms:9.3f}"
         )
 
 
@@ -282,10 +282,13 @@
             continue
         pair = found[name], found[name.replace(this, other, 1)]
         added = [
-            [series.find(part) - found[DIRECT].find(part) for part in (0.5, 0.99)]
+            [
+                series.quantile_ms(part) - found[DIRECT].quantile_ms(part)
+                for part in (0.5, 0.99)
+            ]
             for series in pair
         ]
-        ratios = [mine / theirs for mine, theirs in zip(*added, strict=True)]
+        ratios = [this_ms / other_ms for this_ms, other_ms in zip(*added, strict=True)]
         cpu = pair[0].cpu_ms / pair[1].cpu_ms if pair[1].cpu_ms else float("nan")
         print(
             f"{name}: added p50 x {ratios[0]:.2f}, p99 x {ratios[1]:.2f}, "
@@ -312,11 +315,11 @@
             published = deployment.publish(CONFIGURATION)
             if published.returncode:
                 sys.exit(f"config publish failed: {published.stderr}")
-            deployment.wait_until_in_force(1, IN_FORCE_WITHIN_S)
-        routes = [next(iter(deployments.values())).find_direct()]
+            deployment.wait_until_in_force(1, IN_FORCE_TIMEOUT_S)
+        routes = [next(iter(deployments.values())).make_direct_route()]
         for label, deployment in deployments.items():
             routes += deployment.list_routes(label)
-        asyncio.run(measure_sequential(routes, WARM_REQUESTS))
+        asyncio.run(measure_sequential(routes, WARM_UP_REQUESTS))
         found = asyncio.run(measure_sequential(routes, sequential))
         _show("1 call at a time", found)
         _show_ratios(list(trees), found)
@@ -324,13 +327,15 @@
         _show(f"{CONCURRENCY} calls at a time", found)
         _show_ratios(list(trees), found)
         _show_processes(deployments)
-    print(f"\nthe aim is {AIM_MS} ms added at p99 by the whole path (+ peer hop)")
+    print(
+        f"\nthe aim is {MAX_ADDED_P99_MS} ms added at p99 by the whole path (+ peer hop)"
+    )
 
 
 def _show_processes(deployments: dict[str, BenchDeployment]) -> None:
     for label, deployment in deployments.items():
-        rss = ", ".join(f"{mib:.1f}" for mib in deployment.find_rss_mib())
-        starts_s = [deployment.measure_start() for _ in range(START_TRIALS)]
+        rss = ", ".join(f"{mib:.1f}" for mib in deployment.read_rss_mib())
+        starts_s = [deployment.measure_start_s() for _ in range(START_TRIALS)]
         print(
             f"\n{label}node: RSS after the run {rss} MiB; from start to first answer "
             f"{statistics.median(starts_s):.2f} s (median of {START_TRIALS})"
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -37,18 +37,18 @@
 CLIENTS = 6
 SEEDS = range(4)
 RATES = (2.0, 10.0, 40.0, 250.0)
-USUAL = 0.625
-HOT = 7.5
-FILL_S = 8.0
-HOT_FROM_S = 4.0
-HOT_UNTIL_S = 11.0
+NORMAL_LOAD = 0.625
+SURGE_FACTOR = 7.5
+BUCKET_FILL_S = 8.0
+SURGE_START_S = 4.0
+SURGE_END_S = 11.0
 END_S = 16.0
 # the age of sums: readers ask each 0.75 s, and two hops lie between failure domains
-NEWS_S = 0.75
+EXCHANGE_INTERVAL_S = 0.75
 
 
 @define(eq=False)
-class PartWay:
+class ProportionalScheme:
     """Each node takes from a bucket of its own, sized by its part of what all take."""
 
     fleet: Fleet
@@ -65,55 +65,57 @@
             self._resize(name, bucket, 1.0 / NODES, now_s)
         return bucket.take(1, now_s) == 1
 
-    def step(self, now_s: float) -> None:
+    def exchange(self, now_s: float) -> None:
         total = sum(self.counts.values())
         self.frames += NODES
         for name, bucket in self.buckets.items():
-            part = self.counts.get(name, 0.0) / total if total else 1.0 / NODES
+            share = self.counts.get(name, 0.0) / total if total else 1.0 / NODES
             # the rest is for nodes that have taken nothing yet
-            part = 0.8 * part + 0.2 / NODES
-            self._resize(name, bucket, part, now_s)
+            share = 0.8 * share + 0.2 / NODES
+            self._resize(name, bucket, share, now_s)
         self.counts = {name: 0.7 * count for name, count in self.counts.items()}
 
     def _resize(
-        self, name: str, bucket: TokenBucket, part: float, now_s: float
+        self, name: str, bucket: TokenBucket, share: float, now_s: float
     ) -> None:
-        whole = self.team.rate * BOUNDS.window_s + self.team.burst
-        bucket.resize(part * self.team.rate, part * self.team.burst, 0.0, whole, now_s)
+        capacity = self.team.rate * BOUNDS.window_s + self.team.burst
+        bucket.resize(
+            share * self.team.rate, share * self.team.burst, 0.0, capacity, now_s
+        )
 
 
 @define(eq=False)
-class SumWay:
+class SharedSumScheme:
     """Each node has a bucket of the whole, which others' requests are charged to."""
 
     fleet: Fleet
     team: Team
     buckets: dict[str, TokenBucket] = field(factory=dict)
-    untold: dict[str, int] = field(factory=dict)
+    unreported: dict[str, int] = field(factory=dict)
     frames: int = 0
 
     def take(self, name: str, now_s: float) -> bool:
         bucket = self._find(name, now_s)
         if not bucket.take(1, now_s):
             return False
-        self.untold[name] = self.untold.get(name, 0) + 1
+        self.unreported[name] = self.unreported.get(name, 0) + 1
         return True
 
-    def step(self, now_s: float) -> None:
-        total = sum(self.untold.values())
+    def exchange(self, now_s: float) -> None:
+        total = sum(self.unreported.values())
         self.frames += NODES
         for name in self.fleet.nodes:
-            others = total - self.untold.get(name, 0)
+            others = total - self.unreported.get(name, 0)
             if others:
                 self._find(name, now_s).charge(others, now_s)
-        self.untold.clear()
+        self.unreported.clear()
 
     def _find(self, name: str, now_s: float) -> TokenBucket:
         bucket = self.buckets.get(name)
         if bucket is None:
             bucket = self.buckets[name] = TokenBucket(now_s)
-            whole = self.team.rate * BOUNDS.window_s + self.team.burst
-            bucket.resize(self.team.rate, self.team.burst, 0.0, whole, now_s)
+            capacity = self.team.rate * BOUNDS.window_s + self.team.burst
+            bucket.resize(self.team.rate, self.team.burst, 0.0, capacity, now_s)
             bucket.tokens = self.team.burst
         return bucket
 
@@ -122,96 +124,98 @@
 class Result:
     """What came of one play."""
 
-    most: float
+    max_share: float
     refused: float
     gap_s: float
-    far: float
+    remote_frames: float
     frames: float
     cost_us: float
 
 
 def make_rate(team: Team) -> Callable[[float], float]:
     def rate(at_s: float) -> float:
-        hot = HOT_FROM_S <= at_s < HOT_UNTIL_S
-        return USUAL * team.rate * (HOT if hot else 1.0)
+        surge = SURGE_START_S <= at_s < SURGE_END_S
+        return NORMAL_LOAD * team.rate * (SURGE_FACTOR if surge else 1.0)
 
     return rate
 
 
-async def play_simple(fleet: Fleet, team: Team, way: PartWay | SumWay) -> None:
+async def run_local_scheme(
+    fleet: Fleet, team: Team, scheme: ProportionalScheme | SharedSumScheme
+) -> None:
     """Let the nodes decide by a way that needs no frames for each request."""
     loop = asyncio.get_running_loop()
 
-    async def step() -> None:
+    async def exchange() -> None:
         while True:
-            await asyncio.sleep(NEWS_S)
-            way.step(loop.time())
+            await asyncio.sleep(EXCHANGE_INTERVAL_S)
+            scheme.exchange(loop.time())
 
     def take(name: str, team: Team) -> None:
         now_s = loop.time()
         fleet.asked.append((now_s, team.name))
-        if way.take(name, now_s):
+        if scheme.take(name, now_s):
             fleet.ran.append((now_s, team.name))
         else:
             fleet.refused.append((now_s, team.name, 0.0))
 
-    stepping = asyncio.create_task(step())
-    await asyncio.sleep(FILL_S)
+    exchange_task = asyncio.create_task(exchange())
+    await asyncio.sleep(BUCKET_FILL_S)
     names = fleet.rng.sample(sorted(fleet.nodes), CLIENTS)
     await send_load(fleet, team.name, names, make_rate(team), END_S, take)
-    fleet.frames += way.frames
-    fleet.far_frames += way.frames * (DOMAINS - 1) // DOMAINS
-    stepping.cancel()
+    fleet.frames += scheme.frames
+    fleet.far_frames += scheme.frames * (DOMAINS - 1) // DOMAINS
+    exchange_task.cancel()
 
 
-async def play_holders(fleet: Fleet, team: Team) -> None:
-    stepping = asyncio.create_task(step_nodes(fleet))
-    await asyncio.sleep(FILL_S)
+async def run_allocators(fleet: Fleet, team: Team) -> None:
+    exchange_task = asyncio.create_task(step_nodes(fleet))
+    await asyncio.sleep(BUCKET_FILL_S)
     names = fleet.rng.sample(sorted(fleet.nodes), CLIENTS)
     await send_load(fleet, team.name, names, make_rate(team), END_S)
     await asyncio.sleep(0.5)
-    stepping.cancel()
+    exchange_task.cancel()
 
 
-def play(way: str, rate: float, seed: int) -> Result:
+def run_trial(scheme: str, rate: float, seed: int) -> Result:
     team = Team("press", rate=rate, burst=rate)
     fleet = Fleet(random.Random(seed))
     loop = VirtualLoop()
-    begun_s = time.process_time()
+    started_s = time.process_time()
 
     async def main() -> None:
         fleet.build(DOMAINS, NODES)
         fleet.configure(team)
-        if way == "parts":
-            await play_simple(fleet, team, PartWay(fleet, team))
-        elif way == "sums":
-            await play_simple(fleet, team, SumWay(fleet, team))
+        if scheme == "parts":
+            await run_local_scheme(fleet, team, ProportionalScheme(fleet, team))
+        elif scheme == "sums":
+            await run_local_scheme(fleet, team, SharedSumScheme(fleet, team))
         else:
-            await play_holders(fleet, team)
+            await run_allocators(fleet, team)
 
     try:
         loop.run_until_complete(main())
     finally:
         loop.close()
-    spent_s = time.process_time() - begun_s
-    return judge(fleet, team, spent_s)
+    cpu_s = time.process_time() - started_s
+    return compute_result(fleet, team, cpu_s)
 
 
-def judge(fleet: Fleet, team: Team, spent_s: float) -> Result:
-    first_s = 1000.0 + FILL_S
-    hot = (first_s + HOT_FROM_S, first_s + HOT_UNTIL_S)
-    calm = [one for one in fleet.asked if one[0] < hot[0]]
-    turned_away = [one for one in fleet.refused if one[0] < hot[0]]
-    times = [at for at, _ in fleet.ran if hot[0] <= at < hot[1]]
-    gaps = [b - a for a, b in zip([hot[0], *times], [*times, hot[1]], strict=True)]
+def compute_result(fleet: Fleet, team: Team, cpu_s: float) -> Result:
+    first_s = 1000.0 + BUCKET_FILL_S
+    surge = (first_s + SURGE_START_S, first_s + SURGE_END_S)
+    requests_before = [one for one in fleet.asked if one[0] < surge[0]]
+    refused_before = [one for one in fleet.refused if one[0] < surge[0]]
+    times = [at for at, _ in fleet.ran if surge[0] <= at < surge[1]]
+    gaps = [b - a for a, b in zip([surge[0], *times], [*times, surge[1]], strict=True)]
     asked = max(1, len(fleet.asked))
     return Result(
         fleet.find_most(team.name) / find_bound(team),
-        len(turned_away) / max(1, len(calm)),
+        len(refused_before) / max(1, len(requests_before)),
         max(gaps),
         fleet.far_frames / asked,
         fleet.frames / asked,
-        spent_s / asked * 1e6,
+        cpu_s / asked * 1e6,
     )
 
 
@@ -223,16 +227,16 @@
     )
     for rate in RATES:
         costs: dict[str, float] = {}
-        for way in ("parts", "sums", "holders"):
-            found = [play(way, rate, seed) for seed in SEEDS]
-            costs[way] = statistics.median(one.cost_us for one in found)
+        for scheme in ("parts", "sums", "holders"):
+            results = [run_trial(scheme, rate, seed) for seed in SEEDS]
+            costs[scheme] = statistics.median(one.cost_us for one in results)
             print(
-                f"{way:8} {rate:5.0f} {max(one.most for one in found):10.2f} "
-                f"{statistics.mean(one.refused for one in found):8.3f} "
-                f"{max(one.gap_s for one in found):6.2f} "
-                f"{statistics.mean(one.far for one in found):8.2f} "
-                f"{statistics.mean(one.frames for one in found):10.2f} "
-                f"{costs[way] / costs['parts']:6.2f}"
+                f"{scheme:8} {rate:5.0f} {max(one.max_share for one in results):10.2f} "
+                f"{statistics.mean(one.refused for one in results):8.3f} "
+                f"{max(one.gap_s for one in results):6.2f} "
+                f"{statistics.mean(one.remote_frames for one in results):8.2f} "
+                f"{statistics.mean(one.frames for one in results):10.2f} "
+                f"{costs[scheme] / costs['parts']:6.2f}"
             )
 
 
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -24,14 +24,14 @@
 from eelgrassmount.topics.readers import PERIOD_S
 from eelgrassmount.util.addresses import Address
 
-LISTENERS = (16, 32, 64, 128)
+SUBSCRIBER_COUNTS = (16, 32, 64, 128)
 ROUTES = 8
 ROUNDS = 40
-STEPS_PER_ROUND = 4
+UPDATES_PER_ROUND = 4
 SERVICES = 4
 
 
-def make_question(number: int, rng: random.Random) -> bytes:
+def make_subscribe_frame(number: int, rng: random.Random) -> bytes:
     """Return a question of a node with counts of some routes."""
     routes = [f"shop.example/route-{route}/" for route in range(ROUTES)]
     counts = {name: rng.uniform(1.0, 40.0) for name in routes}
@@ -46,38 +46,38 @@
     return encode_struct(struct)
 
 
-def measure_second(listeners: int) -> float:
+def measure_cpu_s(subscribers: int) -> float:
     """Return the processor seconds that a reader works for its listeners a second."""
-    rng = random.Random(listeners)
+    rng = random.Random(subscribers)
     host = "127.0.0.1"
     addresses = [Address(host, port) for port in range(7620, 7626)]
     node = build_relay(RelaySettings("reader", "a", "service-0", *addresses))
     node.put_own()
-    for number in range(listeners):
+    for number in range(subscribers):
         node.beliefs.members.put(f"node-{number}", f"{host}:7620", "a", "service-1")
-    questions = [make_question(number, rng) for number in range(listeners)]
+    payloads = [make_subscribe_frame(number, rng) for number in range(subscribers)]
 
     def send(kind: FrameKind, struct: object) -> None:
         encode_frame(kind, struct)
 
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for _ in range(ROUNDS):
-        for payload in questions:
+        for payload in payloads:
             struct = decode_struct(ttypes.RelaySubscribe, payload)
             node.readers.note_subscribe(struct, send)
-        for _ in range(STEPS_PER_ROUND):
+        for _ in range(UPDATES_PER_ROUND):
             node.readers._update_outlook(node.beliefs.clock())
-    return (time.process_time() - begun_s) / ROUNDS / PERIOD_S
+    return (time.process_time() - started_s) / ROUNDS / PERIOD_S
 
 
 def main() -> None:
     """Print the work of a reader by the number of nodes that listen to it."""
-    least = measure_second(LISTENERS[0])
-    for listeners in LISTENERS:
-        second = measure_second(listeners)
+    base_s = measure_cpu_s(SUBSCRIBER_COUNTS[0])
+    for subscribers in SUBSCRIBER_COUNTS:
+        cpu_s = measure_cpu_s(subscribers)
         print(
-            f"{listeners:4} nodes: {second * 1000:6.2f} ms a second, "
-            f"{second / least:5.2f} times that of {LISTENERS[0]}"
+            f"{subscribers:4} nodes: {cpu_s * 1000:6.2f} ms a second, "
+            f"{cpu_s / base_s:5.2f} times that of {SUBSCRIBER_COUNTS[0]}"
         )
 
 
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -38,11 +38,11 @@
     from eelgrassmount.http1.client import ClientConnection
     from eelgrassmount.http1.exchange import Exchange
 
-CALLS = 4000
+CALL_COUNT = 4000
 ROUNDS = 5
 CLIENTS = 8
-LIST = make_rule("/list/", "list", action={"timeoutMs": 5000})
-PASSING = Address(f"{LOOPBACK_PREFIX}.9.1", 8304)
+LIST_RULE = make_rule("/list/", "list", action={"timeoutMs": 5000})
+PASS_THROUGH_ADDRESS = Address(f"{LOOPBACK_PREFIX}.9.1", 8304)
 # parts of a profile, by the modules that do the work
 PARTS = {
     "http": ("http1",),
@@ -77,16 +77,16 @@
 
 async def measure(address: Address) -> float:
     """Return the processor time of one call in microseconds."""
-    begun_s = time.process_time()
-    await run_clients(address, CALLS)
-    return (time.process_time() - begun_s) / CALLS * 1e6
+    started_s = time.process_time()
+    await run_clients(address, CALL_COUNT)
+    return (time.process_time() - started_s) / CALL_COUNT * 1e6
 
 
-def make_passing(server: Address) -> HttpListener:
+def make_pass_through(server: Address) -> HttpListener:
     """Return a listener that hands each request on as it is."""
     idle: list[ClientConnection] = []
 
-    async def carry(exchange: Exchange) -> None:
+    async def forward(exchange: Exchange) -> None:
         connection = idle.pop() if idle else await open_connection(server, 2.0)
         lines = b"".join(b"%s: %s\r\n" % pair for pair in exchange.headers)
         head = f"{exchange.method} {exchange.target} HTTP/1.1\r\n".encode() + lines
@@ -97,9 +97,9 @@
     tasks = set()
 
     def handle(exchange: Exchange) -> None:
-        found = asyncio.ensure_future(carry(exchange))
-        tasks.add(found)
-        found.add_done_callback(tasks.discard)
+        costs_by_path = asyncio.ensure_future(forward(exchange))
+        tasks.add(costs_by_path)
+        costs_by_path.add_done_callback(tasks.discard)
 
     return HttpListener(handle, time.monotonic)
 
@@ -107,16 +107,20 @@
 def print_parts(profile: cProfile.Profile) -> None:
     stats = pstats.Stats(profile).stats
     totals = dict.fromkeys([*PARTS, "loop, sockets and the rest"], 0.0)
-    for (file, _, name), (_, _, own_s, _, _) in stats.items():
-        place = f"{file}/{name}"
+    for (file, _, name), (_, _, self_s, _, _) in stats.items():
+        location = f"{file}/{name}"
         part = next(
-            (part for part, marks in PARTS.items() if any(m in place for m in marks)),
+            (
+                part
+                for part, patterns in PARTS.items()
+                if any(pattern in location for pattern in patterns)
+            ),
             "loop, sockets and the rest",
         )
-        totals[part] += own_s
-    whole = sum(totals.values())
+        totals[part] += self_s
+    total_s = sum(totals.values())
     for part, seconds in sorted(totals.items(), key=lambda one: -one[1]):
-        print(f"  {part:28} {seconds / whole:6.1%}")
+        print(f"  {part:28} {seconds / total_s:6.1%}")
 
 
 async def main() -> None:
@@ -125,32 +129,34 @@
         deployment = Deployment(group)
         await deployment.start()
         team = make_team("press", "k-1")
-        deployment.configure(1, LIST, teams=[team])
+        deployment.configure(1, LIST_RULE, teams=[team])
         front = await deployment.add("front")
         back = await deployment.add("list")
         await deployment.wait_until_connected()
-        passing = make_passing(back.settings.server_address)
-        await passing.start(PASSING.host, PASSING.port)
-        ways: dict[str, Callable[[], Awaitable[float]]] = {
-            "pass-through": lambda: measure(PASSING),
+        pass_through = make_pass_through(back.settings.server_address)
+        await pass_through.start(PASS_THROUGH_ADDRESS.host, PASS_THROUGH_ADDRESS.port)
+        measurements: dict[str, Callable[[], Awaitable[float]]] = {
+            "pass-through": lambda: measure(PASS_THROUGH_ADDRESS),
             "two nodes": lambda: measure(front.settings.caller_address),
         }
-        found = {name: [] for name in ways}
+        costs_by_path = {name: [] for name in measurements}
         for _ in range(ROUNDS):
-            for name, run in ways.items():
-                found[name].append(await run())
-        for name, costs in found.items():
+            for name, run in measurements.items():
+                costs_by_path[name].append(await run())
+        for name, costs in costs_by_path.items():
             print(f"{name:14} {statistics.median(costs):7.1f} us a call")
-        pairs = zip(found["two nodes"], found["pass-through"], strict=True)
+        pairs = zip(
+            costs_by_path["two nodes"], costs_by_path["pass-through"], strict=True
+        )
         print(f"ratio          {statistics.median(a / b for a, b in pairs):7.2f}")
         profile = cProfile.Profile()
         profile.enable()
-        await run_clients(front.settings.caller_address, CALLS)
+        await run_clients(front.settings.caller_address, CALL_COUNT)
         profile.disable()
         print("parts of the time through two nodes, client and server included:")
         print_parts(profile)
         await deployment.end()
-        passing.end()
+        pass_through.end()
         group.cancel_scope.cancel()
 
 
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -14,7 +14,7 @@
     import random
     from collections.abc import Callable
 
-_ADJUST_PERIOD_S = 0.1
+_ADJUST_INTERVAL_S = 0.1
 
 
 class LimiterPort(Protocol):
@@ -45,7 +45,7 @@
     slots: int
     draw_service_s: Callable[[float], float]
     downstream_s: float = 0.0
-    most_in_flight: int = 1_000_000
+    max_in_flight: int = 1_000_000
 
 
 @define
@@ -69,19 +69,19 @@
     rng: random.Random
     now_s: float = 0.0
     in_flight: int = 0
-    busy: int = 0
+    busy_slots: int = 0
     waiting: int = 0
-    inside: deque[float] = field(factory=deque)
+    server_queue: deque[float] = field(factory=deque)
     events: list[tuple[float, int, str, float]] = field(factory=list)
-    order: int = 0
+    event_count: int = 0
     points: list[Point] = field(factory=list)
 
-    def push(self, at_s: float, kind: str, started_s: float = 0.0) -> None:
+    def schedule(self, due_s: float, kind: str, started_s: float = 0.0) -> None:
         """Schedule an event."""
-        self.order += 1
-        heapq.heappush(self.events, (at_s, self.order, kind, started_s))
+        self.event_count += 1
+        heapq.heappush(self.events, (due_s, self.event_count, kind, started_s))
 
-    def start_waiting(self) -> None:
+    def start_waiting_calls(self) -> None:
         """Hand calls to the server as far as the limit allows."""
         while self.waiting and self.in_flight < self.limiter.limit:
             self.waiting -= 1
@@ -90,28 +90,28 @@
     def _start(self) -> None:
         self.in_flight += 1
         self.limiter.record_start(self.in_flight, self.now_s)
-        if self.in_flight > self.server.most_in_flight:
+        if self.in_flight > self.server.max_in_flight:
             self.points[-1].shed += 1
-            self.push(self.now_s + 0.001, "shed", self.now_s)
-        elif self.busy < self.server.slots:
+            self.schedule(self.now_s + 0.001, "shed", self.now_s)
+        elif self.busy_slots < self.server.slots:
             self._serve(self.now_s)
         else:
-            self.inside.append(self.now_s)
+            self.server_queue.append(self.now_s)
 
     def _serve(self, started_s: float) -> None:
-        self.busy += 1
+        self.busy_slots += 1
         service_s = self.server.draw_service_s(self.now_s) + self.server.downstream_s
-        self.push(self.now_s + service_s, "end", started_s)
+        self.schedule(self.now_s + service_s, "end", started_s)
 
-    def end(self, kind: str, started_s: float) -> None:
+    def finish_run(self, kind: str, started_s: float) -> None:
         """End one run."""
         latency_s = self.now_s - started_s
         if kind == "shed":
             sample = Sample(SampleKind.SHED, latency_s)
         else:
-            self.busy -= 1
-            if self.inside:
-                self._serve(self.inside.popleft())
+            self.busy_slots -= 1
+            if self.server_queue:
+                self._serve(self.server_queue.popleft())
             self.points[-1].completed += 1
             sample = Sample(SampleKind.COMPLETE, latency_s, self.server.downstream_s)
         self.limiter.record(sample, self.in_flight, self.now_s)
@@ -120,14 +120,14 @@
 
 def simulate(run: Run, seconds: float) -> list[Point]:
     """Run an open-loop simulation and return one point for each second."""
-    run.push(0.0, "arrive")
-    run.push(0.0, "adjust")
+    run.schedule(0.0, "arrive")
+    run.schedule(0.0, "adjust")
     while run.events and run.events[0][0] < seconds:
         run.now_s, _, kind, started_s = heapq.heappop(run.events)
         if not run.points or run.now_s >= run.points[-1].second + 1:
             run.points.append(Point(int(run.now_s)))
         _handle(run, kind, started_s)
-        run.start_waiting()
+        run.start_waiting_calls()
     return run.points
 
 
@@ -135,11 +135,11 @@
     if kind == "arrive":
         run.waiting = min(run.waiting + 1, 50)
         gap_s = run.rng.expovariate(run.offered_per_s(run.now_s))
-        run.push(run.now_s + gap_s, "arrive")
+        run.schedule(run.now_s + gap_s, "arrive")
     elif kind == "adjust":
         run.limiter.adjust(run.now_s)
-        run.points[-1].limit += run.limiter.limit * _ADJUST_PERIOD_S
-        run.points[-1].in_server += run.in_flight * _ADJUST_PERIOD_S
-        run.push(run.now_s + _ADJUST_PERIOD_S, "adjust")
+        run.points[-1].limit += run.limiter.limit * _ADJUST_INTERVAL_S
+        run.points[-1].in_server += run.in_flight * _ADJUST_INTERVAL_S
+        run.schedule(run.now_s + _ADJUST_INTERVAL_S, "adjust")
     else:
-        run.end(kind, started_s)
+        run.finish_run(kind, started_s)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -21,9 +21,9 @@
 from standins.processes import find_free_address
 
 HOST = "127.0.0.1"
-READY_LIMIT_S = 60.0
+READY_TIMEOUT_S = 60.0
 SETTLE_S = 1.0
-_POLL_S = 0.005
+_POLL_INTERVAL_S = 0.005
 _KIB_PER_MB = 1000 / 1.024
 
 
@@ -34,7 +34,7 @@
     ready_s: float
     resident_mb: float
     processes: int
-    files_left: int
+    remaining_files: int
 
 
 def measure(runs: int = 10, **ways: str) -> None:
@@ -44,7 +44,7 @@
     starts: dict[str, list[Start]] = {name: [] for name in commands}
     for _ in range(runs):
         for name, command in commands.items():
-            starts[name].append(_start_once(command))
+            starts[name].append(_measure_start(command))
     print(
         f"{'way':12}{'ready s':>9}{'slowest':>9}{'RSS MB':>8}{'procs':>7}{'files':>7}"
     )
@@ -53,16 +53,16 @@
         memory = statistics.median(item.resident_mb for item in items)
         print(
             f"{name:12}{statistics.median(ready):9.2f}{max(ready):9.2f}{memory:8.1f}"
-            f"{items[-1].processes:7}{items[-1].files_left:7}"
+            f"{items[-1].processes:7}{items[-1].remaining_files:7}"
         )
 
 
-def _start_once(command: list[str]) -> Start:
+def _measure_start(command: list[str]) -> Start:
     names = ("caller", "backend", "peer", "admin", "log")
     addresses = {name: find_free_address(HOST) for name in names}
     flags = [f"--{name}-address={text}" for name, text in addresses.items()]
     with tempfile.TemporaryDirectory() as folder:
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         child = subprocess.Popen(
             [*command, "node", "--failure-domain=a", *flags],
             stdout=subprocess.DEVNULL,
@@ -70,25 +70,25 @@
             env={"HOME": folder, "TMPDIR": folder, "PATH": "/usr/bin:/bin"},
         )
         try:
-            _wait_until_ready(addresses["admin"], began_s + READY_LIMIT_S)
-            ready_s = time.monotonic() - began_s
+            _wait_until_ready(addresses["admin"], started_s + READY_TIMEOUT_S)
+            ready_s = time.monotonic() - started_s
             time.sleep(SETTLE_S)
-            family = [child.pid, *_find_children(child.pid)]
-            memory = sum(map(_read_resident_mb, family))
-            left = sum(path.is_file() for path in Path(folder).rglob("*"))
+            pids = [child.pid, *_find_children(child.pid)]
+            memory = sum(map(_read_resident_mb, pids))
+            file_count = sum(path.is_file() for path in Path(folder).rglob("*"))
         finally:
             child.terminate()
             child.wait()
-    return Start(ready_s, memory, len(family), left)
+    return Start(ready_s, memory, len(pids), file_count)
 
 
-def _wait_until_ready(admin: str, end_s: float) -> None:
-    while time.monotonic() < end_s:
+def _wait_until_ready(admin: str, deadline_s: float) -> None:
+    while time.monotonic() < deadline_s:
         try:
             urllib.request.urlopen(f"http://{admin}/state", timeout=1.0).close()
             return
         except (urllib.error.URLError, OSError):
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
     raise TimeoutError(f"no node at {admin}")
 
 
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -17,18 +17,18 @@
 from eelgrassmount.relay.vectors import VectorLearner
 
 SEED = 11
-STEP_S = 0.001
+MOVE_INTERVAL_S = 0.001
 # starts and ends before the first solution, which give 700 states of three routes,
 # and before the second, which is measured
-MOVES = 12_000
+WARM_UP_MOVES = 12_000
 MOVES_PER_SOLUTION = 1000
 # those beside each route that runs once
-MOVES_BESIDE = 8
+MOVES_PER_ROUTE_RUN_ONCE = 8
 # runs in flight that the walk is drawn to, changed so often
 MAX_IN_FLIGHT = 140
-MOVES_PER_AIM = 100
-CALL_CHANCE = 0.3
-SOLUTIONS = 3
+MOVES_PER_TARGET = 100
+CALL_PROBABILITY = 0.3
+REPETITIONS = 3
 
 
 @frozen
@@ -51,7 +51,7 @@
 
 
 @define(eq=False)
-class Walk:
+class RandomWalk:
     """Starts and ends of runs at random, beside a learner."""
 
     scenario: Scenario
@@ -59,7 +59,7 @@
     learner: VectorLearner = field(init=False)
     now_s: float = 100.0
     running: list[str] = field(factory=list)
-    wanted: int = 0
+    target_in_flight: int = 0
 
     def __attrs_post_init__(self) -> None:
         """Begin to learn."""
@@ -69,23 +69,23 @@
         """Let each route run that runs once, beside the others."""
         for number in range(self.scenario.once):
             self.learner.start_run(f"once-{number}")
-            self.move(MOVES_BESIDE)
+            self.move(MOVES_PER_ROUTE_RUN_ONCE)
             self.learner.finish_run(f"once-{number}")
 
     def move(self, moves: int) -> None:
         """Start and end runs of the busy routes, some of which make a call."""
         for move in range(moves):
-            self.now_s += STEP_S
-            if move % MOVES_PER_AIM == 0:
-                self.wanted = self.rng.randrange(MAX_IN_FLIGHT)
+            self.now_s += MOVE_INTERVAL_S
+            if move % MOVES_PER_TARGET == 0:
+                self.target_in_flight = self.rng.randrange(MAX_IN_FLIGHT)
             self._move_once()
-            if self.rng.random() < CALL_CHANCE:
+            if self.rng.random() < CALL_PROBABILITY:
                 self.learner.record_call(f"called-{move % self.scenario.called}")
 
     def _move_once(self) -> None:
         running = self.running
-        up = self.rng.random() * 2 * self.wanted > len(running)
-        if up or not running:
+        starts_run = self.rng.random() * 2 * self.target_in_flight > len(running)
+        if starts_run or not running:
             running.append(f"busy-{self.rng.randrange(self.scenario.busy)}")
             self.learner.start_run(running[-1])
         else:
@@ -97,36 +97,36 @@
 
     A part is what is done at a time, for one of the called routes.
     """
-    walk = Walk(scenario, random.Random(seed))
-    inner = {f"called-{number}" for number in range(scenario.called)}
+    walk = RandomWalk(scenario, random.Random(seed))
+    called = {f"called-{number}" for number in range(scenario.called)}
     walk.run_once()
-    walk.move(MOVES)
-    walk.learner.solve(inner)
+    walk.move(WARM_UP_MOVES)
+    walk.learner.solve(called)
     walk.move(MOVES_PER_SOLUTION)
     parts_ms = []
     for part in range(scenario.called):
-        begun_s = time.process_time()
+        started_s = time.process_time()
         if part:
             walk.learner.continue_solving()
         else:
-            walk.learner.solve(inner)
-        parts_ms.append((time.process_time() - begun_s) * 1000)
+            walk.learner.solve(called)
+        parts_ms.append((time.process_time() - started_s) * 1000)
     return sum(parts_ms), max(parts_ms)
 
 
 def main() -> None:
     """Print the cost of a solution by scenario."""
-    alone_ms = 0.0
+    baseline_ms = 0.0
     print("busy once called      ms  longest  ratio to none once")
     for scenario in SCENARIOS:
-        measured = [measure(scenario, SEED + number) for number in range(SOLUTIONS)]
+        measured = [measure(scenario, SEED + number) for number in range(REPETITIONS)]
         cost_ms, longest_ms = (
             statistics.median(one) for one in zip(*measured, strict=True)
         )
         if not scenario.once:
-            alone_ms = cost_ms
+            baseline_ms = cost_ms
         counts = f"{scenario.busy:4} {scenario.once:4} {scenario.called:6}"
-        ratio = cost_ms / alone_ms
+        ratio = cost_ms / baseline_ms
         print(f"{counts} {cost_ms:7.1f} {longest_ms:8.1f}  {ratio:.2f}", flush=True)
 
 
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -217,7 +217,7 @@
         fractions.append(complete / scenario.capacity_per_s)
         assert sum(second.inversions for second in seconds) == 0
         # Two seconds after the surge, no request is refused.
-        assert not seconds[17].refused_at_entry + seconds[17].refused_at_gate
+        assert not seconds[17].refused_at_ingress + seconds[17].refused_at_dispatcher
     assert sum(fractions) / len(fractions) > 0.9, fractions
 
 
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -108,7 +108,7 @@
         others = list(network.nodes.values())
 
         def all_see(states):
-            return all(node.sees(victim.address) in states for node in others)
+            return all(node.get_member_state(victim.address) in states for node in others)
 
         gone = (MemberState.SUSPECT, MemberState.DEAD)
         assert await network.run_until(lambda: all_see(gone), 5.0) < 5.0
@@ -137,13 +137,13 @@
         nodes = await grow(network, domains=1, each=12)
         left = {node.address for node in nodes[:5]}
 
-        def is_cut(source, target):
+        def is_partitioned(source, target):
             crosses = (source.address in left) != (target.address in left)
             return crosses and not (one_way and source.address in left)
 
-        network.is_cut = is_cut
+        network.is_partitioned = is_partitioned
         await network.run(30.0)
-        network.is_cut = lambda source, target: False
+        network.is_partitioned = lambda source, target: False
         assert await network.run_until(lambda: knows_all(network), 120.0) < 120.0
 
 
@@ -152,14 +152,14 @@
     async with Network(random.Random(7)).open() as network:
         nodes = await grow(network, domains=2, each=4)
         network.log.down = True
-        network.is_cut = lambda source, target: (
+        network.is_partitioned = lambda source, target: (
             source.identity.failure_domain != target.identity.failure_domain
         )
         await network.run(60.0)
         for node in nodes:
             assert not node.board.members.find_summaries("jobdesk")
             assert len(node.board.members.find_serving("jobdesk")) == 4
-        network.is_cut = lambda source, target: False
+        network.is_partitioned = lambda source, target: False
         assert await network.run_until(lambda: knows_all(network), NEVER) < NEVER
 
 
@@ -264,7 +264,7 @@
 
         def gone():
             return all(
-                node.sees(nodes[2].address) in (MemberState.LEFT, None)
+                node.get_member_state(nodes[2].address) in (MemberState.LEFT, None)
                 for node in nodes[:6]
             )
 
