--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,4 +1,4 @@
-"""One gate under overload, with entries that hear its threshold late."""
+"""Simulates an overloaded dispatcher whose threshold reaches the ingress late."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @frozen
 class Scenario:
-    """Offered work as a multiple of the capacity, over time."""
+    """One server and its offered load over time, as a multiple of the capacity."""
 
     name: str
     slots: int
@@ -44,13 +44,13 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """Return the limit that the server allows."""
+        """Calls per second that the server can complete."""
         return self.slots / self.service_s
 
 
 @define
 class Second:
-    """What happened in one second, by tier."""
+    """Counters of one second, most of them by tier."""
 
     offered: Counter[Tier] = field(factory=Counter)
     refused_at_ingress: Counter[Tier] = field(factory=Counter)
@@ -73,7 +73,7 @@
 
 @define
 class Simulation:
-    """The simulation: one entry, one gate and one server."""
+    """A simulation of one ingress, one dispatcher and one server."""
 
     scenario: Scenario
     rng: random.Random
@@ -88,7 +88,7 @@
     refused_last_at_s: float = -math.inf
 
     def __attrs_post_init__(self) -> None:
-        """Wire the gate to a clock of its own."""
+        """Create the dispatcher with a manual clock, and schedule the first events."""
         self.timers = TimerService(ManualClock(0.0), self.rng)
         identity = Identity("127.0.0.1:1", "here", "region", "1")
         board = Blackboard(identity)
@@ -98,13 +98,13 @@
         self.timers.subscribe(_CHECK_INTERVAL_S, self.check_pending)
 
     def second(self) -> Second:
-        """Return the counters of the present second."""
+        """Return the counters of the current second."""
         while len(self.seconds) <= int(self.timers.read()):
             self.seconds.append(Second())
         return self.seconds[-1]
 
     def arrive(self) -> None:
-        """Let one request come to the entry, and schedule the next."""
+        """Admit or refuse a request at the ingress, and schedule the next arrival."""
         now_s = self.timers.read()
         rate = self.scenario.offered(now_s) * self.scenario.capacity_per_s
         self.timers.schedule(self.rng.expovariate(rate), self.arrive)
@@ -132,24 +132,24 @@
         )
 
     def admits(self, context: Context) -> bool:
-        """Decide at the entry, by what was heard."""
+        """Return whether the ingress admits a request under the last received load."""
         if self.received_load is None:
             return True
         threshold = compute_effective_threshold(self.received_load, self.timers.read())
         return rank_call(context.tier, context.priority) < threshold
 
     def record_refusal(self, tier: Tier) -> None:
-        """Remember when a refused-last call was refused."""
+        """Record the time when a refused-last call is refused."""
         if tier is Tier.REFUSED_LAST:
             self.refused_last_at_s = self.timers.read()
 
     def offer(self, context: Context) -> None:
-        """Let a request come to the gate."""
+        """Offer a request to the dispatcher."""
         self.pending.append(self.dispatcher.offer(context))
         self.check_pending()
 
     def check_pending(self) -> None:
-        """Start what has been admitted and count what has been refused."""
+        """Start admitted calls and count refused ones."""
         decided = [one for one in self.pending if one.admitted or one.refusal]
         undecided = [one for one in self.pending if not (one.admitted or one.refusal)]
         self.pending = undecided
@@ -169,7 +169,7 @@
         self.start_queued_runs()
 
     def start_queued_runs(self) -> None:
-        """Give free slots to the calls inside the server."""
+        """Assign free slots of the server to its queued calls."""
         while self.server_queue and self.busy < self.scenario.slots:
             run = self.server_queue.popleft()
             if run.ended:
@@ -189,13 +189,13 @@
             self.end_run(run, SampleKind.TIMEOUT)
 
     def complete_run(self, run: ServerRun) -> None:
-        """Answer one run."""
+        """Complete one run."""
         if not run.ended:
             self.second().complete[run.waiting.tier] += 1
             self.end_run(run, SampleKind.COMPLETE)
 
     def end_run(self, run: ServerRun, kind: SampleKind) -> None:
-        """End one run on the server."""
+        """Report the end of a run to the dispatcher, and free its slot."""
         run.ended = True
         self.busy -= run.has_slot
         latency_s = self.timers.read() - run.started_s
@@ -205,14 +205,14 @@
         self.check_pending()
 
     def send_load(self) -> None:
-        """Send the load back to the entry."""
+        """Report the load to the ingress, with its delay."""
         load = self.dispatcher.describe()
         self.timers.schedule(
             self.scenario.ingress_delay_s, lambda: self.receive_load(load)
         )
 
     def receive_load(self, load: ServiceLoad) -> None:
-        """Take in the load at the entry."""
+        """Record the load at the ingress."""
         self.received_load = evolve(load, heard_s=self.timers.read())
         self.second().threshold = load.threshold
         self.second().limit = self.dispatcher.limiter.limit
@@ -235,7 +235,7 @@
     Scenario("surge 5x", 25, 0.05, surge(5.0)),
     Scenario("surge 5x, small", 5, 0.08, surge(5.0)),
     Scenario("surge 5x, half refused last", 25, 0.05, surge(5.0), 0.5),
-    Scenario("surge 5x, far entry", 25, 0.05, surge(5.0), ingress_delay_s=0.5),
+    Scenario("surge 5x, distant ingress", 25, 0.05, surge(5.0), ingress_delay_s=0.5),
     Scenario(
         "surge 2x, tenfold slow", 25, 0.05, surge(2.0), slowdown=slow_during_surge
     ),
@@ -253,7 +253,7 @@
     """Print counters of each second."""
     for scenario in SCENARIOS:
         print(scenario.name, f"capacity {scenario.capacity_per_s:.0f}/s")
-        print("  s offered   entry-refused gate-refused complete inv threshold limit")
+        print("  s offered     ingress-ref disp-ref    complete    inv threshold limit")
         seconds = measure(scenario, 25.0)
         completed = sum(second.complete.total() for second in seconds[6:15])
         print(f"  complete in 6-15 s: {completed / 9:.0f}/s")
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,10 +1,10 @@
-"""What a node costs for control, measured on real processes, and the slopes.
+"""Measures what a node costs for control, and how this grows with the system.
 
 ``python -m benchmarks.capacity`` runs clusters of several shapes, each at rest
-and under changes, then measures how soon a configuration is in force in every
-failure domain, then the periodic work on tables of the largest size. Processor
-time is that of the processes (from ``/proc``), so that a busy machine disturbs
-it less than any time on the clock. Servers only announce themselves; no calls.
+and under changes. It then measures how soon a configuration is in force in every
+failure domain, and the periodic work on full-size tables. Servers announce
+themselves but receive no calls. Processor time is read from ``/proc``, because
+other load on the machine disturbs it less than elapsed time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from benchmarks.capacity_fit import MEASURES, REST_TERMS, fit, show_fit
 from benchmarks.capacity_partition import show_partition
 from benchmarks.capacity_periodic_work import show_tables
-from benchmarks.capacity_plan import show_plan, estimate_needs
+from benchmarks.capacity_plan import estimate_needs, show_plan
 from benchmarks.capacity_propagation import (
     AcceptedVersion,
     compute_delay,
@@ -80,7 +80,7 @@
 def make_publishes(
     cluster: Cluster, accepted: list[AcceptedVersion]
 ) -> Callable[[float], int]:
-    """Publish configurations at a steady rate and note when."""
+    """Return work that publishes configurations at a steady rate and records them."""
 
     def publish(deadline_s: float) -> int:
         for number in itertools.count():
@@ -97,7 +97,7 @@
 
 
 def make_drain_changes(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
-    """Let one server after the other say that it drains, and serve again."""
+    """Return work in which random servers drain for a moment and serve again."""
 
     def drain_servers(deadline_s: float) -> int:
         changes = 0
@@ -115,7 +115,7 @@
 
 
 def make_restarts(cluster: Cluster, rng: random.Random) -> Callable[[float], int]:
-    """Replace one node after the other without a warning."""
+    """Return work that kills and restarts one node after the other."""
 
     def restart(deadline_s: float) -> int:
         changes = 0
@@ -131,7 +131,7 @@
 
 
 def make_mass_restart(cluster: Cluster) -> Callable[[float], int]:
-    """Replace all nodes at once and wait until they know each other."""
+    """Return work that restarts all nodes at once and waits until they have joined."""
 
     def restart(deadline_s: float) -> int:
         started_s = time.monotonic()
@@ -141,7 +141,7 @@
             node.process.start()
         cluster.wait_until_joined(time.monotonic() + REJOIN_TIMEOUT_S)
         elapsed_s = time.monotonic() - started_s
-        print(f"all of {cluster.shape.nodes} nodes joined again in {elapsed_s:.1f} s")
+        print(f"all of {cluster.shape.nodes} nodes rejoined in {elapsed_s:.1f} s")
         return cluster.shape.nodes
 
     return restart
@@ -176,8 +176,8 @@
 
 
 def show_node_delays(cluster: Cluster, accepted: Sequence[AcceptedVersion]) -> None:
-    """Print how long versions took from being sent to the last of the nodes."""
-    # the last one may still be under way
+    """Print the seconds from sending a version until it was in force at all nodes."""
+    # The last version may not have reached all nodes yet.
     accepted = accepted[:-1]
     logs = [read_in_force_times(node.process.read_log()) for node in cluster.nodes]
     last = [
@@ -186,8 +186,8 @@
     ]
     p50, p99 = np.percentile(last, (50, 99))
     print(
-        f"    {len(last)} versions at the last of {len(logs)} nodes: s since sent"
-        f" p50 {p50:.3f} p99 {p99:.3f} worst {max(last):.3f}"
+        f"    {len(last)} versions in force at all {len(logs)} nodes: s since sent"
+        f" p50 {p50:.3f} p99 {p99:.3f} max {max(last):.3f}"
     )
 
 
@@ -195,10 +195,10 @@
     """Print the slopes at rest, and the cost of each change to each node."""
     costs = [cost for phase in phases for cost in phase.costs]
     at_rest = [cost for cost in costs if cost.phase == "rest"]
-    print("\nslopes at rest, a second and node")
+    print("\nslopes at rest, per second and node")
     for name in MEASURES:
         show_fit(fit(at_rest, REST_TERMS, name))
-    print("\nwhat one change costs each node of the system, beyond rest")
+    print("\ncost of one change at each node, beyond rest")
     for phase in phases:
         if phase.costs and phase.costs[0].changes_a_second and phase.costs:
             _show_change(phase.costs, at_rest)
@@ -259,11 +259,13 @@
         figures["costs"] = [asdict(cost) for phase in phases for cost in phase.costs]
         figures["appends"] = [summarize_appends(phase.appends) for phase in phases]
     if "force" in parts:
-        situations, cut = measure_propagation(options.force_domains, options.publishes)
+        situations, partition = measure_propagation(
+            options.force_domains, options.publishes
+        )
         show_propagation(situations)
-        show_partition(cut)
-        figures["cut"] = [asdict(cost) for cost in cut]
-        figures["force"] = [asdict(force) for force in situations]
+        show_partition(partition)
+        figures["cut"] = [asdict(cost) for cost in partition]
+        figures["force"] = [asdict(times) for times in situations]
     if "tables" in parts:
         tables = measure_tables()
         show_tables(tables)
--- a/benchmarks/capacity_announcers.py
+++ b/benchmarks/capacity_announcers.py
@@ -1,4 +1,4 @@
-"""Announcements of backend servers that do nothing else."""
+"""Announces backend servers to their nodes without running the servers."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 def describe_server(node: NodeProcess) -> dict[str, str]:
-    """Return the announcement of a node's server; nobody calls its address."""
+    """Return the announcement of a node's server; its address receives no calls."""
     return {"service": node.service, "address": "127.0.0.1:1", "state": node.state}
 
 
 class Announcers:
-    """Announces the backend servers of all nodes, from a thread of its own.
+    """Announces the backend servers of all nodes from a single thread.
 
-    Real servers would be as many processes more, and are not what is measured.
+    This saves a server process for each node.
     """
 
     def __init__(self, nodes: Iterable[NodeProcess]) -> None:
@@ -86,7 +86,7 @@
     async def _send_announcement(self, client: Client, node: NodeProcess) -> None:
         headers = {"content-type": "application/json"}
         body = json.dumps(describe_server(node)).encode()
-        # a node that is just starting is told again in a second
+        # A node that is still starting receives the next announcement.
         with contextlib.suppress(UnansweredError):
             await client.request(
                 node.backend_address,
--- a/benchmarks/capacity_cluster.py
+++ b/benchmarks/capacity_cluster.py
@@ -1,4 +1,4 @@
-"""Node processes with the platform's log, whose cost can be read."""
+"""Runs node processes with the platform's log, and reads what they use."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @frozen
 class Shape:
-    """How many nodes of how many services, in how many failure domains."""
+    """Size of a cluster; ``members`` counts the nodes of each failure domain."""
 
     domains: int
     members: int
@@ -54,7 +54,7 @@
 
 @frozen
 class Usage:
-    """What a process has used since its start."""
+    """Processor time and memory of a process, the former since its start."""
 
     cpu_s: float
     memory_mb: float
@@ -62,7 +62,7 @@
 
 @frozen
 class Traffic:
-    """What a node has sent and received on its links to peers since its start."""
+    """Peer traffic and errors of a node since its start."""
 
     bytes_sent: float = 0.0
     bytes_received: float = 0.0
@@ -75,7 +75,7 @@
 def read_usage(pid: int) -> Usage:
     """Return the processor time and resident memory of a process."""
     text = Path(f"/proc/{pid}/stat").read_text()
-    # the name of the program may hold spaces
+    # The name of the program may hold spaces.
     fields = text.rpartition(")")[2].split()
     ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
     status = Path(f"/proc/{pid}/status").read_text()
@@ -94,7 +94,7 @@
 
 
 def read_traffic(admin_address: str) -> Traffic:
-    """Return what a node has sent and received so far."""
+    """Return the traffic and errors that a node's metrics report."""
     series = read_metrics(admin_address)
 
     def sum_series(name: str) -> float:
@@ -124,7 +124,7 @@
 class Cluster:
     """Running nodes with servers that only announce themselves.
 
-    As a context manager it always ends its processes.
+    Leaving the context ends all processes.
     """
 
     shape: Shape
@@ -230,7 +230,7 @@
         return len(alive) >= self.shape.members and len(services) >= expected_services
 
     def announce(self, node: NodeProcess, state: str) -> None:
-        """Announce a new state of a node's server, at once and from now on."""
+        """Announce a new state of a node's server now, and in later announcements."""
         node.state = state
         with contextlib.suppress(OSError):
             body = describe_server(node)
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the cost of a node by least squares."""
+"""Fits the cost of a node by least squares."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @frozen
 class Term:
-    """One thing that a cost depends on."""
+    """One explanatory variable of a cost."""
 
     name: str
     get_value: Callable[[Cost], float]
@@ -25,14 +25,14 @@
 
 @frozen
 class Fit:
-    """Coefficients with their standard errors, and what the fit leaves over."""
+    """Coefficients with their standard errors, and the residuals of the fit."""
 
     measure: str
     names: tuple[str, ...]
     coefficients: tuple[float, ...]
-    errors: tuple[float, ...]
+    standard_errors: tuple[float, ...]
     residual: float
-    worst: float
+    max_residual: float
     r2: float
     samples: int
 
@@ -51,7 +51,7 @@
 
 
 def fit(costs: Sequence[Cost], terms: Sequence[Term], measure: str) -> Fit:
-    """Fit a measure of the costs by a sum of the terms."""
+    """Fit a measure of the costs as a linear combination of the terms."""
     matrix = np.array([[term.get_value(cost) for term in terms] for cost in costs])
     observed = np.array([getattr(cost, measure) for cost in costs])
     coefficients, _, rank, _ = np.linalg.lstsq(matrix, observed, rcond=None)
@@ -77,11 +77,11 @@
     terms = "  ".join(
         f"{name} {value:.4f} ±{error:.4f}"
         for name, value, error in zip(
-            result.names, result.coefficients, result.errors, strict=True
+            result.names, result.coefficients, result.standard_errors, strict=True
         )
     )
     print(
-        f"{result.measure}: {terms}\n    residual {result.residual:.3f}, worst"
-        f" {result.worst:.3f}, r2 {result.r2:.3f}, {result.samples} samples",
+        f"{result.measure}: {terms}\n    residual {result.residual:.3f}, max"
+        f" {result.max_residual:.3f}, r2 {result.r2:.3f}, {result.samples} samples",
         flush=True,
     )
--- a/benchmarks/capacity_partition.py
+++ b/benchmarks/capacity_partition.py
@@ -1,4 +1,4 @@
-"""What a cut between regions costs, and its healing."""
+"""Measures what a network partition between regions and its healing cost."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from standins.deploy import Deployment
 
 PHASE_S = 10.0
-# longer than a silent failure domain stays in the tables
+# longer than the tables keep a silent failure domain
 PARTITION_S = 30.0
 HEAL_TIMEOUT_S = 60.0
 _MS_PER_S = 1000
@@ -27,7 +27,10 @@
 
 @frozen
 class PartitionCost:
-    """The mean cost of a node a second; ``known_s`` until all know all again."""
+    """Cost of a node per second, as mean and maximum over the nodes.
+
+    ``known_s`` is the time until all nodes know all failure domains again.
+    """
 
     phase: str
     seconds: float
@@ -46,7 +49,7 @@
 
 
 def measure_partition(deployment: Deployment) -> list[PartitionCost]:
-    """Cut one half of the failure domains from the other, and heal."""
+    """Partition the failure domains into two halves, and heal the partition."""
     domains = deployment.spec.failure_domains
     half = len(domains) // 2
     pairs = list(itertools.product(domains[:half], domains[half:]))
@@ -117,12 +120,12 @@
 
 def show_partition(costs: list[PartitionCost]) -> None:
     """Print the cost of each phase."""
-    print("\nhalf of the failure domains cut from the other half")
+    print("\nhalf of the failure domains partitioned from the other half")
     for cost in costs:
         known = f", all known again after {cost.known_s:.1f} s" if cost.known_s else ""
         print(
             f"{cost.phase:15} {cost.seconds:5.1f} s: cpu ms/s {cost.cpu_ms:6.2f}"
-            f" (most {cost.worst_cpu_ms:6.2f}) B/s out {cost.bytes_sent:6.0f}"
-            f" (most {cost.worst_bytes_sent:6.0f}){known}",
+            f" (max {cost.worst_cpu_ms:6.2f}) B/s out {cost.bytes_sent:6.0f}"
+            f" (max {cost.worst_bytes_sent:6.0f}){known}",
             flush=True,
         )
--- a/benchmarks/capacity_periodic_work.py
+++ b/benchmarks/capacity_periodic_work.py
@@ -1,4 +1,4 @@
-"""Periodic work of a node, with its slopes."""
+"""Reports the periodic work of a node by the size of its tables."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @frozen
 class Work:
-    """One function: microseconds each time and how often it runs a second.
+    """One function: microseconds per run, and runs per second.
 
-    Without a rate it is part of the path of a call.
+    A rate of 0 means that the function runs for each call, not periodically.
     """
 
     name: str
@@ -22,13 +22,13 @@
 
     @property
     def ms(self) -> float:
-        """Milliseconds a second."""
+        """Milliseconds per second."""
         return self.each_us * self.rate / _US_PER_MS
 
 
 @frozen
 class Table:
-    """The work of a node that knows so many members and services."""
+    """The periodic work of a node with tables of one size."""
 
     members: int
     services: int
@@ -39,12 +39,12 @@
 
     @property
     def ms(self) -> float:
-        """Milliseconds a second of all periodic work."""
+        """Milliseconds per second of all periodic work."""
         return sum(work.ms for work in self.works)
 
 
 def show_tables(tables: list[Table]) -> None:
-    """Print the periodic work of each size, its dearest parts and the slopes."""
+    """Print the periodic work for each size, its costliest functions and the slopes."""
     print("\nperiodic work on filled tables")
     for table in tables:
         role = "delegate" if table.delegate else "other"
@@ -67,5 +67,5 @@
         print(
             f"{'delegate' if delegate else 'other':8} ms/s: {coefficients[0]:.3f}"
             f" + {coefficients[1]:.5f} a member + {coefficients[2]:.6f} a summary,"
-            f" worst residual {max_residual:.3f}"
+            f" max residual {max_residual:.3f}"
         )
--- a/benchmarks/capacity_plan.py
+++ b/benchmarks/capacity_plan.py
@@ -1,4 +1,4 @@
-"""What a node would cost at the size that is aimed at, from the measured slopes."""
+"""Extrapolates the cost of a node from measured slopes to a full-size system."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @frozen
 class ResourceNeed:
-    """What one role needs: milliseconds and bytes a second, and memory."""
+    """Resources of one role: processor time and bytes per second, and memory."""
 
     role: str
     rest_ms: float
@@ -43,13 +43,13 @@
 def estimate_needs(
     costs: Sequence[Cost], tables: Sequence[Table]
 ) -> list[ResourceNeed]:
-    """Return the need of each role.
+    """Return the needs of each role.
 
-    Rest is the mean of the nodes of that role in the clusters where it does most
-    alike: ordinary nodes and readers where a failure domain is largest, delegates
-    where there are most failure domains. Added is what the periodic work takes
-    more on tables of the size to come than on the smallest ones, and what the
-    changes of an ordinary day take.
+    The cost at rest is the mean over the nodes of the role in the most similar
+    clusters: those with the largest failure domains for service nodes and log
+    readers, those with the most failure domains for delegates. To this are added
+    the extra periodic work on full-size tables compared with the smallest ones,
+    and the cost of the changes of a day.
     """
     rest = [cost for cost in costs if cost.phase == "rest"]
     largest = max(cost.members for cost in rest)
@@ -62,8 +62,10 @@
         "delegate": lambda cost: cost.domains == widest and cost.delegate,
     }
     return [
-        _estimate_need(role, [cost for cost in rest if selected(cost)], costs, tables)
-        for role, selected in roles.items()
+        _estimate_need(
+            role, [cost for cost in rest if is_selected(cost)], costs, tables
+        )
+        for role, is_selected in roles.items()
     ]
 
 
@@ -95,7 +97,7 @@
 
 
 def compute_change_cost(costs: Sequence[Cost], phase: str, name: str) -> float:
-    """Return what one change cost each node beyond rest, the dearest of all shapes."""
+    """Return the cost per node of one change beyond rest, for the costliest shape."""
     shapes = {(cost.domains, cost.members, cost.services) for cost in costs}
     extras = []
     for shape in shapes:
@@ -119,9 +121,10 @@
 def show_plan(needs: Sequence[ResourceNeed]) -> None:
     """Print each role beside its budget."""
     print(
-        f"\nat {MEMBERS_PER_DOMAIN} members, {SERVICES_PER_DOMAIN} services in each of {DOMAINS} failure"
-        f" domains, {PUBLISHES_PER_DAY} publishes and {RESTARTS_PER_DAY} restarts a day;"
-        f" budget {MAX_CPU_MS_PER_S:g} ms/s, {MAX_BYTES_SENT_PER_S:g} B/s, {MAX_MEMORY_MB:g} MB"
+        f"\nat {MEMBERS_PER_DOMAIN} members, {SERVICES_PER_DOMAIN} services in each of"
+        f" {DOMAINS} failure domains, {PUBLISHES_PER_DAY} publishes and"
+        f" {RESTARTS_PER_DAY} restarts a day; budget {MAX_CPU_MS_PER_S:g} ms/s,"
+        f" {MAX_BYTES_SENT_PER_S:g} B/s, {MAX_MEMORY_MB:g} MB"
     )
     for need in needs:
         print(
--- a/benchmarks/capacity_propagation.py
+++ b/benchmarks/capacity_propagation.py
@@ -1,4 +1,4 @@
-"""How soon an accepted configuration is in force in every failure domain."""
+"""Measures how soon an accepted configuration is in force in each failure domain."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from benchmarks.capacity_partition import PartitionCost
     from standins.processes import Process
 
-MEMBERS = 2
+SERVERS_PER_DOMAIN = 2
 PEER_DELAY_MS = 1.0
 SETTLE_S = 10.0
 PUBLISH_INTERVAL_S = 0.5
@@ -45,13 +45,13 @@
 
 @frozen
 class PropagationTimes:
-    """Seconds from accepted to in force, over all publishes of one situation.
+    """Seconds until versions were in force, over all publishes of one situation.
 
-    A version may be in force before its operator is told so, which counts as 0;
-    ``since_sent`` are the seconds from sending it until the last node had it.
-    ``everywhere`` has one value for each version, when the last node had it;
-    ``nodes`` one for each node and version, ``cut`` only those of the failure
-    domain that was cut. Infinite where it was not in force at the end.
+    ``everywhere`` counts from the acceptance of a version until it was in force at
+    the last node, ``since_sent`` from sending it. ``nodes`` has one value for each
+    node and version, ``cut`` only those of the disconnected failure domain. A version
+    in force before the operator receives the response counts as 0; a version that
+    never came into force counts as infinite.
     """
 
     situation: str
@@ -67,7 +67,7 @@
 
 @frozen
 class AcceptedVersion:
-    """A version and the moments when it was sent and accepted."""
+    """A version, and the wall clock times at which it was sent and accepted."""
 
     version: int
     sent_s: float
@@ -77,12 +77,12 @@
 def measure_propagation(
     domains: int, count: int
 ) -> tuple[list[PropagationTimes], list[PartitionCost]]:
-    """Measure at rest, under load, and with one failure domain cut from the log.
+    """Measure at rest, under load, and with a failure domain disconnected from the log.
 
-    A cut between two halves of the failure domains follows.
+    Then measure a partition between two halves of the failure domains.
     """
     names = tuple(f"domain-{index}" for index in range(domains))
-    services = (ServiceSpec("ratebook", MEMBERS, slots=50),)
+    services = (ServiceSpec("ratebook", SERVERS_PER_DOMAIN, slots=50),)
     spec = DeploymentSpec(
         names, services, relays=True, peer_delay_ms=PEER_DELAY_MS, ready_timeout_s=120
     )
@@ -94,10 +94,12 @@
         time.sleep(LOAD_WARM_UP_S)
         situations.append(_measure(deployment, "under load", count))
         load.kill()
-        cut = names[-1]
-        deployment.cut(cut, "log", "drop")
+        disconnected = names[-1]
+        deployment.cut(disconnected, "log", "drop")
         time.sleep(PARTITION_SETTLE_S)
-        situations.append(_measure(deployment, "one cut from the log", count, cut))
+        situations.append(
+            _measure(deployment, "one cut from the log", count, disconnected)
+        )
         deployment.heal()
         time.sleep(PARTITION_SETTLE_S)
         costs = measure_partition(deployment)
@@ -109,7 +111,7 @@
     accepted = []
     for number in range(count):
         text = CONFIGURATION.format(domains=names, fraction=100 + number % 800)
-        vm = deployment.vms[number % MEMBERS]
+        vm = deployment.vms[number % SERVERS_PER_DOMAIN]
         sent_s = time.time()
         version = publish(vm.admin_address, text)
         accepted.append(AcceptedVersion(version, sent_s, time.time()))
@@ -137,15 +139,17 @@
 
 
 def _measure(
-    deployment: Deployment, situation: str, count: int, cut: str = ""
+    deployment: Deployment, situation: str, count: int, disconnected: str = ""
 ) -> PropagationTimes:
     accepted = _publish_all(deployment, count)
     deployment.wait_until_in_force(accepted[-1].version, IN_FORCE_TIMEOUT_S)
-    seen = {vm.name: read_in_force_times(vm.node.read_log()) for vm in deployment.vms}
+    in_force = {
+        vm.name: read_in_force_times(vm.node.read_log()) for vm in deployment.vms
+    }
     domains = {vm.name: vm.failure_domain for vm in deployment.vms}
     delays = {
         name: [compute_delay(versions, one) for one in accepted]
-        for name, versions in seen.items()
+        for name, versions in in_force.items()
     }
     everywhere = [max(each) for each in zip(*delays.values(), strict=True)]
     return PropagationTimes(
@@ -163,14 +167,14 @@
         cut=[
             max(0.0, delay)
             for name in delays
-            if domains[name] == cut
+            if domains[name] == disconnected
             for delay in delays[name]
         ],
     )
 
 
 def read_in_force_times(log: str) -> list[tuple[float, int]]:
-    """Return when each version came into force, from the log lines of a node."""
+    """Return pairs of time and version in force, from the log lines of a node."""
     found = []
     for line in log.splitlines():
         match = _IN_FORCE_MESSAGE.search(line)
@@ -183,7 +187,7 @@
 def compute_delay(
     versions: Sequence[tuple[float, int]], accepted: AcceptedVersion
 ) -> float:
-    """Return the seconds from accepted to in force, negative if it was before."""
+    """Return the seconds from accepted to in force; infinite if never in force."""
     for moment_s, version in versions:
         if version >= accepted.version:
             return moment_s - accepted.accepted_s
@@ -192,12 +196,12 @@
 
 def show_propagation(situations: Sequence[PropagationTimes]) -> None:
     """Print the percentiles of each situation."""
-    print("\nseconds from accepted to in force            p50     p99   worst")
+    print("\nseconds from accepted to in force            p50     p99     max")
     for force in situations:
         rows = {
             "in every failure domain": force.everywhere,
             "at each node": force.nodes,
-            "at each node of the cut one": force.cut,
+            "in disconnected domain": force.cut,
             "sent to accepted": force.publish_s,
             "sent to in force everywhere": force.since_sent,
         }
--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -1,4 +1,4 @@
-"""What each node costs in a stretch of time, and how that depends on its role."""
+"""Measures the cost of each node over a period, by the role of the node."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @frozen
 class Cost:
-    """What one node cost in each second of one phase."""
+    """Cost of one node per second of one phase."""
 
     cpu_ms: float
     memory_mb: float
@@ -42,13 +42,13 @@
 
     @property
     def summaries(self) -> int:
-        """Summaries of other failure domains' services that the node knows."""
+        """Number of summaries of services in other failure domains."""
         return (self.domains - 1) * self.services
 
 
 @frozen
 class Appends:
-    """Records on the log in one phase, each second, and in the worst second."""
+    """Records appended to the log in one phase: mean per second, and worst second."""
 
     phase: str
     shape: Shape
@@ -60,7 +60,7 @@
 
 @frozen
 class Phase:
-    """What was measured in one phase."""
+    """Measurements of one phase."""
 
     costs: list[Cost]
     appends: Appends
@@ -68,13 +68,13 @@
 
 
 def find_delegates(cluster: Cluster) -> set[str]:
-    """Return the peer addresses of the nodes that speak for their failure domain."""
+    """Return the peer addresses of the delegates of all failure domains."""
     return _choose_per_domain(cluster, lambda domain: domain, DELEGATES)
 
 
 def find_readers(cluster: Cluster) -> set[str]:
-    """Return the peer addresses of the nodes that always tail the configuration."""
-    # the rule of eelgrassmount.config.readers with its lasting salt
+    """Return the peer addresses of the nodes that tail the configuration."""
+    # Same choice as in eelgrassmount.config.readers, with its constant salt.
     return _choose_per_domain(cluster, lambda domain: "", READERS)
 
 
@@ -93,7 +93,7 @@
 
 @frozen
 class ProcessReading:
-    """What one process had used and sent up to some moment."""
+    """Cumulative usage and traffic of one process."""
 
     pid: int
     usage: Usage
@@ -103,13 +103,13 @@
 def measure(
     cluster: Cluster, name: str, seconds: float, make_changes: Callable[[float], int]
 ) -> Phase:
-    """Measure all nodes while ``work`` makes changes until its deadline.
+    """Measure all nodes while ``make_changes`` runs until the deadline it is given.
 
-    ``work`` returns how many it made. Nodes that were replaced meanwhile are
-    left out.
+    ``make_changes`` returns the number of changes. Nodes that were restarted in the
+    meantime are left out.
     """
     appends = _sum_appends(cluster)
-    # reading the metrics costs a node something, so that comes first and last
+    # Reading metrics costs processor time, so it stays outside the measured period.
     traffics = [read_traffic(node.admin_address) for node in cluster.nodes]
     usages = [read_usage(node.process.pid) for node in cluster.nodes]
     before = {
@@ -204,7 +204,7 @@
 
 
 def show_costs(costs: list[Cost]) -> None:
-    """Print the mean of the nodes of each phase, and of the delegates."""
+    """Print the mean costs of the delegates and of the other nodes in one phase."""
     for delegate in (False, True):
         selected = [cost for cost in costs if cost.delegate is delegate]
         if not selected:
@@ -220,9 +220,9 @@
             f"{first_cost.phase:16} {first_cost.domains:3} x {first_cost.members:3},"
             f" {first_cost.services:3} services,"
             f" {'delegates' if delegate else 'others':9} {len(selected):4}"
-            f" cpu ms/s {statistics.mean(cpu):6.2f} (most {max(cpu):6.2f})"
+            f" cpu ms/s {statistics.mean(cpu):6.2f} (max {max(cpu):6.2f})"
             f" MB {mean('memory_mb'):5.1f}"
-            f" B/s out {mean('bytes_sent'):6.0f} (most {max_bytes_sent:6.0f})"
+            f" B/s out {mean('bytes_sent'):6.0f} (max {max_bytes_sent:6.0f})"
             f" in {mean('bytes_received'):6.0f}"
             f" msg/s out {mean('messages_sent'):5.1f}"
             f" in {mean('messages_received'):5.1f}"
@@ -232,7 +232,7 @@
 
 
 def show_appends(appends: Appends) -> None:
-    """Print the records on the log in a phase."""
+    """Print the records appended to the log in a phase."""
     shape = appends.shape
     print(
         f"{appends.phase:16} {shape.domains:3} x {shape.members:3} appends/s"
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -1,8 +1,8 @@
-"""The periodic work of one node on tables of the size to come.
+"""Measures the periodic work of one node on full-size tables.
 
-The parts of a real node are built and their tables filled by hand, since no
-single machine runs a failure domain of 715 members. Each periodic function is
-called many times; what it takes and how often it runs give milliseconds a second.
+A node is built and its tables are filled directly, because one machine cannot run
+a failure domain of 715 members. The processor time of each periodic function and its
+rate give the milliseconds per second.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class IdleTaskGroup:
-    """Takes tasks and runs none of them."""
+    """Stands in for a task group, and runs no tasks."""
 
     def start_soon(self, function: object, *args: object) -> None:
         pass
@@ -91,7 +91,7 @@
     group: anyio.abc.TaskGroup, members: int, services: int, delegate: bool
 ) -> Node:
     local_address = _find_local_address(members, delegate)
-    # nothing listens; the addresses only have to differ
+    # Nothing listens on these addresses; they only have to differ.
     others = ("caller_address", "backend_address", "admin_address", "log_address")
     flags = {name: f"{IP}:{port}" for port, name in enumerate(others, start=1)}
     settings = load_settings(
@@ -112,7 +112,7 @@
 
 
 def _find_local_address(members: int, delegate: bool) -> str:
-    """Return an own address whose hash makes the node a delegate, or not."""
+    """Return a local address whose hash makes the node a delegate, or not."""
     others = [_name_member(number) for number in range(members - 1)]
     for port in range(FIRST_PORT, LAST_PORT):
         local_address = f"{IP}:{port}"
@@ -120,7 +120,7 @@
         readers = choose_addresses("", [*others, local_address], READERS)
         if (local_address in delegates, local_address in readers) == (delegate, False):
             return local_address
-    raise RuntimeError("no address with that rank")
+    raise RuntimeError("no local address gives the node this role")
 
 
 def _fill(node: Node, members: int, services: int) -> None:
@@ -131,7 +131,7 @@
     for domain in range(1, OTHER_DOMAINS + 1):
         for service in range(services):
             roster.learn_summary(_make_summary(domain, service, now_s), now_s)
-    # what the own failure domain has published, as it would be after a while
+    # summaries that the local failure domain has published
     known = roster.table.members.values()
     for summary in summarize_services(known, {}, LOCAL_DOMAIN, now_s).values():
         roster.learn_summary(evolve(summary, sequence=1), now_s)
@@ -182,7 +182,7 @@
 
 
 def _time_others(node: Node) -> list[Work]:
-    """Time what tasks of the node do without a timer."""
+    """Measure the periodic work of tasks that run without a timer."""
     follower = node.keys.follower
 
     def plan() -> None:
@@ -201,7 +201,7 @@
 
 
 def _time_path(node: Node) -> list[Work]:
-    """Time the choices that each call costs."""
+    """Measure the functions that run for each call."""
     control = node.path.control
     remote_context = _make_context("far")
     excluded = {
@@ -215,8 +215,8 @@
             control.routing.records[address].outstanding = 0
 
     return [
-        Work("path: choose a server near", _time(lambda: choose(set()))),
-        Work("path: choose a server far", _time(lambda: choose(excluded))),
+        Work("path: choose a local server", _time(lambda: choose(set()))),
+        Work("path: choose a remote server", _time(lambda: choose(excluded))),
         Work("path: describe load", _time(node.path.gate.describe)),
     ]
 
@@ -237,7 +237,7 @@
 
 
 def _time(action: Callable[[], object]) -> float:
-    """Return the microseconds of processor time that an action takes."""
+    """Return the median processor time of an action in microseconds."""
     action()
     times = []
     for _ in range(_REPEATS):
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -1,8 +1,8 @@
-"""What at-most-once costs: memory and processor time for each key.
+"""Measures memory and processor time of at-most-once execution for each key.
 
-Run it with ``python -m benchmarks.keys``. Two nodes share one process and speak
-through encoded frames without sockets, so the processor time is that of both
-holders of a slot together.
+Run it with ``python -m benchmarks.keys``. Two nodes share one process and exchange
+encoded frames without sockets, so that the processor time includes both replicas of
+a slot.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 @define(eq=False)
 class LocalPeers:
-    """One node and its way to the other one in the same process."""
+    """One node, and its peer connection to the other one in the same process."""
 
     identity: Identity
     nodes: list[LocalPeers]
@@ -138,14 +138,14 @@
         primary = nodes[0].service
         while not all(holder.synced for holder in primary.core.holders):
             await anyio.sleep(0.1)
-        figures: dict[str, list[float]] = {"plain": [], "own": [], "minted": []}
-        figures["repeat"] = []
+        figures: dict[str, list[float]] = {"plain": [], "client": [], "minted": []}
+        figures["retry"] = []
         for number in range(ROUNDS):
-            new_keys = [f"{number}-{index}" for index in range(CALLS)]
+            client_keys = [f"{number}-{index}" for index in range(CALLS)]
             minted_keys = [primary.mint() for _ in range(CALLS)]
-            figures["plain"].append(await time_calls(answer_at_once, new_keys))
-            figures["own"].append(await time_calls(primary.run, new_keys))
-            figures["repeat"].append(await time_calls(primary.run, new_keys))
+            figures["plain"].append(await time_calls(answer_at_once, client_keys))
+            figures["client"].append(await time_calls(primary.run, client_keys))
+            figures["retry"].append(await time_calls(primary.run, client_keys))
             figures["minted"].append(await time_calls(primary.run, minted_keys))
         group.cancel_scope.cancel()
     for name, values in figures.items():
@@ -167,9 +167,7 @@
         find_slot(key)
     used_bytes = tracemalloc.get_traced_memory()[0] - start_bytes
     tracemalloc.stop()
-    print(
-        f"memory   {used_bytes / KEYS:7.0f} bytes a key at each holder, body included"
-    )
+    print(f"memory   {used_bytes / KEYS:7.0f} bytes per key at each replica, with body")
 
 
 def main() -> None:
--- a/benchmarks/limiter.py
+++ b/benchmarks/limiter.py
@@ -1,4 +1,4 @@
-"""Compares estimators of the concurrency limit in a discrete simulation."""
+"""Compares concurrency limiters in a discrete-event simulation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @define
 class GradientLimiter:
-    """Latency gradient against a slowly following baseline."""
+    """Limits by the ratio of a slow to a fast moving average of the latency."""
 
     size: float = 8.0
     fast_average_s: float = 0.0
@@ -29,17 +29,17 @@
 
     @property
     def limit(self) -> int:
-        """Return how many calls may run now."""
+        """Number of calls that may run at the same time."""
         return max(2, round(self.size))
 
     def record_start(self, in_flight: int, now_s: float) -> None:
-        """Note nothing."""
+        """Ignore the start of a run."""
 
     def adjust(self, now_s: float) -> None:
-        """Do nothing."""
+        """Make no periodic adjustment."""
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
-        """Move the limit by the ratio of the baseline to the present latency."""
+        """Adjust the limit by the ratio of the slow to the fast average."""
         if sample.kind is SampleKind.SHED:
             self.size *= 0.95
             return
@@ -59,7 +59,7 @@
 
 @define
 class AimdLimiter:
-    """Additive growth, and a cut when latency passes a multiple of the least."""
+    """Additive increase, and multiplicative decrease when latency rises."""
 
     size: float = 8.0
     min_s: float = math.inf
@@ -67,18 +67,18 @@
 
     @property
     def limit(self) -> int:
-        """Return how many calls may run now."""
+        """Number of calls that may run at the same time."""
         return max(2, round(self.size))
 
     def record_start(self, in_flight: int, now_s: float) -> None:
-        """Note nothing."""
+        """Ignore the start of a run."""
 
     def adjust(self, now_s: float) -> None:
-        """Let the baseline age."""
+        """Raise the minimum latency slowly, so that old minima expire."""
         self.min_s *= 1.005
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
-        """Grow by one for each full round of runs, or cut."""
+        """Raise the limit by one for each full round of runs, or reduce it."""
         service_s = sample.latency_s - sample.downstream_s
         slow = sample.kind is SampleKind.SHED
         if not slow:
@@ -94,7 +94,7 @@
 
 @frozen
 class Scenario:
-    """One server under test."""
+    """One simulated server; ``sigma`` is that of the lognormal service times."""
 
     name: str
     slots: int
@@ -109,7 +109,7 @@
     return 1.0 + 7.0 * math.exp(-now_s / 2.0)
 
 
-def _slow_from_10_to_20_s(now_s: float) -> float:
+def _slow_temporarily(now_s: float) -> float:
     return 10.0 if _SLOWDOWN_START_S <= now_s < _SLOWDOWN_END_S else 1.0
 
 
@@ -119,8 +119,8 @@
     Scenario("180 slots", 180, 0.05, 0.3),
     Scenario("180 slots, wide", 180, 0.05, 0.8),
     Scenario("180, cold", 180, 0.05, 0.3, _slow_at_start),
-    Scenario("25, slow at 10-20", 25, 0.05, 0.3, _slow_from_10_to_20_s),
-    Scenario("180, slow at 10-20", 180, 0.05, 0.3, _slow_from_10_to_20_s),
+    Scenario("25, slow at 10-20", 25, 0.05, 0.3, _slow_temporarily),
+    Scenario("180, slow at 10-20", 180, 0.05, 0.3, _slow_temporarily),
     Scenario("25, downstream", 25, 0.05, 0.3, downstream_s=0.2),
     Scenario("5 slots", 5, 0.08, 0.3),
     Scenario("25, sheds at 30", 25, 0.05, 0.3, max_in_flight=30),
@@ -167,7 +167,7 @@
 
 
 def main() -> None:
-    """Print the limit over time and the share of the capacity that was used."""
+    """Print the limit over time and the used share of the capacity."""
     print("limit in second 0 1 2 4 8 11 13 18 20 22 28; share of capacity; shed")
     for scenario in SCENARIOS:
         _report(scenario, "probe", Limiter())
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -1,4 +1,4 @@
-"""A network of memberships in one process, on a clock that is moved by hand."""
+"""Runs the memberships of many nodes in one process, on a manual clock."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 STEP_S = 0.02
 _PROTOCOL = TBinaryProtocolAcceleratedFactory()
 _FRAME_BYTES = 4
-# passes of the event loop without any event after which nothing is left to do
+# passes of the event loop without an event, after which all tasks wait for the clock
 _IDLE_PASSES = 6
 
 
 @define
 class InMemoryLog:
-    """A log in memory that can be out."""
+    """A log in memory that can be made unavailable."""
 
     down: bool = False
     records: list[Record] = field(factory=list)
@@ -59,7 +59,7 @@
 
 @define(eq=False)
 class Node:
-    """One membership with its blackboard; it can stand still."""
+    """One node's membership and shared state; it can be frozen."""
 
     identity: Identity
     network: Network
@@ -142,7 +142,7 @@
 
 @define
 class Network:
-    """Carries encoded messages between nodes, at once or not at all."""
+    """Delivers encoded messages between nodes at once, or drops them."""
 
     rng: random.Random
     clock: ManualClock = field(factory=ManualClock)
@@ -229,7 +229,7 @@
         await self.run_until(lambda: False, seconds)
 
     async def run_until(self, condition: Callable[[], bool], limit_s: float) -> float:
-        """Move the clock until something holds; return the seconds it took."""
+        """Advance the clock until a condition holds; return the elapsed seconds."""
         start_s = self.clock.now_s
         while self.clock.now_s < start_s + limit_s and not condition():
             self.clock.now_s += STEP_S
@@ -243,7 +243,7 @@
         return self.clock.now_s - start_s
 
     async def _settle(self) -> None:
-        """Let all tasks run until they wait for the clock."""
+        """Run all tasks until they wait for the clock."""
         idle_passes = 0
         while idle_passes < _IDLE_PASSES:
             before = self.events
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""What membership costs each node, and how soon a failure is found.
+"""Measures what membership costs each node, and how soon failures are detected.
 
-``python -m benchmarks.membership`` runs everything in one process, on a clock
-that is moved by hand and a network in memory that encodes each message. So
-bytes and messages are exact; processor time has the codec in it but no sockets.
+``python -m benchmarks.membership`` runs all nodes in one process, on a manual clock
+and an in-memory network that encodes each message. Counts of bytes and messages are
+exact; processor time includes the codec but no sockets.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @frozen
 class Cost:
-    """The cost of one node in one second, and of joining."""
+    """Cost of one node per second, and of joining."""
 
     scenario: str
     nodes: int
@@ -60,7 +60,7 @@
 
 @frozen
 class Detection:
-    """How freezes of one length were seen, over some runs."""
+    """How the other nodes detected freezes of one length, over several runs."""
 
     nodes: int
     freeze_s: float
@@ -87,13 +87,13 @@
 async def start_nodes(
     network: Network, domains: int, nodes: int, services: int, changing: bool
 ) -> float:
-    """Start all nodes at once through a few seeds; return the time it took."""
+    """Start all nodes at once with a few seeds; return the seconds until all joined."""
     seeds = tuple(f"127.{domain + 1}.0.1:9000" for domain in range(domains))
     for index in range(nodes):
         for domain in range(domains):
             address = f"127.{domain + 1}.{index // 250}.{index % 250 + 1}:9000"
-            load = make_load(network.rng, changing)
-            node = await network.add(address, f"domain-{domain}", seeds, load)
+            describe_load = make_load(network.rng, changing)
+            node = await network.add(address, f"domain-{domain}", seeds, describe_load)
             node.serve(f"service-{index % services}")
 
     def complete() -> bool:
@@ -115,22 +115,22 @@
     async with Network(rng).open() as network:
         changing = scenario == "load changes"
         join_s = await start_nodes(network, domains, nodes, services, changing)
-        nodes_measured = list(network.nodes.values())
-        total = len(nodes_measured)
-        join_kb = sum(node.bytes_out for node in nodes_measured) / total / 1024
+        all_nodes = list(network.nodes.values())
+        total = len(all_nodes)
+        join_kb = sum(node.bytes_out for node in all_nodes) / total / 1024
         await network.run(SETTLE_S)
-        before = [(node.bytes_out, node.messages_out) for node in nodes_measured]
+        before = [(node.bytes_out, node.messages_out) for node in all_nodes]
         pulls = count(network, Count.PULLS)
         cpu_s = network.cpu_s
         await (churn(network, churn_s) if churn_s else network.run(MEASURE_S))
         cpu_s = network.cpu_s - cpu_s
         sent = [
             node.bytes_out - previous
-            for node, (previous, _) in zip(nodes_measured, before, strict=True)
+            for node, (previous, _) in zip(all_nodes, before, strict=True)
         ]
         messages = [
             node.messages_out - previous
-            for node, (_, previous) in zip(nodes_measured, before, strict=True)
+            for node, (_, previous) in zip(all_nodes, before, strict=True)
         ]
         return Cost(
             scenario,
@@ -147,19 +147,19 @@
         )
 
 
-async def churn(network: Network, every_s: float) -> None:
-    """Let servers drain and serve again, one change in each ``every_s`` seconds."""
-    steps = int(MEASURE_S / every_s)
+async def churn(network: Network, interval_s: float) -> None:
+    """Drain and restore random servers, one change each ``interval_s`` seconds."""
+    steps = int(MEASURE_S / interval_s)
     for step in range(steps):
         node = network.rng.choice(list(network.nodes.values()))
         state = ServerState.DRAINING if step % 2 else ServerState.SERVING
         node.serve(node.board.server.service, state)
-        await network.run(every_s)
+        await network.run(interval_s)
 
 
 @frozen
 class Spread:
-    """How long it took until no node would send work to a draining server."""
+    """Seconds until no node would send work to a draining server."""
 
     nodes: int
     domains: int
@@ -199,7 +199,7 @@
 
 
 def show_spreads(spreads: list[Spread]) -> None:
-    print("nodes  dom  loss  runs  s until no new work: median   p90  worst")
+    print("nodes  dom  loss  runs  s until no new work: median   p90    max")
     for one in spreads:
         ordered = sorted(one.seconds)
         print(
@@ -220,13 +220,13 @@
 
 
 async def run_comparisons(runs: int) -> None:
-    """Compare staggered publishing and damped flapping with the lack of them."""
+    """Compare runs with and without staggered publishing and flap damping."""
     for stagger_s in (Pace().stagger_s, 0.0):
         published, durations = await measure_stagger(stagger_s, runs)
         print(
-            f"stagger {stagger_s:.1f} s: {published:.2f} summaries a change,"
+            f"stagger {stagger_s:.1f} s: {published:.2f} summaries per change,"
             f" no new work after {statistics.median(durations):.2f} s"
-            f" (worst {max(durations):.2f})"
+            f" (max {max(durations):.2f})"
         )
     for max_hold_s in (flapping.MAX_HOLD_S, 0.0):
         returns, share = await measure_flapping(max_hold_s)
@@ -237,7 +237,7 @@
 
 
 async def measure_stagger(stagger_s: float, runs: int) -> tuple[float, list[float]]:
-    """Return summaries published for each change, and the times until known."""
+    """Return summaries published per change, and the seconds until each was known."""
     pace = Pace(stagger_s=stagger_s)
     async with Network(random.Random(SEED), pace=pace).open() as network:
         await start_nodes(network, 3, 12, 4, changing=False)
@@ -259,7 +259,10 @@
 
 
 async def measure_flapping(max_hold_s: float) -> tuple[float, float]:
-    """Freeze one of 20 nodes for 2 s in each 5 s, for two minutes."""
+    """Return returns to service per node, and the share of time in service.
+
+    One of 20 nodes is frozen for 2 s of every 5 s, for two minutes.
+    """
     default_max_hold_s, flapping.MAX_HOLD_S = flapping.MAX_HOLD_S, max_hold_s
     async with Network(random.Random(SEED)).open() as network:
         await start_nodes(network, 1, 20, 1, changing=False)
@@ -319,7 +322,7 @@
 async def freeze(
     network: Network, victim: Node, freeze_s: float, result: Detection
 ) -> set[MemberState]:
-    """Freeze a node for a while and note what the others think of it."""
+    """Freeze a node, and record the states in which the others see it."""
     others = [node for node in network.nodes.values() if node is not victim]
     seen: set[MemberState] = set()
     start_s = network.clock.now_s
@@ -364,7 +367,7 @@
 
 
 def show_slopes(costs: list[Cost]) -> None:
-    """Fit the cost against the number of members, in one failure domain at rest."""
+    """Fit the cost at rest to the number of members of one failure domain."""
     rest = [cost for cost in costs if cost.scenario == "rest" and cost.domains == 1]
     if len(rest) < 3:
         return
@@ -377,12 +380,12 @@
         r2 = (
             1 - ((values - fitted) ** 2).sum() / total_squares if total_squares else 1.0
         )
-        print(f"{name}: {base:.3f} + {slope:.6f} a member, r2 {r2:.3f}")
+        print(f"{name}: {base:.3f} + {slope:.6f} per member, r2 {r2:.3f}")
 
 
 def show_detections(detections: list[Detection]) -> None:
     print(
-        "freeze s  runs  suspected  dead   s to suspicion   s to verdict   s until back"
+        "freeze s  runs  suspected  dead   s to suspicion   s to declared    s to alive"
     )
 
     def show(values: list[float]) -> str:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,7 @@
-"""Goodput and recovery under overload: no layer, fixed limits, eelgrassmount.
+"""Measures goodput and recovery under overload, with and without eelgrassmount.
 
-``python -m benchmarks.overload`` runs all scenarios; ``--scenarios surge-5x``,
-``--systems c`` and ``--shapes samiti`` choose among them.
+``--scenarios surge-5x``, ``--systems c`` and ``--shapes samiti`` select what
+``python -m benchmarks.overload`` runs.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 from benchmarks.overload_figures import Figures, Trial, compute_figures, count_goodput
 from benchmarks.overload_scenarios import (
-    RECOVERY_S,
     BASELINE_S,
-    NORMAL_LOAD,
     DISTURBANCE_S,
+    NORMAL_LOAD,
+    RECOVERY_S,
     SCENARIOS,
     Scenario,
 )
@@ -50,8 +50,8 @@
 class System:
     """One way of running the services.
 
-    ``queue_slots`` is the fixed limit of a server as a multiple of its slots; a
-    server without one takes as many requests as it has connections.
+    ``queue_factor`` bounds the waiting requests of a server, as a multiple of its
+    slots; without it, the number of connections bounds its requests.
     """
 
     letter: str
@@ -152,7 +152,7 @@
         (DISTURBANCE_S, scenario.load * rate),
         (RECOVERY_S, NORMAL_LOAD * rate),
     ]
-    # the command line of the callers reads true and false as words
+    # The command line of the callers would parse true and false as strings.
     classes = [
         {**asdict(one), "keyed": int(one.keyed)} for one in shape.make_call_classes()
     ]
@@ -174,7 +174,7 @@
 
 
 def _make_crash_class(shape: Shape) -> dict[str, object]:
-    """Return a request that ends every server of the scarce service it reaches."""
+    """Return a request that crashes every server of the bottleneck that runs it."""
     lookup = next(
         one
         for one in shape.make_call_classes()
@@ -189,7 +189,7 @@
 
 
 def _measure_cpu(deployment: Deployment) -> dict[str, float]:
-    """Return the processor seconds used so far, by kind of process."""
+    """Return the processor seconds used since the start, by kind of process."""
     ticks_per_s = os.sysconf("SC_CLK_TCK")
     used: dict[str, float] = {}
     for process in deployment.processes:
@@ -215,16 +215,18 @@
     recovery = figures.recovery_s
     print(
         f"  good {figures.goodput_per_s:.1f}/s; of {shape.bottleneck}"
-        f" {figures.bottleneck_goodput_per_s:.1f}/s of {shape.bottleneck_capacity_per_s:.1f}/s;"
+        f" {figures.bottleneck_goodput_per_s:.1f}/s of"
+        f" {shape.bottleneck_capacity_per_s:.1f}/s;"
         f" wasted {figures.wasted_share:.1%};"
         f" calls per good request {figures.calls_per_good_request:.2f};"
-        f" sendings per request {figures.attempts_per_request:.2f}"
+        f" attempts per request {figures.attempts_per_request:.2f}"
     )
     print(
         f"  recovery {'none' if recovery is None else f'{recovery:.1f} s'};"
         f" refused-last refusals {figures.refused_last_refusals},"
-        f" of them near a refused-first start {figures.inversions};"
-        f" doubled {figures.duplicate_runs}; false refusals {figures.false_refusals}"
+        f" of them inversions {figures.inversions};"
+        f" duplicate runs {figures.duplicate_runs};"
+        f" false refusals {figures.false_refusals}"
     )
     used = ", ".join(f"{name} {cpu:.0f}" for name, cpu in sorted(trial.cpu_s.items()))
     print(f"  processor s: {used}", flush=True)
@@ -284,8 +286,8 @@
 ) -> None:
     """Run the chosen scenarios and print the figures of each system.
 
-    The usual ones take about eight minutes; ``--scenarios= --shapes=`` runs
-    all of them, which takes most of an hour.
+    The default selection takes several minutes; ``--scenarios= --shapes=`` runs
+    every scenario with every shape.
     """
     _OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     chosen = _parse_choice(_join(scenarios), (one.name for one in SCENARIOS))
--- a/benchmarks/overload_figures.py
+++ b/benchmarks/overload_figures.py
@@ -1,4 +1,4 @@
-"""Figures of one run under overload, from records of callers and servers."""
+"""Computes the figures of one trial from the records of callers and servers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @define
 class Trial:
-    """What was recorded of one scenario with one system.
+    """Records of one scenario with one system.
 
-    Times are monotonic seconds; the cause (the surge or the fault) lasts from
-    ``cause_s`` to ``cause_end_s``.
+    Times are monotonic seconds. The disturbance (the surge or the fault) lasts from
+    ``disturbance_start_s`` to ``disturbance_end_s``.
     """
 
     shape: Shape
@@ -39,7 +39,7 @@
 
 @frozen
 class ClassFigures:
-    """Figures of one class during the cause, in requests per second."""
+    """Figures of one class during the disturbance."""
 
     name: str
     offered_per_s: float
@@ -53,7 +53,7 @@
 class Figures:
     """Figures of one trial.
 
-    ``recovery_s`` is ``None`` when the goodput was not back before the end.
+    ``recovery_s`` is ``None`` if the goodput didn't recover before the end.
     """
 
     classes: tuple[ClassFigures, ...]
@@ -70,7 +70,7 @@
 
 
 def is_good(record: Record, spec: ClassSpec) -> bool:
-    """Tell whether a request was answered completely and within its target."""
+    """Return whether a request got a complete response within its target time."""
     within_s = spec.within_ms / 1000
     return record.outcome == "complete" and record.t_end - record.t_start <= within_s
 
@@ -136,7 +136,7 @@
 
 
 def _compute_wasted_share(trial: Trial, started_runs: list[dict[str, Any]]) -> float:
-    """Return the part of the servers' time spent on requests that failed."""
+    """Return the share of the servers' time spent on requests that failed."""
     complete = {
         record.sendings[-1].request
         for record in trial.records
@@ -153,10 +153,10 @@
 
 
 def _count_inversions(trial: Trial) -> tuple[int, int]:
-    """Count refusals of refused-last requests, and the wrong ones among them.
+    """Count inversions, and all refusals of refused-last requests.
 
-    Wrong is one near to which in time a refused-first request was started on
-    the scarce service.
+    A refusal is an inversion if a refused-first request started on the bottleneck
+    service at almost the same time.
     """
     shape = trial.shape
     first = {f"{one.method} {one.path}" for one in shape.classes if not one.refuse_last}
@@ -185,7 +185,7 @@
 
 
 def count_goodput(trial: Trial) -> dict[str, Counter[int]]:
-    """Return good requests by class and by the second in which they began."""
+    """Count good requests, by class and by the second in which they started."""
     specs = {one.name: one for one in trial.shape.classes}
     counts: dict[str, Counter[int]] = {name: Counter() for name in specs}
     counts["offered"] = Counter()
@@ -198,10 +198,10 @@
 
 
 def find_recovery_s(trial: Trial) -> float | None:
-    """Return the seconds after the cause until goodput is back, and stays.
+    """Return the seconds from the end of the disturbance to lasting recovery.
 
-    Goodput is the fraction of the requests begun in a second that were good;
-    back is within 5 % of the mean before the cause.
+    The system has recovered when the share of good requests in each second stays
+    above ``_RECOVERED_SHARE`` of its mean before the disturbance.
     """
     counts = count_goodput(trial)
     offered = counts.pop("offered")
--- a/benchmarks/overload_scenarios.py
+++ b/benchmarks/overload_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of overload: load over time, and the faults meanwhile."""
+"""Defines the overload scenarios: load over time, and faults."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 @frozen
 class Scenario:
-    """One scenario; ``begin`` and ``end`` switch its fault with the cause.
+    """One scenario; ``start_fault`` and ``end_fault`` bound its disturbance.
 
-    ``load`` is the offered load during the cause, as a multiple of the capacity.
+    ``load`` is the offered load during the disturbance, as a multiple of the capacity.
     """
 
     name: str
--- a/benchmarks/overload_shapes.py
+++ b/benchmarks/overload_shapes.py
@@ -1,4 +1,4 @@
-"""The deployments under overload, scaled down from those of the users."""
+"""Defines the deployments for overload, scaled down from those of the users."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from standins.layout import ServiceSpec
 from standins.plans import Plan, expect_shape
 
-# slots, connections and so the rates are divided by this
+# divides slots and connections, and thereby rates
 SCALE_DIVISOR = 5
 CALLER_TIMEOUT_MS = 6000.0
 
 
 @frozen
 class ClassSpec:
-    """One class of work: its route, its target, and its part of the mix."""
+    """One class of requests: its route, its target, and its weight in the mix."""
 
     name: str
     method: str
@@ -27,13 +27,13 @@
 
     @property
     def keyed(self) -> bool:
-        """Tell whether requests of the class carry idempotency keys."""
+        """Return whether requests of the class carry idempotency keys."""
         return self.method == "POST"
 
 
 @frozen
 class ServiceShape:
-    """One service, which has one server in each failure domain here."""
+    """One service, with one server in each failure domain."""
 
     name: str
     slots: int
@@ -43,7 +43,7 @@
 
     @property
     def scaled_slots(self) -> int:
-        """Return the slots of one server here."""
+        """Return the slots of one server after scaling."""
         return self.slots // SCALE_DIVISOR
 
 
@@ -71,23 +71,23 @@
         return next(one for one in self.services if one.name == name)
 
     def describe_complete_answer(self, one: ClassSpec) -> str:
-        """Return the shape of a complete answer."""
+        """Return the shape of a complete response."""
         return expect_shape(self.plans, one.method, one.path)
 
     def count_bottleneck_calls(self, one: ClassSpec) -> int:
-        """Return how many calls of the scarce service a request makes."""
+        """Return how many calls of the bottleneck service a request makes."""
         return self.describe_complete_answer(one).count(self.bottleneck)
 
     @property
     def bottleneck_capacity_per_s(self) -> float:
-        """Return what the scarce service can do: slots by service time."""
+        """Return the calls per second that the bottleneck service can complete."""
         service = self.find_service(self.bottleneck)
         slots = service.scaled_slots * len(self.failure_domains)
         return slots / (service.service_time_ms / 1000)
 
     @property
     def capacity_per_s(self) -> float:
-        """Return the rate of requests of the mix that fills the scarce service."""
+        """Return the rate of requests that saturates the bottleneck service."""
         total = sum(one.weight for one in self.classes)
         calls = sum(
             one.weight * self.count_bottleneck_calls(one) for one in self.classes
@@ -95,7 +95,7 @@
         return self.bottleneck_capacity_per_s * total / calls
 
     def make_call_classes(self) -> tuple[CallClass, ...]:
-        """Return the classes as the callers know them."""
+        """Return the classes in the form that the callers take."""
         return tuple(
             CallClass(
                 one.name,
@@ -112,8 +112,8 @@
     def make_services(self, queue_factor: float | None) -> tuple[ServiceSpec, ...]:
         """Return the services for a deployment.
 
-        A server sheds beyond its connections, or beyond ``queue_slots`` times
-        its slots waiting.
+        A server sheds beyond its connections, or beyond ``queue_factor`` waiting
+        requests per slot.
         """
         specs = []
         for service in self.services:
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,9 +1,9 @@
-"""The latency that each hop adds to a call, against the same call sent straight.
+"""Measures the latency that each hop adds to a call, compared with a direct call.
 
-One caller, two nodes with a responder each, all of them processes of their own.
-The routes are measured in turn within one run, so that their ratios hold on a
-busy machine. ``python -m benchmarks.path --against DIR`` measures the nodes of a
-second checkout in the same turns.
+One caller and two nodes with a responder each run as separate processes. The
+routes take turns within one run, so that other load on the machine affects all of
+them alike. ``python -m benchmarks.path --against DIR`` measures the nodes of a second
+checkout in the same turns.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 IN_FORCE_TIMEOUT_S = 20.0
 WARM_UP_REQUESTS = 600
 SEQUENTIAL_REQUESTS = 1500
-# calls in a row on one route, long enough for the ticks of processor time
+# long enough to measure processor time in clock ticks
 SEQUENTIAL_BLOCK = 100
 CONCURRENCY = 64
 CONCURRENT_ROUNDS = 4
@@ -55,7 +55,7 @@
 
 @frozen
 class Route:
-    """One way to make the call; ``status`` is that of a good answer."""
+    """One way to make the call; ``status`` is that of a successful response."""
 
     name: str
     address: str
@@ -74,7 +74,7 @@
 
     @property
     def cpu_ms(self) -> float:
-        """Return the processor time that the nodes spent on one call."""
+        """Return the processor time of the nodes for one call."""
         return self.cpu_s * 1000 / max(1, len(self.latencies_ms) + self.refused)
 
     def quantile_ms(self, fraction: float) -> float:
@@ -102,7 +102,7 @@
         self._done.set_result(self._parser.get_status_code())
 
     async def send(self, request: bytes) -> int:
-        """Send a request and return the status of its answer."""
+        """Send a request and return the status of its response."""
         self._parser = httptools.HttpResponseParser(self)
         self._done = asyncio.get_running_loop().create_future()
         self._transport.write(request)
@@ -133,7 +133,7 @@
 async def measure_sequential(
     routes: Iterable[Route], requests: int
 ) -> dict[str, Series]:
-    """Send one request at a time, some to each route in turn."""
+    """Send one request at a time, in blocks that alternate between the routes."""
     found = {route.name: Series() for route in routes}
     callers = {route.name: await _connect(route) for route in routes}
     for _ in range(requests // SEQUENTIAL_BLOCK):
@@ -153,7 +153,7 @@
     found = {route.name: Series() for route in routes}
     for _ in range(rounds):
         for route in routes:
-            # the nodes learn anew what they can take, which isn't kept
+            # Concurrency limits adapt to each route first; this block is discarded.
             await _send_block(route, requests, Series())
             await _measure_block(route, requests, found[route.name])
     return found
@@ -177,7 +177,7 @@
 
 
 class BenchDeployment(Deployment):
-    """Two VMs, whose servers are responders."""
+    """Two VMs whose backend servers are responders."""
 
     def __init__(self, tree: Path) -> None:
         start = (
@@ -197,7 +197,7 @@
             )
 
     def list_routes(self, label: str) -> list[Route]:
-        """Return the routes through the nodes, each with one hop more."""
+        """Return the routes through the nodes, each with one more hop."""
         near = self.vms[0].caller_address
         pids = tuple(vm.node.pid for vm in self.vms)
         return [
@@ -207,7 +207,7 @@
         ]
 
     def make_direct_route(self) -> Route:
-        """Return the call sent straight to the backend server."""
+        """Return the route that sends the call directly to the backend server."""
         return Route(DIRECT, self.vms[0].server_address, "/near/x")
 
     def measure_start_s(self) -> float:
@@ -227,7 +227,7 @@
 def _read_cpu_s(pids: Iterable[int]) -> float:
     ticks = 0
     for pid in pids:
-        # user and system time, counted behind the name in parentheses
+        # User and system time; counted after the program name, which may hold spaces.
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         ticks += int(fields[11]) + int(fields[12])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -252,7 +252,7 @@
 
 def _show(title: str, found: dict[str, Series]) -> None:
     direct = found[DIRECT]
-    print(f"\n{title}: milliseconds, and times the direct call")
+    print(f"\n{title}: milliseconds, and factor to the direct call")
     head = (
         "route",
         "p50",
@@ -268,8 +268,10 @@
         p50, p99 = series.quantile_ms(0.5), series.quantile_ms(0.99)
         direct_p50, direct_p99 = direct.quantile_ms(0.5), direct.quantile_ms(0.99)
         print(
-            f"{name:32}{p50:8.3f}{p99:8.3f}{p50 - direct_p50:11.3f}{p99 - direct_p99:11.3f}"
-            f"{p50 / direct_p50:8.2f}{p99 / direct_p99:8.2f}{series.refused:9}{series.cpu_ms:9.3f}"
+            f"{name:32}{p50:8.3f}{p99:8.3f}"
+            f"{p50 - direct_p50:11.3f}{p99 - direct_p99:11.3f}"
+            f"{p50 / direct_p50:8.2f}{p99 / direct_p99:8.2f}"
+            f"{series.refused:9}{series.cpu_ms:9.3f}"
         )
 
 
@@ -302,7 +304,7 @@
     rounds: int = CONCURRENT_ROUNDS,
     concurrent: int = CONCURRENT_REQUESTS,
 ) -> None:
-    """Measure the path of this checkout, and of ``against`` beside it."""
+    """Measure the path of this checkout, and that of the checkout ``against``."""
     trees = {"": ROOT}
     if against:
         trees = {"this ": ROOT, "other ": Path(against).resolve()}
@@ -328,7 +330,8 @@
         _show_ratios(list(trees), found)
         _show_processes(deployments)
     print(
-        f"\nthe aim is {MAX_ADDED_P99_MS} ms added at p99 by the whole path (+ peer hop)"
+        f"\ntarget: at most {MAX_ADDED_P99_MS} ms added at p99"
+        " by the whole path (+ peer hop)"
     )
 
 
@@ -337,7 +340,7 @@
         rss = ", ".join(f"{mib:.1f}" for mib in deployment.read_rss_mib())
         starts_s = [deployment.measure_start_s() for _ in range(START_TRIALS)]
         print(
-            f"\n{label}node: RSS after the run {rss} MiB; from start to first answer "
+            f"\n{label}node: RSS after the run {rss} MiB; from start to first response "
             f"{statistics.median(starts_s):.2f} s (median of {START_TRIALS})"
         )
 
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,14 +1,14 @@
-"""Three ways to hold a quota over many nodes, on the same loads and faults.
+"""Compares three schemes to enforce a quota over many nodes, under the same load.
 
-Each team sends its usual, then many times that for some seconds, through a few of the
-nodes. What is shown of each way: the most requests that ran in any window, as a part of
-what may run; the part of the team's requests below its quota that was refused; the
-longest time without service while it was over its quota; frames between failure domains
-and within them; and the processor time of a request, as a ratio to the first way.
+A team sends its normal load, then a surge for some seconds, through a few of the nodes.
+The table shows for each scheme: the most requests that ran in any window, as a share
+of the bound; the share of requests refused before the surge; the longest time
+without service during the surge; frames per request between failure domains, and in
+all; and the processor time per request, as a ratio to the first scheme.
 
-``parts``: each node a part of the quota by what it has lately taken. ``sums``: each
-node takes freely, sums go round, and the bucket of each goes into debt by them.
-``holders``: what nodes do, see `eelgrassmount.teams`.
+``shares``: each node has a share of the quota in proportion to its recent requests.
+``sums``: each node admits from a bucket of the whole quota, and is later charged for
+requests of the others. ``grants``: the quota allocators of `eelgrassmount.teams`.
 
 ``python -m benchmarks.quotas``
 """
@@ -42,14 +42,13 @@
 BUCKET_FILL_S = 8.0
 SURGE_START_S = 4.0
 SURGE_END_S = 11.0
-END_S = 16.0
-# the age of sums: readers ask each 0.75 s, and two hops lie between failure domains
+LOAD_END_S = 16.0
 EXCHANGE_INTERVAL_S = 0.75
 
 
 @define(eq=False)
 class ProportionalScheme:
-    """Each node takes from a bucket of its own, sized by its part of what all take."""
+    """Gives each node a bucket sized by its share of the recent requests."""
 
     fleet: Fleet
     team: Team
@@ -57,7 +56,7 @@
     counts: dict[str, float] = field(factory=dict)
     frames: int = 0
 
-    def take(self, name: str, now_s: float) -> bool:
+    def admits(self, name: str, now_s: float) -> bool:
         self.counts[name] = self.counts.get(name, 0.0) + 1.0
         bucket = self.buckets.get(name)
         if bucket is None:
@@ -70,7 +69,7 @@
         self.frames += NODES
         for name, bucket in self.buckets.items():
             share = self.counts.get(name, 0.0) / total if total else 1.0 / NODES
-            # the rest is for nodes that have taken nothing yet
+            # Nodes without recent requests keep a small share.
             share = 0.8 * share + 0.2 / NODES
             self._resize(name, bucket, share, now_s)
         self.counts = {name: 0.7 * count for name, count in self.counts.items()}
@@ -86,7 +85,7 @@
 
 @define(eq=False)
 class SharedSumScheme:
-    """Each node has a bucket of the whole, which others' requests are charged to."""
+    """Gives each node a bucket of the whole quota, and charges it for other nodes."""
 
     fleet: Fleet
     team: Team
@@ -94,7 +93,7 @@
     unreported: dict[str, int] = field(factory=dict)
     frames: int = 0
 
-    def take(self, name: str, now_s: float) -> bool:
+    def admits(self, name: str, now_s: float) -> bool:
         bucket = self._find(name, now_s)
         if not bucket.take(1, now_s):
             return False
@@ -122,10 +121,10 @@
 
 @define
 class Result:
-    """What came of one play."""
+    """Measurements of one trial."""
 
     max_share: float
-    refused: float
+    refused_share: float
     gap_s: float
     remote_frames: float
     frames: float
@@ -143,7 +142,7 @@
 async def run_local_scheme(
     fleet: Fleet, team: Team, scheme: ProportionalScheme | SharedSumScheme
 ) -> None:
-    """Let the nodes decide by a way that needs no frames for each request."""
+    """Run a scheme in which each node decides without sending a frame."""
     loop = asyncio.get_running_loop()
 
     async def exchange() -> None:
@@ -151,10 +150,10 @@
             await asyncio.sleep(EXCHANGE_INTERVAL_S)
             scheme.exchange(loop.time())
 
-    def take(name: str, team: Team) -> None:
+    def send_request(name: str, team: Team) -> None:
         now_s = loop.time()
         fleet.asked.append((now_s, team.name))
-        if scheme.take(name, now_s):
+        if scheme.admits(name, now_s):
             fleet.ran.append((now_s, team.name))
         else:
             fleet.refused.append((now_s, team.name, 0.0))
@@ -162,7 +161,7 @@
     exchange_task = asyncio.create_task(exchange())
     await asyncio.sleep(BUCKET_FILL_S)
     names = fleet.rng.sample(sorted(fleet.nodes), CLIENTS)
-    await send_load(fleet, team.name, names, make_rate(team), END_S, take)
+    await send_load(fleet, team.name, names, make_rate(team), LOAD_END_S, send_request)
     fleet.frames += scheme.frames
     fleet.far_frames += scheme.frames * (DOMAINS - 1) // DOMAINS
     exchange_task.cancel()
@@ -172,7 +171,7 @@
     exchange_task = asyncio.create_task(step_nodes(fleet))
     await asyncio.sleep(BUCKET_FILL_S)
     names = fleet.rng.sample(sorted(fleet.nodes), CLIENTS)
-    await send_load(fleet, team.name, names, make_rate(team), END_S)
+    await send_load(fleet, team.name, names, make_rate(team), LOAD_END_S)
     await asyncio.sleep(0.5)
     exchange_task.cancel()
 
@@ -186,7 +185,7 @@
     async def main() -> None:
         fleet.build(DOMAINS, NODES)
         fleet.configure(team)
-        if scheme == "parts":
+        if scheme == "shares":
             await run_local_scheme(fleet, team, ProportionalScheme(fleet, team))
         elif scheme == "sums":
             await run_local_scheme(fleet, team, SharedSumScheme(fleet, team))
@@ -208,35 +207,35 @@
     refused_before = [one for one in fleet.refused if one[0] < surge[0]]
     times = [at for at, _ in fleet.ran if surge[0] <= at < surge[1]]
     gaps = [b - a for a, b in zip([surge[0], *times], [*times, surge[1]], strict=True)]
-    asked = max(1, len(fleet.asked))
+    request_count = max(1, len(fleet.asked))
     return Result(
         fleet.find_most(team.name) / find_bound(team),
         len(refused_before) / max(1, len(requests_before)),
         max(gaps),
-        fleet.far_frames / asked,
-        fleet.frames / asked,
-        cpu_s / asked * 1e6,
+        fleet.far_frames / request_count,
+        fleet.frames / request_count,
+        cpu_s / request_count * 1e6,
     )
 
 
 def main() -> None:
     logger.remove()
     print(
-        f"{'way':8} {'rate':>5} {'most/bound':>10} {'refused':>8} {'gap s':>6} "
-        f"{'far/req':>8} {'frames/req':>10} {'cost':>6}"
+        f"{'scheme':8} {'rate':>5} {'max/bound':>10} {'refused':>8} {'gap s':>6} "
+        f"{'x-domain':>8} {'frames/req':>10} {'cost':>6}"
     )
     for rate in RATES:
         costs: dict[str, float] = {}
-        for scheme in ("parts", "sums", "holders"):
+        for scheme in ("shares", "sums", "grants"):
             results = [run_trial(scheme, rate, seed) for seed in SEEDS]
             costs[scheme] = statistics.median(one.cost_us for one in results)
             print(
                 f"{scheme:8} {rate:5.0f} {max(one.max_share for one in results):10.2f} "
-                f"{statistics.mean(one.refused for one in results):8.3f} "
+                f"{statistics.mean(one.refused_share for one in results):8.3f} "
                 f"{max(one.gap_s for one in results):6.2f} "
                 f"{statistics.mean(one.remote_frames for one in results):8.2f} "
                 f"{statistics.mean(one.frames for one in results):10.2f} "
-                f"{costs[scheme] / costs['parts']:6.2f}"
+                f"{costs[scheme] / costs['shares']:6.2f}"
             )
 
 
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -1,9 +1,8 @@
-"""What the nodes that listen to a reader of the log cost it.
+"""Measures the cost of a log reader by the number of its subscribers.
 
-Run it with ``python -m benchmarks.readers``. A reader is asked by many nodes, over
-frames that are encoded and decoded as on a link; only its own work is timed, in
-processor time. The ratio between numbers of nodes holds on a busy machine, the
-milliseconds are of this one.
+Run it with ``python -m benchmarks.readers``. Many nodes subscribe to one reader,
+through frames that are encoded and decoded as on a link. Only the processor time of
+the reader is measured.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 
 
 def make_subscribe_frame(number: int, rng: random.Random) -> bytes:
-    """Return a question of a node with counts of some routes."""
+    """Return an encoded subscription of a node, with counts of some routes."""
     routes = [f"shop.example/route-{route}/" for route in range(ROUTES)]
     counts = {name: rng.uniform(1.0, 40.0) for name in routes}
     tally = Tally(
@@ -47,7 +46,7 @@
 
 
 def measure_cpu_s(subscribers: int) -> float:
-    """Return the processor seconds that a reader works for its listeners a second."""
+    """Return the processor seconds per second of a reader with these subscribers."""
     rng = random.Random(subscribers)
     host = "127.0.0.1"
     addresses = [Address(host, port) for port in range(7620, 7626)]
@@ -71,12 +70,12 @@
 
 
 def main() -> None:
-    """Print the work of a reader by the number of nodes that listen to it."""
+    """Print the processor time of a reader by the number of its subscribers."""
     base_s = measure_cpu_s(SUBSCRIBER_COUNTS[0])
     for subscribers in SUBSCRIBER_COUNTS:
         cpu_s = measure_cpu_s(subscribers)
         print(
-            f"{subscribers:4} nodes: {cpu_s * 1000:6.2f} ms a second, "
+            f"{subscribers:4} nodes: {cpu_s * 1000:6.2f} ms per second, "
             f"{cpu_s / base_s:5.2f} times that of {SUBSCRIBER_COUNTS[0]}"
         )
 
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -1,9 +1,9 @@
-"""What a call costs on its way through two nodes, and where.
+"""Measures the processor time of a call through two nodes, and of its parts.
 
-A client sends requests to a node, which sends each over its link to the node beside the
-server that answers it. Log, client, server and both nodes are in one process, whose
-processor time is compared with that of the same client, over a bare pass-through, in
-the same run. The second table shows the parts, by a profile of a run of its own.
+A client sends requests to a node, which sends each over its link to the node of the
+backend server. Log, client, server and both nodes run in one process. Its processor
+time is compared with that of the same client over a plain pass-through proxy. A profile
+of a separate run gives the parts.
 
 ``python -m benchmarks.relay_path``
 """
@@ -43,19 +43,25 @@
 CLIENTS = 8
 LIST_RULE = make_rule("/list/", "list", action={"timeoutMs": 5000})
 PASS_THROUGH_ADDRESS = Address(f"{LOOPBACK_PREFIX}.9.1", 8304)
-# parts of a profile, by the modules that do the work
+# parts of a profile, by patterns of file and function names
 PARTS = {
     "http": ("http1",),
     "headers": ("platform",),
     "frames": ("frames.py", "checks.py", "TBinary", "fastbinary", "TTransport"),
     "links": ("link.py", "links.py", "inbound.py"),
-    "entry and answers": ("ingress.py", "responder.py", "sender.py", "messages.py"),
+    "ingress and responses": ("ingress.py", "responder.py", "sender.py", "messages.py"),
     "teams and quotas": ("teams", "quotas.py"),
-    "lineage": ("call_attribution.py",),
-    "choice of a server": ("routing.py", "placement.py", "members.py"),
-    "gate": ("dispatcher.py", "measures.py", "budget.py", "queues.py", "backend.py"),
+    "call attribution": ("call_attribution.py",),
+    "routing": ("routing.py", "placement.py", "members.py"),
+    "dispatcher": (
+        "dispatcher.py",
+        "measures.py",
+        "budget.py",
+        "queues.py",
+        "backend.py",
+    ),
     "learning": ("vectors.py", "states.py", "estimates.py"),
-    "metrics and lines": ("metrics.py", "decisions.py", "prometheus", "loguru"),
+    "metrics and logging": ("metrics.py", "decisions.py", "prometheus", "loguru"),
 }
 
 
@@ -83,7 +89,7 @@
 
 
 def make_pass_through(server: Address) -> HttpListener:
-    """Return a listener that hands each request on as it is."""
+    """Return a listener that forwards each request unchanged."""
     idle: list[ClientConnection] = []
 
     async def forward(exchange: Exchange) -> None:
@@ -106,7 +112,7 @@
 
 def print_parts(profile: cProfile.Profile) -> None:
     stats = pstats.Stats(profile).stats
-    totals = dict.fromkeys([*PARTS, "loop, sockets and the rest"], 0.0)
+    totals = dict.fromkeys([*PARTS, "event loop, sockets, other"], 0.0)
     for (file, _, name), (_, _, self_s, _, _) in stats.items():
         location = f"{file}/{name}"
         part = next(
@@ -115,7 +121,7 @@
                 for part, patterns in PARTS.items()
                 if any(pattern in location for pattern in patterns)
             ),
-            "loop, sockets and the rest",
+            "event loop, sockets, other",
         )
         totals[part] += self_s
     total_s = sum(totals.values())
@@ -144,7 +150,7 @@
             for name, run in measurements.items():
                 costs_by_path[name].append(await run())
         for name, costs in costs_by_path.items():
-            print(f"{name:14} {statistics.median(costs):7.1f} us a call")
+            print(f"{name:14} {statistics.median(costs):7.1f} us per call")
         pairs = zip(
             costs_by_path["two nodes"], costs_by_path["pass-through"], strict=True
         )
--- a/benchmarks/responder.py
+++ b/benchmarks/responder.py
@@ -1,4 +1,4 @@
-"""A backend server that answers at once, so that it is never the bottleneck."""
+"""A backend server that responds at once, so that it is never the bottleneck."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Exchange(asyncio.Protocol):
-    """Answers every request on one connection with the same body."""
+    """Responds to every request on one connection with the same body."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -40,7 +40,7 @@
 
 
 class _Admin(_Exchange):
-    """Answers like the admin listener of a stand-in server, as far as needed."""
+    """Implements what deployments use of a stand-in server's admin listener."""
 
     def on_message_complete(self) -> None:
         body = json.dumps({"node": {}}).encode()
@@ -70,7 +70,7 @@
 
 
 def main(service: str, address: str, admin: str, node_address: str) -> None:
-    """Answer requests and announce the service to its node until killed."""
+    """Respond to requests, and announce the service to its node, until killed."""
     asyncio.run(_run(service, address, admin, node_address))
 
 
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,4 +1,4 @@
-"""A discrete simulation of one backend server behind a concurrency limit."""
+"""Discrete-event simulation of one backend server behind a concurrency limit."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class LimiterPort(Protocol):
-    """What the simulation asks of a limiter."""
+    """Interface of the limiters under simulation."""
 
     @property
     def limit(self) -> int:
-        """Return how many calls may run now."""
+        """Number of calls that may run at the same time."""
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
-        """Take in one run that has ended."""
+        """Record a finished run."""
 
     def record_start(self, in_flight: int, now_s: float) -> None:
-        """Note that a run starts."""
+        """Record the start of a run."""
 
     def adjust(self, now_s: float) -> None:
-        """Do what is periodic."""
+        """Adjust the limit; called periodically."""
 
 
 @define
 class ServerModel:
-    """A server with slots and an internal queue that it sheds beyond.
+    """A server with slots and a queue, which sheds calls beyond ``max_in_flight``.
 
-    ``draw_service_s`` gives a service time at a time; ``downstream_s`` is added
-    while the slot is held, and reported as such.
+    ``draw_service_s`` returns a random service time for the current time. Each call
+    also holds its slot for ``downstream_s``, which is reported as downstream time.
     """
 
     slots: int
@@ -50,7 +50,7 @@
 
 @define
 class Point:
-    """One second of a simulation."""
+    """Totals and averages of one second of a simulation."""
 
     second: int
     limit: float = 0.0
@@ -82,7 +82,7 @@
         heapq.heappush(self.events, (due_s, self.event_count, kind, started_s))
 
     def start_waiting_calls(self) -> None:
-        """Hand calls to the server as far as the limit allows."""
+        """Send waiting calls to the server within the limit."""
         while self.waiting and self.in_flight < self.limiter.limit:
             self.waiting -= 1
             self._start()
@@ -104,7 +104,7 @@
         self.schedule(self.now_s + service_s, "end", started_s)
 
     def finish_run(self, kind: str, started_s: float) -> None:
-        """End one run."""
+        """Record the result of one run."""
         latency_s = self.now_s - started_s
         if kind == "shed":
             sample = Sample(SampleKind.SHED, latency_s)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,7 +1,7 @@
-"""Start time, resident memory and processes of a node, by way of packing.
+"""Measures start time, memory and processes of a node, for each form of packaging.
 
-``python -m benchmarks.start --binary=dist/eelgrassmount`` compares a program
-file with the installed package; further flags name further ways.
+``python -m benchmarks.start --binary=dist/eelgrassmount`` compares a binary with the
+installed package. Each flag names a form and gives its command.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @frozen
 class Start:
-    """One measured start."""
+    """Measurements of one start."""
 
     ready_s: float
     resident_mb: float
@@ -38,7 +38,7 @@
 
 
 def measure(runs: int = 10, **ways: str) -> None:
-    """Start a node ``runs`` times in each way, by turns, and print the medians."""
+    """Start a node ``runs`` times with each command, by turns; print the medians."""
     commands = {"package": [sys.executable, "-m", "eelgrassmount"]}
     commands |= {name: command.split() for name, command in ways.items()}
     starts: dict[str, list[Start]] = {name: [] for name in commands}
@@ -46,7 +46,7 @@
         for name, command in commands.items():
             starts[name].append(_measure_start(command))
     print(
-        f"{'way':12}{'ready s':>9}{'slowest':>9}{'RSS MB':>8}{'procs':>7}{'files':>7}"
+        f"{'form':12}{'ready s':>9}{'slowest':>9}{'RSS MB':>8}{'procs':>7}{'files':>7}"
     )
     for name, items in starts.items():
         ready = [item.ready_s for item in items]
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -1,9 +1,8 @@
-"""What one solution of the learner costs, beside routes that ran once.
+"""Measures the cost of one solution of the learner, with routes that ran only once.
 
-Run it with ``python -m benchmarks.vectors``. The runs are a walk of random starts and
-ends on a clock of its own; only the solution is timed, in processor time. The ratio
-to the solution without routes that ran once holds on a busy machine, the
-milliseconds are of this one.
+Run it with ``python -m benchmarks.vectors``. Runs start and finish at random on a
+simulated clock; only the processor time of the solution is measured. The ratio compares
+it with the solution without routes that ran once.
 """
 
 from __future__ import annotations
@@ -18,13 +17,12 @@
 
 SEED = 11
 MOVE_INTERVAL_S = 0.001
-# starts and ends before the first solution, which give 700 states of three routes,
-# and before the second, which is measured
+# moves (starts or ends of runs) before the first solution, which is not measured,
+# and before the second, which is
 WARM_UP_MOVES = 12_000
 MOVES_PER_SOLUTION = 1000
-# those beside each route that runs once
 MOVES_PER_ROUTE_RUN_ONCE = 8
-# runs in flight that the walk is drawn to, changed so often
+# bound and interval of the random target for the number of runs in flight
 MAX_IN_FLIGHT = 140
 MOVES_PER_TARGET = 100
 CALL_PROBABILITY = 0.3
@@ -33,7 +31,7 @@
 
 @frozen
 class Scenario:
-    """Numbers of routes that run all the time, that ran once, and that are called."""
+    """Numbers of routes: always running, run once, and called downstream."""
 
     busy: int
     once: int
@@ -52,7 +50,7 @@
 
 @define(eq=False)
 class RandomWalk:
-    """Starts and ends of runs at random, beside a learner."""
+    """Starts and finishes runs at random, and records them with a learner."""
 
     scenario: Scenario
     rng: random.Random
@@ -62,18 +60,18 @@
     target_in_flight: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Begin to learn."""
+        """Create the learner."""
         self.learner = VectorLearner(lambda: self.now_s)
 
     def run_once(self) -> None:
-        """Let each route run that runs once, beside the others."""
+        """Run each route that runs only once, among runs of the others."""
         for number in range(self.scenario.once):
             self.learner.start_run(f"once-{number}")
             self.move(MOVES_PER_ROUTE_RUN_ONCE)
             self.learner.finish_run(f"once-{number}")
 
     def move(self, moves: int) -> None:
-        """Start and end runs of the busy routes, some of which make a call."""
+        """Start and finish runs of busy routes, and record some downstream calls."""
         for move in range(moves):
             self.now_s += MOVE_INTERVAL_S
             if move % MOVES_PER_TARGET == 0:
@@ -93,9 +91,9 @@
 
 
 def measure(scenario: Scenario, seed: int) -> tuple[float, float]:
-    """Return the processor time of one solution in milliseconds, and its longest part.
+    """Return the milliseconds of processor time of one solution and its longest step.
 
-    A part is what is done at a time, for one of the called routes.
+    Each step solves for one of the called routes.
     """
     walk = RandomWalk(scenario, random.Random(seed))
     called = {f"called-{number}" for number in range(scenario.called)}
@@ -103,21 +101,21 @@
     walk.move(WARM_UP_MOVES)
     walk.learner.solve(called)
     walk.move(MOVES_PER_SOLUTION)
-    parts_ms = []
-    for part in range(scenario.called):
+    steps_ms = []
+    for step in range(scenario.called):
         started_s = time.process_time()
-        if part:
+        if step:
             walk.learner.continue_solving()
         else:
             walk.learner.solve(called)
-        parts_ms.append((time.process_time() - started_s) * 1000)
-    return sum(parts_ms), max(parts_ms)
+        steps_ms.append((time.process_time() - started_s) * 1000)
+    return sum(steps_ms), max(steps_ms)
 
 
 def main() -> None:
     """Print the cost of a solution by scenario."""
     baseline_ms = 0.0
-    print("busy once called      ms  longest  ratio to none once")
+    print("busy once called      ms  longest  ratio to once=0")
     for scenario in SCENARIOS:
         measured = [measure(scenario, SEED + number) for number in range(REPETITIONS)]
         cost_ms, longest_ms = (
