--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -82,7 +82,7 @@
     received_load: ServiceLoad | None = None
     seconds: list[Second] = field(factory=list)
     request_count: int = 0
-    busy: int = 0
+    busy_slots: int = 0
     server_queue: deque[ServerRun] = field(factory=deque)
     pending: list[WaitingCall] = field(factory=list)
     refused_last_at_s: float = -math.inf
@@ -150,8 +150,14 @@
 
     def check_pending(self) -> None:
         """Start admitted calls and count refused ones."""
-        decided = [one for one in self.pending if one.admitted or one.refusal]
-        undecided = [one for one in self.pending if not (one.admitted or one.refusal)]
+        decided = [
+            waiting for waiting in self.pending if waiting.admitted or waiting.refusal
+        ]
+        undecided = [
+            waiting
+            for waiting in self.pending
+            if not (waiting.admitted or waiting.refusal)
+        ]
         self.pending = undecided
         for waiting in decided:
             if waiting.refusal:
@@ -170,11 +176,11 @@
 
     def start_queued_runs(self) -> None:
         """Assign free slots of the server to its queued calls."""
-        while self.server_queue and self.busy < self.scenario.slots:
+        while self.server_queue and self.busy_slots < self.scenario.slots:
             run = self.server_queue.popleft()
             if run.ended:
                 continue
-            self.busy += 1
+            self.busy_slots += 1
             run.has_slot = True
             factor = self.rng.lognormvariate(
                 -(_SERVICE_TIME_SIGMA**2) / 2, _SERVICE_TIME_SIGMA
@@ -197,7 +203,7 @@
     def end_run(self, run: ServerRun, kind: SampleKind) -> None:
         """Report the end of a run to the dispatcher, and free its slot."""
         run.ended = True
-        self.busy -= run.has_slot
+        self.busy_slots -= run.has_slot
         latency_s = self.timers.read() - run.started_s
         name = run.waiting.context.class_name
         self.dispatcher.leave(Sample(kind, latency_s, class_name=name))
@@ -259,7 +265,7 @@
         print(f"  complete in 6-15 s: {completed / 9:.0f}/s")
         if "--short" in sys.argv:
             seconds = seconds[4:20]
-        for at, second in enumerate(seconds):
+        for index, second in enumerate(seconds):
             counters = (
                 second.offered,
                 second.refused_at_ingress,
@@ -267,11 +273,11 @@
                 second.complete,
             )
             pairs = " ".join(
-                f"{one[Tier.REFUSED_LAST]:5}+{one[Tier.REFUSED_FIRST]:<5}"
-                for one in counters
+                f"{counter[Tier.REFUSED_LAST]:5}+{counter[Tier.REFUSED_FIRST]:<5}"
+                for counter in counters
             )
             print(
-                f" {at:2} {pairs} {second.inversions:3} {second.threshold:4}"
+                f" {index:2} {pairs} {second.inversions:3} {second.threshold:4}"
                 f" {second.limit}"
             )
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -180,14 +180,16 @@
     # The last version may not have reached all nodes yet.
     accepted = accepted[:-1]
     logs = [read_in_force_times(node.process.read_log()) for node in cluster.nodes]
-    last = [
-        max(compute_delay(log, one) for log in logs) + one.accepted_s - one.sent_s
-        for one in accepted
+    delays_s = [
+        max(compute_delay(log, version) for log in logs)
+        + version.accepted_s
+        - version.sent_s
+        for version in accepted
     ]
-    p50, p99 = np.percentile(last, (50, 99))
+    p50, p99 = np.percentile(delays_s, (50, 99))
     print(
-        f"    {len(last)} versions in force at all {len(logs)} nodes: s since sent"
-        f" p50 {p50:.3f} p99 {p99:.3f} max {max(last):.3f}"
+        f"    {len(delays_s)} versions in force at all {len(logs)} nodes: s since sent"
+        f" p50 {p50:.3f} p99 {p99:.3f} max {max(delays_s):.3f}"
     )
 
 
@@ -205,19 +207,20 @@
 
 
 def _show_change(costs: Sequence[Cost], at_rest: Sequence[Cost]) -> None:
-    one = costs[0]
-    shape = (one.domains, one.members, one.services)
-    same = [
+    first_cost = costs[0]
+    shape = (first_cost.domains, first_cost.members, first_cost.services)
+    rest_costs = [
         cost for cost in at_rest if (cost.domains, cost.members, cost.services) == shape
     ]
 
     def compute_extra(name: str) -> float:
         changed = statistics.mean(getattr(cost, name) for cost in costs)
-        before = statistics.mean(getattr(cost, name) for cost in same)
-        return (changed - before) / one.changes_a_second
+        before = statistics.mean(getattr(cost, name) for cost in rest_costs)
+        return (changed - before) / first_cost.changes_a_second
 
     print(
-        f"{one.phase:16} {one.domains:3} x {one.members:3} {one.services:3} services"
+        f"{first_cost.phase:16} {first_cost.domains:3} x {first_cost.members:3}"
+        f" {first_cost.services:3} services"
         f" cpu ms {compute_extra('cpu_ms'):.3f} bytes {compute_extra('bytes_sent'):.0f}"
         f" messages {compute_extra('messages_sent'):.2f}"
     )
--- a/benchmarks/capacity_cluster.py
+++ b/benchmarks/capacity_cluster.py
@@ -220,11 +220,11 @@
 
     def _has_joined(self, node: NodeProcess) -> bool:
         known = call_admin(node.admin_address, "GET", "/members")
-        alive = [one for one in known["members"] if one["state"] == "alive"]
+        alive = [member for member in known["members"] if member["state"] == "alive"]
         services = {
-            (one["failure_domain"], one["service"])
-            for one in known["summaries"]
-            if one["service"] and one["failure_domain"] != node.failure_domain
+            (summary["failure_domain"], summary["service"])
+            for summary in known["summaries"]
+            if summary["service"] and summary["failure_domain"] != node.failure_domain
         }
         expected_services = (self.shape.domains - 1) * self.shape.services
         return len(alive) >= self.shape.members and len(services) >= expected_services
--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -39,12 +39,12 @@
 
 REST_TERMS = (
     Term("base", lambda cost: 1.0),
-    Term("a member", lambda cost: cost.members),
-    Term("a summary", lambda cost: cost.summaries),
-    Term("a log reader", lambda cost: float(cost.reader)),
-    Term("a delegate", lambda cost: float(cost.delegate)),
+    Term("per member", lambda cost: cost.members),
+    Term("per summary", lambda cost: cost.summaries),
+    Term("log reader", lambda cost: float(cost.reader)),
+    Term("delegate", lambda cost: float(cost.delegate)),
     Term(
-        "a delegate's other domain",
+        "per other domain of a delegate",
         lambda cost: cost.delegate * (cost.domains - 1.0),
     ),
 )
--- a/benchmarks/capacity_partition.py
+++ b/benchmarks/capacity_partition.py
@@ -54,8 +54,8 @@
     half = len(domains) // 2
     pairs = list(itertools.product(domains[:half], domains[half:]))
     costs = [_measure(deployment, "before the cut", lambda: _sleep(PHASE_S))]
-    for one, other in pairs:
-        deployment.cut(one, other, "drop")
+    for source, target in pairs:
+        deployment.cut(source, target, "drop")
     costs.append(_measure(deployment, "first seconds", lambda: _sleep(PHASE_S)))
     costs.append(_measure(deployment, "cut", lambda: _sleep(PARTITION_S)))
     deployment.heal()
@@ -77,9 +77,9 @@
         for _ in poll_until(deadline_s, f"all failure domains at {vm.name}"):
             known = call_admin(vm.admin_address, "GET", "/members")["summaries"]
             others = {
-                one["failure_domain"]
-                for one in known
-                if one["servers"] and one["failure_domain"] != vm.failure_domain
+                summary["failure_domain"]
+                for summary in known
+                if summary["servers"] and summary["failure_domain"] != vm.failure_domain
             }
             if len(others) == count:
                 break
@@ -94,12 +94,12 @@
     after = _read(deployment)
     elapsed_s = after.now_s - before.now_s
     cpu = [
-        _MS_PER_S * (one.cpu_s - other.cpu_s) / elapsed_s
-        for one, other in zip(after.usages, before.usages, strict=True)
+        _MS_PER_S * (end.cpu_s - start.cpu_s) / elapsed_s
+        for end, start in zip(after.usages, before.usages, strict=True)
     ]
     sent = [
-        (one.bytes_sent - other.bytes_sent) / elapsed_s
-        for one, other in zip(after.traffics, before.traffics, strict=True)
+        (end.bytes_sent - start.bytes_sent) / elapsed_s
+        for end, start in zip(after.traffics, before.traffics, strict=True)
     ]
     return PartitionCost(
         phase,
--- a/benchmarks/capacity_periodic_work.py
+++ b/benchmarks/capacity_periodic_work.py
@@ -60,12 +60,12 @@
                 print(f"                   {work.each_us:9.1f} us {work.name}")
     for delegate in (False, True):
         selected = [table for table in tables if table.delegate is delegate]
-        terms = np.array([[1.0, one.members, one.summaries] for one in selected])
-        observed = np.array([one.ms for one in selected])
+        terms = np.array([[1.0, table.members, table.summaries] for table in selected])
+        observed = np.array([table.ms for table in selected])
         coefficients, *_ = np.linalg.lstsq(terms, observed, rcond=None)
         max_residual = np.abs(observed - terms @ coefficients).max()
         print(
             f"{'delegate' if delegate else 'other':8} ms/s: {coefficients[0]:.3f}"
-            f" + {coefficients[1]:.5f} a member + {coefficients[2]:.6f} a summary,"
+            f" + {coefficients[1]:.5f} per member + {coefficients[2]:.6f} per summary,"
             f" max residual {max_residual:.3f}"
         )
--- a/benchmarks/capacity_plan.py
+++ b/benchmarks/capacity_plan.py
@@ -74,8 +74,8 @@
 ) -> ResourceNeed:
     delegate = role == "delegate"
     role_tables = [table for table in tables if table.delegate is delegate]
-    small = min(role_tables, key=lambda table: table.members + table.summaries)
-    full = max(role_tables, key=lambda table: table.members + table.summaries)
+    smallest_table = min(role_tables, key=lambda table: table.members + table.summaries)
+    largest_table = max(role_tables, key=lambda table: table.members + table.summaries)
     publishes = PUBLISHES_PER_DAY / SECONDS_PER_DAY
     restarts = RESTARTS_PER_DAY / DOMAINS / SECONDS_PER_DAY
 
@@ -89,7 +89,7 @@
     return ResourceNeed(
         role,
         rest_ms=mean("cpu_ms"),
-        tables_ms=full.ms - small.ms,
+        tables_ms=largest_table.ms - smallest_table.ms,
         changes_ms=compute_change("cpu_ms"),
         bytes_sent=mean("bytes_sent") + compute_change("bytes_sent"),
         memory_mb=mean("memory_mb") + max(table.memory_mb for table in tables),
@@ -101,16 +101,16 @@
     shapes = {(cost.domains, cost.members, cost.services) for cost in costs}
     extras = []
     for shape in shapes:
-        same = [
+        shape_costs = [
             cost
             for cost in costs
             if (cost.domains, cost.members, cost.services) == shape
         ]
-        changed = [cost for cost in same if cost.phase == phase]
-        rest = [cost for cost in same if cost.phase == "rest"]
+        changed = [cost for cost in shape_costs if cost.phase == phase]
+        rest = [cost for cost in shape_costs if cost.phase == "rest"]
         if changed and changed[0].changes_a_second:
-            more = _mean(changed, name) - _mean(rest, name)
-            extras.append(more / changed[0].changes_a_second)
+            extra = _mean(changed, name) - _mean(rest, name)
+            extras.append(extra / changed[0].changes_a_second)
     return max(extras, default=0.0)
 
 
--- a/benchmarks/capacity_propagation.py
+++ b/benchmarks/capacity_propagation.py
@@ -143,13 +143,13 @@
 ) -> PropagationTimes:
     accepted = _publish_all(deployment, count)
     deployment.wait_until_in_force(accepted[-1].version, IN_FORCE_TIMEOUT_S)
-    in_force = {
+    in_force_times = {
         vm.name: read_in_force_times(vm.node.read_log()) for vm in deployment.vms
     }
     domains = {vm.name: vm.failure_domain for vm in deployment.vms}
     delays = {
-        name: [compute_delay(versions, one) for one in accepted]
-        for name, versions in in_force.items()
+        name: [compute_delay(versions, version) for version in accepted]
+        for name, versions in in_force_times.items()
     }
     everywhere = [max(each) for each in zip(*delays.values(), strict=True)]
     return PropagationTimes(
@@ -157,10 +157,10 @@
         domains=len(deployment.spec.failure_domains),
         processes=len(deployment.vms),
         versions=count,
-        publish_s=[one.accepted_s - one.sent_s for one in accepted],
+        publish_s=[version.accepted_s - version.sent_s for version in accepted],
         since_sent=[
-            delay + one.accepted_s - one.sent_s
-            for delay, one in zip(everywhere, accepted, strict=True)
+            delay + version.accepted_s - version.sent_s
+            for delay, version in zip(everywhere, accepted, strict=True)
         ],
         everywhere=[max(0.0, delay) for delay in everywhere],
         nodes=[max(0.0, delay) for each in delays.values() for delay in each],
@@ -175,43 +175,46 @@
 
 def read_in_force_times(log: str) -> list[tuple[float, int]]:
     """Return pairs of time and version in force, from the log lines of a node."""
-    found = []
+    in_force_times = []
     for line in log.splitlines():
         match = _IN_FORCE_MESSAGE.search(line)
         if match is not None:
-            moment = datetime.fromisoformat(json.loads(line)["time"])
-            found.append((moment.timestamp(), int(match[1])))
-    return found
+            in_force_at = datetime.fromisoformat(json.loads(line)["time"])
+            in_force_times.append((in_force_at.timestamp(), int(match[1])))
+    return in_force_times
 
 
 def compute_delay(
     versions: Sequence[tuple[float, int]], accepted: AcceptedVersion
 ) -> float:
-    """Return the seconds from accepted to in force; infinite if never in force."""
-    for moment_s, version in versions:
+    """Return the seconds from accepted to in force.
+
+    Negative if the version was in force before, infinite if it never was.
+    """
+    for in_force_s, version in versions:
         if version >= accepted.version:
-            return moment_s - accepted.accepted_s
+            return in_force_s - accepted.accepted_s
     return math.inf
 
 
 def show_propagation(situations: Sequence[PropagationTimes]) -> None:
     """Print the percentiles of each situation."""
     print("\nseconds from accepted to in force            p50     p99     max")
-    for force in situations:
+    for times in situations:
         rows = {
-            "in every failure domain": force.everywhere,
-            "at each node": force.nodes,
-            "in disconnected domain": force.cut,
-            "sent to accepted": force.publish_s,
-            "sent to in force everywhere": force.since_sent,
+            "in every failure domain": times.everywhere,
+            "at each node": times.nodes,
+            "in disconnected domain": times.cut,
+            "sent to accepted": times.publish_s,
+            "sent to in force everywhere": times.since_sent,
         }
         for name, values in rows.items():
             if values:
                 p50, p99 = np.percentile(values, (50, 99))
                 print(
-                    f"{force.situation:21} {name:28} {p50:6.3f} {p99:7.3f}"
+                    f"{times.situation:21} {name:28} {p50:6.3f} {p99:7.3f}"
                     f" {max(values):7.3f}"
-                    f"  {force.processes} nodes, {force.domains} failure domains,"
-                    f" {force.versions} versions",
+                    f"  {times.processes} nodes, {times.domains} failure domains,"
+                    f" {times.versions} versions",
                     flush=True,
                 )
--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -73,7 +73,7 @@
 
 
 def find_readers(cluster: Cluster) -> set[str]:
-    """Return the peer addresses of the nodes that tail the configuration."""
+    """Return the peer addresses of the nodes that always tail the configuration."""
     # Same choice as in eelgrassmount.config.readers, with its constant salt.
     return _choose_per_domain(cluster, lambda domain: "", READERS)
 
@@ -120,15 +120,15 @@
     changes = make_changes(started_s + seconds)
     time.sleep(max(0.0, started_s + seconds - time.monotonic()))
     elapsed_s = time.monotonic() - started_s
-    unchanged_nodes = [
+    running_nodes = [
         node for node in cluster.nodes if node.process.pid == before[node.name].pid
     ]
-    usages = [read_usage(node.process.pid) for node in unchanged_nodes]
+    usages = [read_usage(node.process.pid) for node in running_nodes]
     after = {
         node.name: ProcessReading(
             node.process.pid, usage, read_traffic(node.admin_address)
         )
-        for node, usage in zip(unchanged_nodes, usages, strict=True)
+        for node, usage in zip(running_nodes, usages, strict=True)
     }
     delegates, readers = find_delegates(cluster), find_readers(cluster)
     costs = [
@@ -142,7 +142,7 @@
             reader=node.peer_address in readers,
             changes_a_second=changes / elapsed_s,
         )
-        for node in unchanged_nodes
+        for node in running_nodes
     ]
     return Phase(
         costs,
--- a/benchmarks/limiter.py
+++ b/benchmarks/limiter.py
@@ -9,7 +9,7 @@
 
 from attrs import define, frozen
 
-from benchmarks.simulation import LimiterPort, Run, ServerModel, simulate
+from benchmarks.simulation import LimiterPort, ServerModel, Simulation, simulate
 from eelgrassmount.load.limiter import Limiter
 from eelgrassmount.load.port import Sample, SampleKind
 
@@ -132,7 +132,7 @@
     limiter: LimiterPort,
     load: float = 2.0,
     seconds: float = _SECONDS,
-) -> Run:
+) -> Simulation:
     """Run one scenario at a multiple of its capacity."""
     rng = random.Random(_SEED)
     mu = -(scenario.sigma**2) / 2.0
@@ -146,9 +146,9 @@
     server = ServerModel(
         scenario.slots, draw_service_s, scenario.downstream_s, scenario.max_in_flight
     )
-    run = Run(server, limiter, lambda now_s: offered, rng)
-    simulate(run, seconds)
-    return run
+    simulation = Simulation(server, limiter, lambda now_s: offered, rng)
+    simulate(simulation, seconds)
+    return simulation
 
 
 def _report(scenario: Scenario, name: str, limiter: LimiterPort) -> None:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -76,7 +76,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
-def make_load(rng: random.Random, changing: bool) -> Callable[[], ServiceLoad]:
+def make_describe_load(rng: random.Random, changing: bool) -> Callable[[], ServiceLoad]:
     def describe_load() -> ServiceLoad:
         headroom = rng.choice([5, 20, 80]) if changing else 20
         return ServiceLoad("service", headroom=headroom)
@@ -92,7 +92,7 @@
     for index in range(nodes):
         for domain in range(domains):
             address = f"127.{domain + 1}.{index // 250}.{index % 250 + 1}:9000"
-            describe_load = make_load(network.rng, changing)
+            describe_load = make_describe_load(network.rng, changing)
             node = await network.add(address, f"domain-{domain}", seeds, describe_load)
             node.serve(f"service-{index % services}")
 
@@ -158,7 +158,7 @@
 
 
 @frozen
-class Spread:
+class DrainDelay:
     """Seconds until no node would send work to a draining server."""
 
     nodes: int
@@ -168,20 +168,22 @@
     seconds: list[float]
 
 
-async def measure_spread(domains: int, nodes: int, loss: float, runs: int) -> Spread:
+async def measure_drain_delay(
+    domains: int, nodes: int, loss: float, runs: int
+) -> DrainDelay:
     async with Network(random.Random(SEED)).open() as network:
         await start_nodes(network, domains, nodes, min(nodes, 10), changing=False)
         network.loss = loss
         durations = []
         for _ in range(runs):
             await network.run(5.0)
-            leaving = network.rng.choice(list(network.nodes.values()))
-            service = leaving.board.server.service
-            leaving.serve(service, ServerState.DRAINING)
-            drain_known = partial(is_drain_known, network, leaving.address, service)
+            draining = network.rng.choice(list(network.nodes.values()))
+            service = draining.board.server.service
+            draining.serve(service, ServerState.DRAINING)
+            drain_known = partial(is_drain_known, network, draining.address, service)
             durations.append(await network.run_until(drain_known, 30.0))
-            leaving.serve(service)
-        return Spread(domains * nodes, domains, loss, runs, durations)
+            draining.serve(service)
+        return DrainDelay(domains * nodes, domains, loss, runs, durations)
 
 
 def is_drain_known(network: Network, address: str, service: str) -> bool:
@@ -198,25 +200,25 @@
     return any(address in summary.addresses for summary in summaries)
 
 
-def show_spreads(spreads: list[Spread]) -> None:
+def show_drain_delays(drain_delays: list[DrainDelay]) -> None:
     print("nodes  dom  loss  runs  s until no new work: median   p90    max")
-    for one in spreads:
-        ordered = sorted(one.seconds)
+    for delay in drain_delays:
+        ordered = sorted(delay.seconds)
         print(
-            f"{one.nodes:5} {one.domains:4} {one.loss:5.2f} {one.runs:5}"
+            f"{delay.nodes:5} {delay.domains:4} {delay.loss:5.2f} {delay.runs:5}"
             f" {statistics.median(ordered):28.2f}"
             f" {ordered[int(0.9 * len(ordered))]:5.2f} {ordered[-1]:6.2f}"
         )
 
 
-async def run_spreads(runs: int) -> None:
-    spreads = [
-        await measure_spread(domains, nodes, loss, runs)
+async def run_drain_delays(runs: int) -> None:
+    drain_delays = [
+        await measure_drain_delay(domains, nodes, loss, runs)
         for domains, nodes in ((1, 30), (1, 200), (14, 20))
         for loss in (0.0, 0.01)
     ]
-    show_spreads(spreads)
-    print(json.dumps({"spreads": [asdict(one) for one in spreads]}))
+    show_drain_delays(drain_delays)
+    print(json.dumps({"spreads": [asdict(delay) for delay in drain_delays]}))
 
 
 async def run_comparisons(runs: int) -> None:
@@ -393,11 +395,12 @@
             return f"{'-':>15}"
         return f"{statistics.median(values):7.2f}/{max(values):6.2f} "
 
-    for one in detections:
+    for detection in detections:
         print(
-            f"{one.nodes:5} {one.freeze_s:9.1f} {one.runs:5} {one.suspected:10}"
-            f" {one.declared_dead:5}"
-            f" {show(one.suspect_s)} {show(one.dead_s)} {show(one.back_s)}"
+            f"{detection.nodes:5} {detection.freeze_s:9.1f} {detection.runs:5}"
+            f" {detection.suspected:10} {detection.declared_dead:5}"
+            f" {show(detection.suspect_s)} {show(detection.dead_s)}"
+            f" {show(detection.back_s)}"
         )
 
 
@@ -427,7 +430,7 @@
     detections = [await measure_detection(freeze_s, 30, runs) for freeze_s in FREEZES_S]
     detections.append(await measure_detection(10.0, 200, runs // 4))
     show_detections(detections)
-    print(json.dumps({"detections": [asdict(one) for one in detections]}))
+    print(json.dumps({"detections": [asdict(detection) for detection in detections]}))
 
 
 def main() -> None:
@@ -443,7 +446,7 @@
     if options.part in ("detection", "all"):
         anyio.run(run_detections, options.runs)
     if options.part in ("drain", "all"):
-        anyio.run(run_spreads, options.runs)
+        anyio.run(run_drain_delays, options.runs)
     if options.part in ("ideas", "all"):
         anyio.run(run_comparisons, options.runs)
     print(f"took {time.monotonic() - started_s:.0f} s")
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -154,7 +154,8 @@
     ]
     # The command line of the callers would parse true and false as strings.
     classes = [
-        {**asdict(one), "keyed": int(one.keyed)} for one in shape.make_call_classes()
+        {**asdict(call_class), "keyed": int(call_class.keyed)}
+        for call_class in shape.make_call_classes()
     ]
     if scenario.crashing and number == 0:
         classes.append(_make_crash_class(shape))
@@ -176,9 +177,9 @@
 def _make_crash_class(shape: Shape) -> dict[str, object]:
     """Return a request that crashes every server of the bottleneck that runs it."""
     lookup = next(
-        one
-        for one in shape.make_call_classes()
-        if one.path.startswith(f"/{shape.bottleneck}/")
+        call_class
+        for call_class in shape.make_call_classes()
+        if call_class.path.startswith(f"/{shape.bottleneck}/")
     )
     crash = {"request": "crash", "crash": True, "crash_service": shape.bottleneck}
     return asdict(evolve(lookup, weight=_CRASH_WEIGHT, extra=crash))
@@ -207,10 +208,11 @@
 ) -> None:
     print(f"\n{shape.name} {scenario.name} ({system.letter}) {system.name}")
     print("  class       offered/s  good/s refused/s  p50 ms  p99 ms")
-    for one in figures.classes:
+    for class_figures in figures.classes:
         print(
-            f"  {one.name:11} {one.offered_per_s:9.1f} {one.goodput_per_s:7.1f}"
-            f" {one.refused_per_s:9.1f} {one.p50_ms:7.0f} {one.p99_ms:7.0f}"
+            f"  {class_figures.name:11} {class_figures.offered_per_s:9.1f}"
+            f" {class_figures.goodput_per_s:7.1f} {class_figures.refused_per_s:9.1f}"
+            f" {class_figures.p50_ms:7.0f} {class_figures.p99_ms:7.0f}"
         )
     recovery = figures.recovery_s
     print(
@@ -290,8 +292,8 @@
     every scenario with every shape.
     """
     _OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
-    chosen = _parse_choice(_join(scenarios), (one.name for one in SCENARIOS))
-    letters = _parse_choice(_join(systems), (one.letter for one in SYSTEMS))
+    chosen = _parse_choice(_join(scenarios), (scenario.name for scenario in SCENARIOS))
+    letters = _parse_choice(_join(systems), (system.letter for system in SYSTEMS))
     for name in sorted(_parse_choice(_join(shapes), SHAPES)):
         shape = SHAPES[name]
         for scenario in SCENARIOS:
--- a/benchmarks/overload_figures.py
+++ b/benchmarks/overload_figures.py
@@ -79,12 +79,12 @@
     """Return the figures of a trial."""
     shape = trial.shape
     seconds = trial.disturbance_end_s - trial.disturbance_start_s
-    classes = tuple(_compute_class_figures(trial, one) for one in shape.classes)
-    bottleneck = sum(
-        figures.goodput_per_s * shape.count_bottleneck_calls(one)
-        for figures, one in zip(classes, shape.classes, strict=True)
+    classes = tuple(_compute_class_figures(trial, spec) for spec in shape.classes)
+    bottleneck_goodput_per_s = sum(
+        figures.goodput_per_s * shape.count_bottleneck_calls(spec)
+        for figures, spec in zip(classes, shape.classes, strict=True)
     )
-    good = sum(figures.goodput_per_s for figures in classes)
+    goodput_per_s = sum(figures.goodput_per_s for figures in classes)
     started_runs = [
         run
         for run in trial.runs
@@ -92,20 +92,20 @@
         <= (run["started"] or 0.0)
         < trial.disturbance_end_s
     ]
-    sendings = sum(
-        trial.disturbance_start_s <= sending.t_start < trial.disturbance_end_s
+    attempts = sum(
+        trial.disturbance_start_s <= attempt.t_start < trial.disturbance_end_s
         for record in trial.records
-        for sending in record.sendings
+        for attempt in record.sendings
     )
-    offered = sum(figures.offered_per_s for figures in classes) * seconds
+    offered_requests = sum(figures.offered_per_s for figures in classes) * seconds
     inversions, refused_last_refusals = _count_inversions(trial)
     return Figures(
         classes=classes,
-        goodput_per_s=good,
-        bottleneck_goodput_per_s=bottleneck,
+        goodput_per_s=goodput_per_s,
+        bottleneck_goodput_per_s=bottleneck_goodput_per_s,
         wasted_share=_compute_wasted_share(trial, started_runs),
-        calls_per_good_request=len(started_runs) / max(good * seconds, 1.0),
-        attempts_per_request=sendings / max(offered, 1.0),
+        calls_per_good_request=len(started_runs) / max(goodput_per_s * seconds, 1.0),
+        attempts_per_request=attempts / max(offered_requests, 1.0),
         recovery_s=find_recovery_s(trial),
         inversions=inversions,
         refused_last_refusals=refused_last_refusals,
@@ -114,19 +114,19 @@
     )
 
 
-def _compute_class_figures(trial: Trial, one: ClassSpec) -> ClassFigures:
+def _compute_class_figures(trial: Trial, spec: ClassSpec) -> ClassFigures:
     seconds = trial.disturbance_end_s - trial.disturbance_start_s
     records = [
         record
         for record in trial.records
-        if record.class_name == one.name
+        if record.class_name == spec.name
         and trial.disturbance_start_s <= record.t_start < trial.disturbance_end_s
     ]
-    good = [record for record in records if is_good(record, one)]
+    good = [record for record in records if is_good(record, spec)]
     refused = sum(record.outcome == "refused" for record in records)
     times_ms = sorted((record.t_end - record.t_start) * 1000 for record in good)
     return ClassFigures(
-        one.name,
+        spec.name,
         len(records) / seconds,
         len(good) / seconds,
         refused / seconds,
@@ -159,7 +159,9 @@
     service at almost the same time.
     """
     shape = trial.shape
-    first = {f"{one.method} {one.path}" for one in shape.classes if not one.refuse_last}
+    first = {
+        f"{spec.method} {spec.path}" for spec in shape.classes if not spec.refuse_last
+    }
     starts = sorted(
         run["started"]
         for run in trial.runs
@@ -167,26 +169,26 @@
         and run["route"] in first
         and run["started"]
     )
-    last = {one.name for one in shape.classes if one.refuse_last}
+    last = {spec.name for spec in shape.classes if spec.refuse_last}
     refusals = [
-        sending.t_end
+        attempt.t_end
         for record in trial.records
         if record.class_name in last
-        for sending in record.sendings
-        if sending.reason in ("overload", "queue-full")
+        for attempt in record.sendings
+        if attempt.reason in ("overload", "queue-full")
     ]
     inversions = 0
-    for at_s in refusals:
-        index = bisect_left(starts, at_s - _MAX_INVERSION_GAP_S)
+    for refused_s in refusals:
+        index = bisect_left(starts, refused_s - _MAX_INVERSION_GAP_S)
         inversions += (
-            index < len(starts) and starts[index] <= at_s + _MAX_INVERSION_GAP_S
+            index < len(starts) and starts[index] <= refused_s + _MAX_INVERSION_GAP_S
         )
     return inversions, len(refusals)
 
 
 def count_goodput(trial: Trial) -> dict[str, Counter[int]]:
     """Count good requests, by class and by the second in which they started."""
-    specs = {one.name: one for one in trial.shape.classes}
+    specs = {spec.name: spec for spec in trial.shape.classes}
     counts: dict[str, Counter[int]] = {name: Counter() for name in specs}
     counts["offered"] = Counter()
     for record in trial.records:
@@ -206,12 +208,12 @@
     counts = count_goodput(trial)
     offered = counts.pop("offered")
     good: Counter[int] = Counter()
-    for one in counts.values():
-        good.update(one)
+    for class_counts in counts.values():
+        good.update(class_counts)
     disturbance_second = int(trial.disturbance_start_s - trial.start_s)
     before = range(int(_SETTLE_S), disturbance_second)
-    baseline_share = sum(good[at] for at in before) / max(
-        sum(offered[at] for at in before), 1
+    baseline_share = sum(good[second] for second in before) / max(
+        sum(offered[second] for second in before), 1
     )
     first = int(trial.disturbance_end_s - trial.start_s)
     last = int(trial.end_s - trial.start_s)
--- a/benchmarks/overload_shapes.py
+++ b/benchmarks/overload_shapes.py
@@ -68,15 +68,15 @@
 
     def find_service(self, name: str) -> ServiceShape:
         """Return a service by name."""
-        return next(one for one in self.services if one.name == name)
+        return next(service for service in self.services if service.name == name)
 
-    def describe_complete_answer(self, one: ClassSpec) -> str:
+    def describe_complete_answer(self, spec: ClassSpec) -> str:
         """Return the shape of a complete response."""
-        return expect_shape(self.plans, one.method, one.path)
+        return expect_shape(self.plans, spec.method, spec.path)
 
-    def count_bottleneck_calls(self, one: ClassSpec) -> int:
+    def count_bottleneck_calls(self, spec: ClassSpec) -> int:
         """Return how many calls of the bottleneck service a request makes."""
-        return self.describe_complete_answer(one).count(self.bottleneck)
+        return self.describe_complete_answer(spec).count(self.bottleneck)
 
     @property
     def bottleneck_capacity_per_s(self) -> float:
@@ -88,9 +88,9 @@
     @property
     def capacity_per_s(self) -> float:
         """Return the rate of requests that saturates the bottleneck service."""
-        total = sum(one.weight for one in self.classes)
+        total = sum(spec.weight for spec in self.classes)
         calls = sum(
-            one.weight * self.count_bottleneck_calls(one) for one in self.classes
+            spec.weight * self.count_bottleneck_calls(spec) for spec in self.classes
         )
         return self.bottleneck_capacity_per_s * total / calls
 
@@ -98,15 +98,15 @@
         """Return the classes in the form that the callers take."""
         return tuple(
             CallClass(
-                one.name,
-                one.method,
-                one.path,
-                self.describe_complete_answer(one),
-                one.weight,
-                one.keyed,
+                spec.name,
+                spec.method,
+                spec.path,
+                self.describe_complete_answer(spec),
+                spec.weight,
+                spec.keyed,
                 CALLER_TIMEOUT_MS,
             )
-            for one in self.classes
+            for spec in self.classes
         )
 
     def make_services(self, queue_factor: float | None) -> tuple[ServiceSpec, ...]:
@@ -136,16 +136,16 @@
         """Return the configuration that operators would publish."""
         domains = ", ".join(f'"{name}"' for name in self.failure_domains)
         lines = [f"failure_domains = [{domains}]"]
-        for one in self.classes:
+        for spec in self.classes:
             lines += [
                 "",
                 "[[class]]",
-                f'name = "{one.name}"',
-                f'routes = ["{one.method} {one.path}"]',
-                f"idempotent = {str(not one.keyed).lower()}",
-                f"refuse_last = {str(one.refuse_last).lower()}",
-                f"complete_fraction = {one.complete_fraction}",
-                f"within_ms = {one.within_ms}",
+                f'name = "{spec.name}"',
+                f'routes = ["{spec.method} {spec.path}"]',
+                f"idempotent = {str(not spec.keyed).lower()}",
+                f"refuse_last = {str(spec.refuse_last).lower()}",
+                f"complete_fraction = {spec.complete_fraction}",
+                f"within_ms = {spec.within_ms}",
             ]
         return "\n".join(lines) + "\n"
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -78,7 +78,7 @@
         return self.cpu_s * 1000 / max(1, len(self.latencies_ms) + self.refused)
 
     def quantile_ms(self, fraction: float) -> float:
-        """Return a quantile."""
+        """Return a quantile of the latencies, or NaN if there are none."""
         ordered = sorted(self.latencies_ms)
         if not ordered:
             return float("nan")
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -203,8 +203,8 @@
 def compute_result(fleet: Fleet, team: Team, cpu_s: float) -> Result:
     first_s = 1000.0 + BUCKET_FILL_S
     surge = (first_s + SURGE_START_S, first_s + SURGE_END_S)
-    requests_before = [one for one in fleet.asked if one[0] < surge[0]]
-    refused_before = [one for one in fleet.refused if one[0] < surge[0]]
+    requests_before = [request for request in fleet.asked if request[0] < surge[0]]
+    refused_before = [request for request in fleet.refused if request[0] < surge[0]]
     times = [at for at, _ in fleet.ran if surge[0] <= at < surge[1]]
     gaps = [b - a for a, b in zip([surge[0], *times], [*times, surge[1]], strict=True)]
     request_count = max(1, len(fleet.asked))
@@ -228,13 +228,14 @@
         costs: dict[str, float] = {}
         for scheme in ("shares", "sums", "grants"):
             results = [run_trial(scheme, rate, seed) for seed in SEEDS]
-            costs[scheme] = statistics.median(one.cost_us for one in results)
+            costs[scheme] = statistics.median(result.cost_us for result in results)
             print(
-                f"{scheme:8} {rate:5.0f} {max(one.max_share for one in results):10.2f} "
-                f"{statistics.mean(one.refused_share for one in results):8.3f} "
-                f"{max(one.gap_s for one in results):6.2f} "
-                f"{statistics.mean(one.remote_frames for one in results):8.2f} "
-                f"{statistics.mean(one.frames for one in results):10.2f} "
+                f"{scheme:8} {rate:5.0f} "
+                f"{max(result.max_share for result in results):10.2f} "
+                f"{statistics.mean(result.refused_share for result in results):8.3f} "
+                f"{max(result.gap_s for result in results):6.2f} "
+                f"{statistics.mean(result.remote_frames for result in results):8.2f} "
+                f"{statistics.mean(result.frames for result in results):10.2f} "
                 f"{costs[scheme] / costs['shares']:6.2f}"
             )
 
--- a/benchmarks/relay_path.py
+++ b/benchmarks/relay_path.py
@@ -103,9 +103,9 @@
     tasks = set()
 
     def handle(exchange: Exchange) -> None:
-        costs_by_path = asyncio.ensure_future(forward(exchange))
-        tasks.add(costs_by_path)
-        costs_by_path.add_done_callback(tasks.discard)
+        task = asyncio.ensure_future(forward(exchange))
+        tasks.add(task)
+        task.add_done_callback(tasks.discard)
 
     return HttpListener(handle, time.monotonic)
 
@@ -125,7 +125,7 @@
         )
         totals[part] += self_s
     total_s = sum(totals.values())
-    for part, seconds in sorted(totals.items(), key=lambda one: -one[1]):
+    for part, seconds in sorted(totals.items(), key=lambda item: -item[1]):
         print(f"  {part:28} {seconds / total_s:6.1%}")
 
 
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -60,8 +60,8 @@
 
 
 @define
-class Run:
-    """A simulation in progress."""
+class Simulation:
+    """State of a running simulation."""
 
     server: ServerModel
     limiter: LimiterPort
@@ -118,28 +118,31 @@
         self.in_flight -= 1
 
 
-def simulate(run: Run, seconds: float) -> list[Point]:
+def simulate(simulation: Simulation, seconds: float) -> list[Point]:
     """Run an open-loop simulation and return one point for each second."""
-    run.schedule(0.0, "arrive")
-    run.schedule(0.0, "adjust")
-    while run.events and run.events[0][0] < seconds:
-        run.now_s, _, kind, started_s = heapq.heappop(run.events)
-        if not run.points or run.now_s >= run.points[-1].second + 1:
-            run.points.append(Point(int(run.now_s)))
-        _handle(run, kind, started_s)
-        run.start_waiting_calls()
-    return run.points
-
-
-def _handle(run: Run, kind: str, started_s: float) -> None:
+    simulation.schedule(0.0, "arrive")
+    simulation.schedule(0.0, "adjust")
+    while simulation.events and simulation.events[0][0] < seconds:
+        simulation.now_s, _, kind, started_s = heapq.heappop(simulation.events)
+        if (
+            not simulation.points
+            or simulation.now_s >= simulation.points[-1].second + 1
+        ):
+            simulation.points.append(Point(int(simulation.now_s)))
+        _handle(simulation, kind, started_s)
+        simulation.start_waiting_calls()
+    return simulation.points
+
+
+def _handle(simulation: Simulation, kind: str, started_s: float) -> None:
     if kind == "arrive":
-        run.waiting = min(run.waiting + 1, 50)
-        gap_s = run.rng.expovariate(run.offered_per_s(run.now_s))
-        run.schedule(run.now_s + gap_s, "arrive")
+        simulation.waiting = min(simulation.waiting + 1, 50)
+        gap_s = simulation.rng.expovariate(simulation.offered_per_s(simulation.now_s))
+        simulation.schedule(simulation.now_s + gap_s, "arrive")
     elif kind == "adjust":
-        run.limiter.adjust(run.now_s)
-        run.points[-1].limit += run.limiter.limit * _ADJUST_INTERVAL_S
-        run.points[-1].in_server += run.in_flight * _ADJUST_INTERVAL_S
-        run.schedule(run.now_s + _ADJUST_INTERVAL_S, "adjust")
+        simulation.limiter.adjust(simulation.now_s)
+        simulation.points[-1].limit += simulation.limiter.limit * _ADJUST_INTERVAL_S
+        simulation.points[-1].in_server += simulation.in_flight * _ADJUST_INTERVAL_S
+        simulation.schedule(simulation.now_s + _ADJUST_INTERVAL_S, "adjust")
     else:
-        run.finish_run(kind, started_s)
+        simulation.finish_run(kind, started_s)
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -17,8 +17,7 @@
 
 SEED = 11
 MOVE_INTERVAL_S = 0.001
-# moves (starts or ends of runs) before the first solution, which is not measured,
-# and before the second, which is
+# A move is the start or the end of a run. The first solution is not measured.
 WARM_UP_MOVES = 12_000
 MOVES_PER_SOLUTION = 1000
 MOVES_PER_ROUTE_RUN_ONCE = 8
@@ -119,7 +118,7 @@
     for scenario in SCENARIOS:
         measured = [measure(scenario, SEED + number) for number in range(REPETITIONS)]
         cost_ms, longest_ms = (
-            statistics.median(one) for one in zip(*measured, strict=True)
+            statistics.median(values) for values in zip(*measured, strict=True)
         )
         if not scenario.once:
             baseline_ms = cost_ms
