--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -108,7 +108,9 @@
         others = list(network.nodes.values())
 
         def all_see(states):
-            return all(node.get_member_state(victim.address) in states for node in others)
+            return all(
+                node.get_member_state(victim.address) in states for node in others
+            )
 
         gone = (MemberState.SUSPECT, MemberState.DEAD)
         assert await network.run_until(lambda: all_see(gone), 5.0) < 5.0
