--- a/tests/matrix/crashes.py
+++ b/tests/matrix/crashes.py
@@ -16,7 +16,7 @@
 from standins.client import UnansweredError
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from tests.matrix.callers import BOOKING, Booking
-from tests.matrix.world import DOMAINS, PLANS, World, make_node_command
+from tests.matrix.testbed import DOMAINS, PLANS, World, make_node_command
 
 if TYPE_CHECKING:
     from standins.layout import VM
--- a/tests/matrix/driver.py
+++ b/tests/matrix/driver.py
@@ -30,7 +30,7 @@
     release_step,
     take_aim,
 )
-from tests.matrix.world import CONFIGURATION, World, make_spec
+from tests.matrix.testbed import CONFIGURATION, World, make_spec
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Iterable
--- a/tests/matrix/silence.py
+++ b/tests/matrix/silence.py
@@ -14,7 +14,7 @@
 
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from tests.matrix.faults import FAULTS
-from tests.matrix.world import World
+from tests.matrix.testbed import World
 
 if TYPE_CHECKING:
     from standins.layout import VM
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from standins.layout import VM
     from tests.matrix.callers import Booking
-    from tests.matrix.world import World
+    from tests.matrix.testbed import World
 
 HOME = "a"
 ENTRY = "frontdesk-b-0"
--- a/tests/matrix/storm.py
+++ b/tests/matrix/storm.py
@@ -14,7 +14,7 @@
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from standins.faults import set_fault
 from standins.plans import Plan
-from tests.matrix.world import World, make_node_command
+from tests.matrix.testbed import World, make_node_command
 
 LEVELS = 12
 # levels from the deepest up that have two servers, so that there is one to retry at
