--- a/tests/features/steps/matrix.py
+++ b/tests/features/steps/matrix.py
@@ -8,14 +8,16 @@
 
 from tests.matrix.driver import Result
 from tests.matrix.lanes import run_lanes
-from tests.matrix.table import FIXED, read_table
+from tests.matrix.table import FIXED_CELLS, read_table
 
 LANES = 2
 
 
 @cache
 def run_fixed_cells() -> dict[tuple[str, str], Result]:
-    cells = [cell for cell in read_table() if (cell.step, cell.faults[0]) in FIXED]
+    cells = [
+        cell for cell in read_table() if (cell.step, cell.faults[0]) in FIXED_CELLS
+    ]
     results: dict[tuple[str, str], Result] = {}
 
     def keep(result: Result) -> None:
@@ -33,4 +35,8 @@
 @then("every promise holds")
 def check_promises(context):
     result = context.result
-    assert result.word == "held", (result.not_run, result.broken, result.told)
+    assert result.status == "held", (
+        result.not_run,
+        result.violations,
+        result.client_outcome,
+    )
--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -10,23 +10,23 @@
 
 import fire
 
-from tests.matrix.lanes import LANES, run_lanes
-from tests.matrix.table import FIXED, draw_pairs, read_table
+from tests.matrix.lanes import DEFAULT_LANES, run_lanes
+from tests.matrix.table import FIXED_CELLS, draw_pairs, read_table
 
 if TYPE_CHECKING:
     from tests.matrix.driver import Result
 
-PAIRS = 30
+DEFAULT_PAIRS = 30
 
 
 def print_result(result: Result) -> None:
     """Print one row: the cell, how it went, what was told and what ran."""
     print(
-        f"{result.word:7} {result.cell.name:44} {result.seconds:5.1f} s  "
-        f"{result.runs}  |  {result.told}",
+        f"{result.status:7} {result.cell.name:44} {result.seconds:5.1f} s  "
+        f"{result.runs}  |  {result.client_outcome}",
         flush=True,
     )
-    for line in (*result.broken, *result.not_run.splitlines()):
+    for line in (*result.violations, *result.not_run.splitlines()):
         print(f"        ! {line}", flush=True)
 
 
@@ -35,53 +35,55 @@
     pairs: int | None = None,
     seed: int = 1,
     without: str = "",
-    lanes: int = LANES,
+    lanes: int = DEFAULT_LANES,
     fixed: bool = False,
 ) -> None:
     """Run the cells whose names match ``only``, then ``pairs`` drawn pairs of faults.
 
-    A run of the whole table also draws `PAIRS` pairs if not told otherwise.
+    A run of the whole table also draws `DEFAULT_PAIRS` pairs if not told otherwise.
     ``without`` names a mechanism that is left out of the nodes; ``fixed`` runs only
     the cells of `make test`.
     """
     if pairs is None:
-        pairs = 0 if only or fixed or without else PAIRS
+        pairs = 0 if only or fixed or without else DEFAULT_PAIRS
     table = read_table()
     cells = [cell for cell in table if re.search(only, cell.name)]
     if fixed:
-        cells = [cell for cell in cells if (cell.step, cell.faults[0]) in FIXED]
+        cells = [cell for cell in cells if (cell.step, cell.faults[0]) in FIXED_CELLS]
     drawn, all_pairs = draw_pairs(pairs, seed)
     cells += drawn
     results: list[Result] = []
 
-    def tell(result: Result) -> None:
+    def report_result(result: Result) -> None:
         results.append(result)
         print_result(result)
 
     started_s = time.monotonic()
-    run_lanes(cells, without, lanes, tell)
+    run_lanes(cells, without, lanes, report_result)
     _print_summary(results, len(cells), time.monotonic() - started_s)
     print(
         f"not run: {len(table) + len(drawn) - len(cells)} cells of the table and "
         f"{all_pairs - len(drawn)} of {all_pairs} pairs of faults"
     )
-    held = len(results) == len(cells) and all(item.word == "held" for item in results)
-    sys.exit(0 if held else 1)
+    all_held = len(results) == len(cells) and all(
+        item.status == "held" for item in results
+    )
+    sys.exit(0 if all_held else 1)
 
 
 def _print_summary(results: list[Result], expected: int, seconds: float) -> None:
-    words = Counter(result.word for result in results)
-    broken = Counter(
+    words = Counter(result.status for result in results)
+    violations = Counter(
         line.split(": ", 1)[1].split(" (")[0]
         for result in results
-        for line in result.broken
+        for line in result.violations
         if ": (" not in line
     )
     print(
         f"{expected} cells in {seconds:.0f} s: {words['held']} held, "
         f"{words['FAILED']} failed, {words['not run']} not run"
     )
-    for what, count in broken.most_common():
+    for what, count in violations.most_common():
         print(f"  {count} x {what}")
 
 
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -18,8 +18,8 @@
 BOOKING = "/jobdesk/bookings"
 TIMEOUT_S = 3.0
 # how much later than its own deadline an answer may come on a busy machine
-MARGIN_S = 0.6
-PATIENCE_S = 1.0
+MAX_LATENESS_S = 0.6
+EXTRA_CLIENT_WAIT_S = 1.0
 
 
 @define(eq=False)
@@ -30,13 +30,13 @@
     expect: str
     extra: dict[str, object] = field(factory=dict)
     name: str = field(factory=lambda: f"m{uuid.uuid4().hex[:12]}")
-    sendings: list[Sending] = field(factory=list)
+    attempts: list[Sending] = field(factory=list)
     bodies: set[bytes] = field(factory=set)
 
     @property
-    def told(self) -> list[Sending]:
+    def attempts_by_end(self) -> list[Sending]:
         """Return the sendings in the order in which their answers came."""
-        return sorted(self.sendings, key=lambda sending: sending.t_end)
+        return sorted(self.attempts, key=lambda attempt: attempt.t_end)
 
     async def send(self, client: Client, node: str) -> Sending:
         start = time.monotonic()
@@ -47,7 +47,7 @@
         content = json.dumps({"request": self.name, **self.extra}).encode()
         try:
             answer = await client.request(
-                node, "POST", BOOKING, headers, content, TIMEOUT_S + PATIENCE_S
+                node, "POST", BOOKING, headers, content, TIMEOUT_S + EXTRA_CLIENT_WAIT_S
             )
         except UnansweredError as error:
             answer = None
@@ -59,12 +59,12 @@
         end = time.monotonic()
         if outcome == "complete":
             self.bodies.add(answer.body)
-        sending = _make_sending(self.name, node, start, end, outcome, answer, reason)
-        self.sendings.append(sending)
-        return sending
+        attempt = _make_attempt(self.name, node, start, end, outcome, answer, reason)
+        self.attempts.append(attempt)
+        return attempt
 
 
-def _make_sending(
+def _make_attempt(
     name: str,
     node: str,
     start: float,
--- a/tests/matrix/crashes.py
+++ b/tests/matrix/crashes.py
@@ -16,19 +16,19 @@
 from standins.client import UnansweredError
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from tests.matrix.callers import BOOKING, Booking
-from tests.matrix.testbed import DOMAINS, PLANS, World, make_node_command
+from tests.matrix.testbed import DOMAINS, PLANS, Testbed, make_node_command
 
 if TYPE_CHECKING:
     from standins.layout import VM
 
 # crashes that may come before every node has heard of the earlier ones
-MARGIN = 1
-ALLOWED = MAX_CRASHES + MARGIN
+MAX_UNREPORTED_CRASHES = 1
+MAX_ALLOWED_CRASHES = MAX_CRASHES + MAX_UNREPORTED_CRASHES
 SERVERS = {"jobdesk": 2, "platehouse": 2, "ratebook": 2, "proofline": 1}
-SENDINGS = 12
+ATTEMPTS = 12
 LOOKUP = "/ratebook/price"
-REVIVE_PERIOD_S = 0.2
-POPULAR_PERIOD_S = 0.01
+RESTART_INTERVAL_S = 0.2
+POPULAR_LOOKUP_INTERVAL_S = 0.01
 
 CONFIGURATION = """failure_domains = ["a", "b"]
 [[class]]
@@ -52,7 +52,7 @@
 
 
 @frozen
-class Crashing:
+class CrashCase:
     """What the crashing request is, and how its caller sends it again.
 
     With ``pause_s`` 0 the caller waits for nothing: its sendings overlap.
@@ -66,56 +66,56 @@
 
 
 CASES = (
-    Crashing("booking, first service, slowly", "POST", BOOKING, "jobdesk", 1.0),
-    Crashing("booking, first service, hard", "POST", BOOKING, "jobdesk", 0.0),
-    Crashing("booking, second service, hard", "POST", BOOKING, "platehouse", 0.0),
-    Crashing("lookup, hard", "GET", LOOKUP, "ratebook", 0.0),
+    CrashCase("booking, first service, slowly", "POST", BOOKING, "jobdesk", 1.0),
+    CrashCase("booking, first service, hard", "POST", BOOKING, "jobdesk", 0.0),
+    CrashCase("booking, second service, hard", "POST", BOOKING, "platehouse", 0.0),
+    CrashCase("lookup, hard", "GET", LOOKUP, "ratebook", 0.0),
 )
 
 
 @frozen
-class Found:
+class CaseResult:
     """What a case led to."""
 
     crashes: int
-    told: Counter[str]
+    outcomes: Counter[str]
     others_sent: int
     others_complete: int
     popular_refused: int
 
 
-async def run_case(world: World, case: Crashing) -> Found:
+async def run_case(testbed: Testbed, case: CrashCase) -> CaseResult:
     """Send the request again and again, other ones beside it, and count."""
-    _start_crashed(world)
-    await world.wait_until_well()
+    _start_stopped_servers(testbed)
+    await testbed.wait_until_healthy()
     name = f"crash-{uuid.uuid4().hex[:8]}"
-    told: Counter[str] = Counter()
+    outcomes: Counter[str] = Counter()
     others: list[Booking] = []
-    reviving = asyncio.create_task(_revive(world))
-    popular = asyncio.create_task(_ask_popular(world, case))
-    sendings = []
-    for number in range(SENDINGS):
-        vm = world.deployment.vms[number * 5 % len(world.deployment.vms)]
-        sendings.append(asyncio.create_task(_send(world, case, name, vm, told)))
-        other = world.make_booking(f"{DOMAINS[number % 2]}:{uuid.uuid4().hex}")
+    restarts = asyncio.create_task(_restart_stopped_servers(testbed))
+    popular = asyncio.create_task(_send_popular_lookups(testbed, case))
+    attempts = []
+    for number in range(ATTEMPTS):
+        vm = testbed.deployment.vms[number * 5 % len(testbed.deployment.vms)]
+        attempts.append(asyncio.create_task(_send(testbed, case, name, vm, outcomes)))
+        other = testbed.make_booking(f"{DOMAINS[number % 2]}:{uuid.uuid4().hex}")
         others.append(other)
-        sendings.append(asyncio.create_task(_send_other(world, other, vm)))
+        attempts.append(asyncio.create_task(_send_other(testbed, other, vm)))
         await asyncio.sleep(case.pause_s or 0.1)
-    await asyncio.gather(*sendings)
+    await asyncio.gather(*attempts)
     # the caller does not give up once it is refused
-    for vm in world.deployment.vms:
-        await _send(world, case, name, vm, told)
-    reviving.cancel()
+    for vm in testbed.deployment.vms:
+        await _send(testbed, case, name, vm, outcomes)
+    restarts.cancel()
     popular.cancel()
-    refused = await _count_refused(world, case)
-    runs = await world.read_runs(name)
+    refused = await _count_refused(testbed, case)
+    runs = await testbed.read_runs(name)
     crashes = sum(run["service"] == case.service for run in runs)
-    complete = sum(other.told[-1].outcome == "complete" for other in others)
-    return Found(crashes, told, len(others), complete, refused)
+    complete = sum(other.attempts_by_end[-1].outcome == "complete" for other in others)
+    return CaseResult(crashes, outcomes, len(others), complete, refused)
 
 
 async def _send(
-    world: World, case: Crashing, name: str, vm: VM, told: Counter[str]
+    testbed: Testbed, case: CrashCase, name: str, vm: VM, outcomes: Counter[str]
 ) -> None:
     content = {"request": name, "crash": True, "crash_service": case.service}
     headers = {"eelgrassmount-timeout-ms": "3000"}
@@ -123,39 +123,39 @@
         headers["idempotency-key"] = f"{vm.failure_domain}:{uuid.uuid4().hex}"
     body = json.dumps(content).encode()
     try:
-        answer = await world.client.request(
+        answer = await testbed.client.request(
             vm.caller_address, case.method, case.path, headers, body, 4.0
         )
     except UnansweredError as error:
-        told[f"no answer ({error.reason})"] += 1
+        outcomes[f"no answer ({error.reason})"] += 1
         return
     verdict = answer.headers.get("eelgrassmount-verdict", "")
     reason = answer.headers.get("eelgrassmount-reason", "")
-    told[f"{verdict} {reason} {answer.status}"] += 1
+    outcomes[f"{verdict} {reason} {answer.status}"] += 1
 
 
-async def _send_other(world: World, other: Booking, vm: VM) -> None:
+async def _send_other(testbed: Testbed, other: Booking, vm: VM) -> None:
     """Send a request of the same class, like a caller that repeats."""
     for _ in range(6):
-        sending = await other.send(world.client, vm.caller_address)
-        if sending.outcome == "complete":
+        attempt = await other.send(testbed.client, vm.caller_address)
+        if attempt.outcome == "complete":
             return
         await asyncio.sleep(0.5)
 
 
-async def _ask_popular(world: World, case: Crashing) -> None:
+async def _send_popular_lookups(testbed: Testbed, case: CrashCase) -> None:
     """Send the same lookup all the time to the service that crashes."""
     while True:
-        for vm in world.deployment.vms:
-            await _look_up(world, case, vm)
-            await asyncio.sleep(POPULAR_PERIOD_S)
+        for vm in testbed.deployment.vms:
+            await _look_up(testbed, case, vm)
+            await asyncio.sleep(POPULAR_LOOKUP_INTERVAL_S)
 
 
-async def _look_up(world: World, case: Crashing, vm: VM) -> str:
+async def _look_up(testbed: Testbed, case: CrashCase, vm: VM) -> str:
     path = LOOKUP if case.service == "ratebook" else f"/{case.service}/status"
     body = b'{"request": "popular"}'
     try:
-        answer = await world.client.request(
+        answer = await testbed.client.request(
             vm.caller_address, "GET", path, {}, body, 2.0
         )
     except UnansweredError as error:
@@ -163,21 +163,21 @@
     return answer.headers.get("eelgrassmount-reason", "")
 
 
-async def _count_refused(world: World, case: Crashing) -> int:
+async def _count_refused(testbed: Testbed, case: CrashCase) -> int:
     """Return how many nodes refuse the popular lookup for the crashes."""
-    reasons = [await _look_up(world, case, vm) for vm in world.deployment.vms]
+    reasons = [await _look_up(testbed, case, vm) for vm in testbed.deployment.vms]
     return reasons.count("quarantined")
 
 
-async def _revive(world: World) -> None:
+async def _restart_stopped_servers(testbed: Testbed) -> None:
     """Start crashed servers anew, as the platform does."""
     while True:
-        _start_crashed(world)
-        await asyncio.sleep(REVIVE_PERIOD_S)
+        _start_stopped_servers(testbed)
+        await asyncio.sleep(RESTART_INTERVAL_S)
 
 
-def _start_crashed(world: World) -> None:
-    for vm in world.deployment.vms:
+def _start_stopped_servers(testbed: Testbed) -> None:
+    for vm in testbed.deployment.vms:
         if not vm.server.running:
             vm.server.start()
 
@@ -193,37 +193,37 @@
 
 
 async def _run_cases(without: str) -> list[str]:
-    broken = []
+    violations = []
     deployment = await asyncio.to_thread(Deployment(_make_spec(without)).__enter__)
     try:
-        world = World(deployment)
-        await world.publish(CONFIGURATION)
+        testbed = Testbed(deployment)
+        await testbed.publish(CONFIGURATION)
         for case in CASES:
-            found = await run_case(world, case)
+            result = await run_case(testbed, case)
             print(
-                f"{case.name}: {found.crashes} crashes; told "
-                f"{dict(found.told)}; others complete: "
-                f"{found.others_complete} of {found.others_sent}; popular lookup "
-                f"refused by {found.popular_refused} nodes",
+                f"{case.name}: {result.crashes} crashes; told "
+                f"{dict(result.outcomes)}; others complete: "
+                f"{result.others_complete} of {result.others_sent}; popular lookup "
+                f"refused by {result.popular_refused} nodes",
                 flush=True,
             )
-            if found.crashes > ALLOWED:
-                broken.append(
-                    f"{case.name}: {found.crashes} crashes, {ALLOWED} allowed"
+            if result.crashes > MAX_ALLOWED_CRASHES:
+                violations.append(
+                    f"{case.name}: {result.crashes} crashes, {MAX_ALLOWED_CRASHES} allowed"
                 )
-            if found.popular_refused:
-                broken.append(f"{case.name}: the popular lookup is refused")
+            if result.popular_refused:
+                violations.append(f"{case.name}: the popular lookup is refused")
     finally:
         await asyncio.to_thread(deployment.stop)
-    return broken
+    return violations
 
 
 def run_crashes(without: str = "") -> None:
     """Run all cases and end with 1 when more servers crashed than allowed."""
-    broken = asyncio.run(_run_cases(without))
-    for line in broken:
+    violations = asyncio.run(_run_cases(without))
+    for line in violations:
         print(f"! {line}")
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -14,84 +14,86 @@
     from standins.deploy import Deployment
     from standins.layout import VM
 
-    Act = Callable[[Deployment, VM], None]
+    FaultAction = Callable[[Deployment, VM], None]
 
 # longer than the callers' patience, and than the time to be thought dead
-LONG_S = 5.0
-SHORT_S = 0.7
+LONG_HOLD_S = 5.0
+SHORT_HOLD_S = 0.7
 # short enough for requests under way to be answered in time once it heals
-CUT_S = 1.5
+PARTITION_S = 1.5
 
 
 @frozen
 class Fault:
     """One fault at a VM.
 
-    It lasts ``hold_s``. With ``hits_node`` the node at the VM can't be expected to
-    answer callers meanwhile; with ``spoils`` it changes the answers of its server.
+    It lasts ``hold_s``. With ``affects_node`` the node at the VM can't be expected to
+    answer callers meanwhile; with ``changes_answers`` it changes the answers of its server.
     """
 
     name: str
-    do: Act
-    undo: Act
+    do: FaultAction
+    undo: FaultAction
     hold_s: float = 0.3
-    hits_node: bool = False
-    spoils: bool = False
+    affects_node: bool = False
+    changes_answers: bool = False
 
 
-def _kill(part: str, hits_node: bool) -> Fault:
+def _kill(part: str, affects_node: bool) -> Fault:
     def do(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).kill()
 
     def undo(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).restart()
 
-    return Fault(f"kill-{part}", do, undo, 1.5, hits_node)
+    return Fault(f"kill-{part}", do, undo, 1.5, affects_node)
 
 
-def _freeze(part: str, hold_s: float, word: str, hits_node: bool) -> Fault:
+def _freeze(part: str, hold_s: float, word: str, affects_node: bool) -> Fault:
     def do(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).freeze()
 
     def undo(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).wake()
 
-    return Fault(f"freeze-{part}-{word}", do, undo, hold_s, hits_node)
+    return Fault(f"freeze-{part}-{word}", do, undo, hold_s, affects_node)
 
 
 def _heal(deployment: Deployment, vm: VM) -> None:
     deployment.heal()
 
 
-def _cut(name: str, ways: str, mode: str, hold_s: float = CUT_S) -> Fault:
+def _partition(
+    name: str, directions: str, mode: str, hold_s: float = PARTITION_S
+) -> Fault:
     """Cut the VM's failure domain off: ways out, ways in, or both."""
 
     def do(deployment: Deployment, vm: VM) -> None:
-        own = vm.failure_domain
+        local_domain = vm.failure_domain
         for other in deployment.spec.failure_domains:
-            if other != own and ways in ("both", "out"):
-                deployment.set_link_fault(own, other, cut=mode)
-            if other != own and ways in ("both", "in"):
-                deployment.set_link_fault(other, own, cut=mode)
+            if other != local_domain and directions in ("both", "out"):
+                deployment.set_link_fault(local_domain, other, cut=mode)
+            if other != local_domain and directions in ("both", "in"):
+                deployment.set_link_fault(other, local_domain, cut=mode)
 
     return Fault(name, do, _heal, hold_s)
 
 
-def _cut_log(name: str, mode: str) -> Fault:
+def _disconnect_log(name: str, mode: str) -> Fault:
     def do(deployment: Deployment, vm: VM) -> None:
         deployment.cut(vm.failure_domain, "log", mode)
 
-    return Fault(name, do, _heal, CUT_S)
+    return Fault(name, do, _heal, PARTITION_S)
 
 
 def _fault_log(name: str, hold_s: float, **fault: object) -> Fault:
-    calm = {key: type(value)() for key, value in fault.items()}
+    cleared = {key: type(value)() for key, value in fault.items()}
 
     def do(deployment: Deployment, vm: VM) -> None:
         deployment.set_log_fault(**fault)
 
     def undo(deployment: Deployment, vm: VM) -> None:
-        deployment.set_log_fault(**calm)
+        deployment.set_log_fault(**cleared)
 
     return Fault(name, do, undo, hold_s)
 
@@ -106,29 +108,29 @@
     deployment.set_link_fault("node", vm.name, silent=True)
 
 
-def _keep(deployment: Deployment, vm: VM) -> None:
+def _do_nothing(deployment: Deployment, vm: VM) -> None:
     """Undo nothing."""
 
 
-def _spoil(name: str, **fault: object) -> Fault:
-    calm = {key: type(value)() for key, value in fault.items()}
+def _fault_answers(name: str, **fault: object) -> Fault:
+    cleared = {key: type(value)() for key, value in fault.items()}
 
     def do(deployment: Deployment, vm: VM) -> None:
         set_fault(vm.server_admin_address, **fault)
 
     def undo(deployment: Deployment, vm: VM) -> None:
-        set_fault(vm.server_admin_address, **calm)
+        set_fault(vm.server_admin_address, **cleared)
 
-    return Fault(name, do, undo, 1.5, spoils=True)
+    return Fault(name, do, undo, 1.5, changes_answers=True)
 
 
-def _lose_append(deployment: Deployment, vm: VM) -> None:
+def _lose_append_answers(deployment: Deployment, vm: VM) -> None:
     # the log is busy with the views of the slots when a node has gone
     deployment.set_log_fault(lose_answer=3)
     vm.node.kill()
 
 
-def _end_lost_append(deployment: Deployment, vm: VM) -> None:
+def _restore_append_answers(deployment: Deployment, vm: VM) -> None:
     deployment.set_log_fault(lose_answer=0)
     vm.node.restart()
 
@@ -137,43 +139,49 @@
     _kill("node", True),
     _kill("server", False),
     _kill("vm", True),
-    _freeze("node", SHORT_S, "short", True),
-    _freeze("node", LONG_S, "long", True),
-    _freeze("server", LONG_S, "long", False),
-    _freeze("vm", LONG_S, "long", True),
+    _freeze("node", SHORT_HOLD_S, "short", True),
+    _freeze("node", LONG_HOLD_S, "long", True),
+    _freeze("server", LONG_HOLD_S, "long", False),
+    _freeze("vm", LONG_HOLD_S, "long", True),
 )
 LINK_FAULTS = (
-    _cut("cut-both", "both", "hold"),
-    _cut("cut-both-drop", "both", "drop"),
-    _cut("cut-both-reset", "both", "reset"),
-    _cut("cut-out", "out", "hold"),
-    _cut("cut-in", "in", "hold"),
-    _cut("cut-both-long", "both", "hold", LONG_S),
-    Fault("silent-peers", _silence_peers, _keep, 1.0),
-    Fault("silent-server", _silence_server, _keep, 1.0),
+    _partition("cut-both", "both", "hold"),
+    _partition("cut-both-drop", "both", "drop"),
+    _partition("cut-both-reset", "both", "reset"),
+    _partition("cut-out", "out", "hold"),
+    _partition("cut-in", "in", "hold"),
+    _partition("cut-both-long", "both", "hold", LONG_HOLD_S),
+    Fault("silent-peers", _silence_peers, _do_nothing, 1.0),
+    Fault("silent-server", _silence_server, _do_nothing, 1.0),
 )
 LOG_FAULTS = (
-    _cut_log("cut-log", "hold"),
-    _fault_log("log-down", CUT_S, down=True),
-    _fault_log("log-slow", CUT_S, slow_ms=1500.0),
-    Fault("log-answer-lost", _lose_append, _end_lost_append, 2.5, hits_node=True),
+    _disconnect_log("cut-log", "hold"),
+    _fault_log("log-down", PARTITION_S, down=True),
+    _fault_log("log-slow", PARTITION_S, slow_ms=1500.0),
+    Fault(
+        "log-answer-lost",
+        _lose_append_answers,
+        _restore_append_answers,
+        2.5,
+        affects_node=True,
+    ),
 )
 ANSWER_FAULTS = (
-    _spoil("late", late_ms=400.0),
-    _spoil("too-late", late_ms=4000.0),
-    _spoil("truncated", truncated=1),
-    _spoil("garbled", garbled=1),
-    _spoil("wrong-call", wrong_call=1),
-    _spoil("doubled", doubled=1),
-    _spoil("silent", silent=True),
-    _spoil("lost", lost=1),
-    _spoil("mute", mute=1),
+    _fault_answers("late", late_ms=400.0),
+    _fault_answers("too-late", late_ms=4000.0),
+    _fault_answers("truncated", truncated=1),
+    _fault_answers("garbled", garbled=1),
+    _fault_answers("wrong-call", wrong_call=1),
+    _fault_answers("doubled", doubled=1),
+    _fault_answers("silent", silent=True),
+    _fault_answers("lost", lost=1),
+    _fault_answers("mute", mute=1),
 )
-REPEATS = (Fault("repeats", _keep, _keep, 0.0),)
+RETRIES_ONLY = (Fault("repeats", _do_nothing, _do_nothing, 0.0),)
 FAULTS = {
     fault.name: fault
     for fault in (
-        *REPEATS,
+        *RETRIES_ONLY,
         *PROCESS_FAULTS,
         *LINK_FAULTS,
         *LOG_FAULTS,
--- a/tests/matrix/lanes.py
+++ b/tests/matrix/lanes.py
@@ -13,21 +13,21 @@
 
     from tests.matrix.table import Cell
 
-LANES = 3
+DEFAULT_LANES = 3
 
 
 def run_lanes(
-    cells: list[Cell], without: str, lanes: int, tell: Callable[[Result], None]
+    cells: list[Cell], without: str, lanes: int, report_result: Callable[[Result], None]
 ) -> None:
     """Run cells on several deployments side by side."""
     lock = threading.Lock()
 
-    def tell_one(result: Result) -> None:
+    def report_one(result: Result) -> None:
         with lock:
-            tell(result)
+            report_result(result)
 
     def run_lane(part: list[Cell]) -> None:
-        asyncio.run(run_cells(part, without, tell_one))
+        asyncio.run(run_cells(part, without, report_one))
 
     # in turns, so that every lane has cells of all steps
     parts = [cells[number::lanes] for number in range(lanes)]
--- a/tests/matrix/node.py
+++ b/tests/matrix/node.py
@@ -31,7 +31,7 @@
 
 OPTION = "--without="
 # enough attempts to multiply at each hop, on a machine that must survive it
-MANY_ATTEMPTS = 1000
+UNLIMITED_ATTEMPTS = 1000
 
 
 def drop_dedup() -> None:
@@ -56,14 +56,14 @@
     """Say "not run" whenever there is no answer."""
 
     def judge(record: Any, verdict: Verdict) -> Verdict:
-        return _deny(verdict)
+        return _claim_not_run(verdict)
 
     local._judge_subtree = judge
     remote._judge_failure = lambda failure: NotRun(Reason.PEER_LOST)
     dispatch.weaken_verdict = lambda verdict, _: verdict
 
 
-def _deny(verdict: Verdict) -> Verdict:
+def _claim_not_run(verdict: Verdict) -> Verdict:
     return verdict if isinstance(verdict, Answered) else NotRun(verdict.reason)
 
 
@@ -102,8 +102,8 @@
     def judge_any(self: server.ServerClient, call: Call, result: Any) -> Verdict:
         if isinstance(result, server.RawAnswer):
             others = (item for item in result.headers if item.name != names.CALL)
-            own = Header(names.CALL, call.context.call_id)
-            result = replace(result, headers=(*others, own))
+            own_header = Header(names.CALL, call.context.call_id)
+            result = replace(result, headers=(*others, own_header))
         return judge(self, call, result)
 
     server.ServerClient.judge = judge_any
@@ -139,8 +139,8 @@
     numbers = itertools.count()
 
     async def attempt_freely(self: Any, address: str, call: Call, _: int) -> Outcome:
-        outcome = await attempt(self, address, call, MANY_ATTEMPTS)
-        return evolve(outcome, attempts_left=MANY_ATTEMPTS)
+        outcome = await attempt(self, address, call, UNLIMITED_ATTEMPTS)
+        return evolve(outcome, attempts_left=UNLIMITED_ATTEMPTS)
 
     async def handle_anew(self: Any, parent_id: str, _: str, request: Any) -> Verdict:
         return await handle(self, parent_id, str(next(numbers)), request)
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 
 from standins.records import Record, find_doubled, find_false_refusals
-from tests.matrix.callers import MARGIN_S, TIMEOUT_S
+from tests.matrix.callers import MAX_LATENESS_S, TIMEOUT_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
@@ -27,66 +27,70 @@
     t_start: float
     t_end: float
 
-    def excuses(self, sending: Sending) -> bool:
-        overlaps = sending.t_start <= self.t_end and sending.t_end >= self.t_start
-        return sending.node == self.node and overlaps
+    def excuses(self, attempt: Sending) -> bool:
+        overlaps = attempt.t_start <= self.t_end and attempt.t_end >= self.t_start
+        return attempt.node == self.node and overlaps
 
 
 def judge_booking(
     booking: Booking, runs: Runs, outages: Sequence[Outage], must_answer: bool
 ) -> list[str]:
     """Return each promise that was broken for one request."""
-    broken = [f"doubled {route}" for _, route in find_doubled(runs)]
-    broken += _find_false_refusals(booking, runs)
-    broken += _find_bad_answers(booking)
-    broken += _find_late(booking.sendings, outages)
+    violations = [f"doubled {route}" for _, route in find_doubled(runs)]
+    violations += _find_false_refusals(booking, runs)
+    violations += _find_bad_answers(booking)
+    violations += _find_late_answers(booking.attempts, outages)
     if len(booking.bodies) > 1:
-        broken.append(f"{len(booking.bodies)} different complete answers")
-    if must_answer and booking.told[-1].outcome != "complete":
-        last = booking.told[-1]
-        broken.append(f"not answered in the end: {last.verdict} {last.reason}")
-    return broken
+        violations.append(f"{len(booking.bodies)} different complete answers")
+    if must_answer and booking.attempts_by_end[-1].outcome != "complete":
+        last = booking.attempts_by_end[-1]
+        violations.append(f"not answered in the end: {last.verdict} {last.reason}")
+    return violations
 
 
 def _find_false_refusals(booking: Booking, runs: Runs) -> list[str]:
-    record = Record("booking", booking.key, 0.0, sendings=booking.told)
+    record = Record("booking", booking.key, 0.0, sendings=booking.attempts_by_end)
     return [
-        f"false not-run ({sending.reason})"
-        for sending in find_false_refusals([record], runs)
+        f"false not-run ({attempt.reason})"
+        for attempt in find_false_refusals([record], runs)
     ]
 
 
 def _find_bad_answers(booking: Booking) -> list[str]:
     bad = ("partial", "mixed", "failed")
     return [
-        f"{sending.outcome} answer, status {sending.status}"
-        for sending in booking.sendings
-        if sending.outcome in bad
+        f"{attempt.outcome} answer, status {attempt.status}"
+        for attempt in booking.attempts
+        if attempt.outcome in bad
     ]
 
 
-def _find_late(sendings: Iterable[Sending], outages: Sequence[Outage]) -> list[str]:
-    late = []
-    for sending in sendings:
-        took_s = sending.t_end - sending.t_start
-        in_time = sending.status and took_s <= TIMEOUT_S + MARGIN_S
-        if not in_time and not any(outage.excuses(sending) for outage in outages):
-            late.append(f"no answer by the deadline ({sending.reason}, {took_s:.2f} s)")
-    return late
-
-
-def describe_told(booking: Booking) -> str:
+def _find_late_answers(
+    attempts: Iterable[Sending], outages: Sequence[Outage]
+) -> list[str]:
+    late_answers = []
+    for attempt in attempts:
+        took_s = attempt.t_end - attempt.t_start
+        in_time = attempt.status and took_s <= TIMEOUT_S + MAX_LATENESS_S
+        if not in_time and not any(outage.excuses(attempt) for outage in outages):
+            late_answers.append(
+                f"no answer by the deadline ({attempt.reason}, {took_s:.2f} s)"
+            )
+    return late_answers
+
+
+def describe_outcomes(booking: Booking) -> str:
     """Return what the caller was told in the end, and how often what before."""
-    counts = Counter(_describe(sending) for sending in booking.told)
-    last = _describe(booking.told[-1])
+    counts = Counter(_describe(attempt) for attempt in booking.attempts_by_end)
+    last = _describe(booking.attempts_by_end[-1])
     listed = ", ".join(f"{count} {what}" for what, count in sorted(counts.items()))
     return f"{last} [{listed}]"
 
 
-def _describe(sending: Sending) -> str:
-    if sending.outcome == "complete":
+def _describe(attempt: Sending) -> str:
+    if attempt.outcome == "complete":
         return "complete"
-    return f"{sending.verdict or sending.outcome} {sending.reason}".strip()
+    return f"{attempt.verdict or attempt.outcome} {attempt.reason}".strip()
 
 
 def describe_runs(runs: Runs) -> str:
--- a/tests/matrix/silence.py
+++ b/tests/matrix/silence.py
@@ -14,20 +14,20 @@
 
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from tests.matrix.faults import FAULTS
-from tests.matrix.testbed import World
+from tests.matrix.testbed import Testbed
 
 if TYPE_CHECKING:
     from standins.layout import VM
 
 # silences of one deployment: after a few, its nodes take each other for unsteady
-TRIALS = 2
+TRIALS_PER_DEPLOYMENT = 2
 DEPLOYMENTS = 4
-LIMIT_MS = 3000
+TIMEOUT_MS = 3000
 # for the membership and the new links to settle
-BETWEEN_S = 1.5
-UNDER_WAY_S = 0.05
+SETTLE_S = 1.5
+FAULT_DELAY_S = 0.05
 # slots need their primaries
-START_S = 6.0
+STARTUP_S = 6.0
 SLOW_FACTOR = 20.0
 
 CONFIGURATION = """failure_domains = ["a"]
@@ -49,7 +49,7 @@
 
 
 @frozen
-class Silence:
+class SilenceCase:
     """Which connections go silent, and whether a call is under way on them."""
 
     name: str
@@ -60,7 +60,9 @@
 
 
 CASES = tuple(
-    Silence(f"{link} link, {kind}, {when}", fault, method, path, when == "under way")
+    SilenceCase(
+        f"{link} link, {kind}, {when}", fault, method, path, when == "under way"
+    )
     for link, fault in (("peer", "silent-peers"), ("server", "silent-server"))
     for kind, method, path in (
         ("lookup", "GET", "/jobdesk/status"),
@@ -70,51 +72,56 @@
 )
 
 
-async def measure(world: World, case: Silence) -> list[float]:
+async def measure_answer_times(testbed: Testbed, case: SilenceCase) -> list[float]:
     """Return the milliseconds until complete answers, silence and all."""
-    [entry] = world.deployment.find_vms("frontdesk")
-    [target] = world.deployment.find_vms("jobdesk")
+    [entry] = testbed.deployment.find_vms("frontdesk")
+    [target] = testbed.deployment.find_vms("jobdesk")
     took_ms = []
-    for _ in range(TRIALS):
-        await _send(world, case, entry)
+    for _ in range(TRIALS_PER_DEPLOYMENT):
+        await _send(testbed, case, entry)
         if case.under_way:
-            await world.set_server(target, slow_factor=SLOW_FACTOR)
+            await testbed.set_server(target, slow_factor=SLOW_FACTOR)
         silence = FAULTS[case.fault].do
         if case.under_way:
-            sending = asyncio.create_task(_send(world, case, entry))
-            await asyncio.sleep(UNDER_WAY_S)
-            await asyncio.to_thread(silence, world.deployment, target)
+            attempt = asyncio.create_task(_send(testbed, case, entry))
+            await asyncio.sleep(FAULT_DELAY_S)
+            await asyncio.to_thread(silence, testbed.deployment, target)
         else:
-            await asyncio.to_thread(silence, world.deployment, target)
-            sending = asyncio.create_task(_send(world, case, entry))
-        took_ms.append(await sending)
-        await world.set_server(target, slow_factor=1.0)
-        await asyncio.sleep(BETWEEN_S)
+            await asyncio.to_thread(silence, testbed.deployment, target)
+            attempt = asyncio.create_task(_send(testbed, case, entry))
+        took_ms.append(await attempt)
+        await testbed.set_server(target, slow_factor=1.0)
+        await asyncio.sleep(SETTLE_S)
     return took_ms
 
 
-async def _send(world: World, case: Silence, entry: VM) -> float:
-    headers = {"eelgrassmount-timeout-ms": str(LIMIT_MS)}
+async def _send(testbed: Testbed, case: SilenceCase, entry: VM) -> float:
+    headers = {"eelgrassmount-timeout-ms": str(TIMEOUT_MS)}
     headers["idempotency-key"] = f"a:{uuid.uuid4().hex}"
     body = json.dumps({"request": uuid.uuid4().hex}).encode()
     start = time.monotonic()
-    answer = await world.client.request(
-        entry.caller_address, case.method, case.path, headers, body, LIMIT_MS / 1000 + 1
+    answer = await testbed.client.request(
+        entry.caller_address,
+        case.method,
+        case.path,
+        headers,
+        body,
+        TIMEOUT_MS / 1000 + 1,
     )
     if answer.status != 200:
         return float("inf")
     return (time.monotonic() - start) * 1000
 
 
-async def _measure_anew(case: Silence) -> list[float]:
+async def _measure_on_new_deployment(case: SilenceCase) -> list[float]:
     services = (ServiceSpec("frontdesk"), ServiceSpec("jobdesk"))
     spec = DeploymentSpec(("a",), services, relays=True, seeds=2)
     deployment = await asyncio.to_thread(Deployment(spec).__enter__)
     try:
-        world = World(deployment)
-        await world.publish(CONFIGURATION)
-        await asyncio.sleep(START_S)
-        return await measure(world, case)
+        testbed = Testbed(deployment)
+        await testbed.publish(CONFIGURATION)
+        await asyncio.sleep(STARTUP_S)
+        return await measure_answer_times(testbed, case)
     finally:
         await asyncio.to_thread(deployment.stop)
 
@@ -123,10 +130,10 @@
     for case in CASES:
         took_ms: list[float] = []
         for _ in range(DEPLOYMENTS):
-            took_ms += await _measure_anew(case)
-        whole = [ms for ms in took_ms if ms < float("inf")]
+            took_ms += await _measure_on_new_deployment(case)
+        answered_ms = [ms for ms in took_ms if ms < float("inf")]
         print(
-            f"{case.name}: {len(whole)} of {len(took_ms)} answered; median "
+            f"{case.name}: {len(answered_ms)} of {len(took_ms)} answered; median "
             f"{median(took_ms):.0f} ms, most {max(took_ms):.0f} ms",
             flush=True,
         )
--- a/tests/matrix/storm.py
+++ b/tests/matrix/storm.py
@@ -14,15 +14,15 @@
 from standins.deploy import Deployment, DeploymentSpec, ServiceSpec
 from standins.faults import set_fault
 from standins.plans import Plan
-from tests.matrix.testbed import World, make_node_command
+from tests.matrix.testbed import Testbed, make_node_command
 
-LEVELS = 12
+CHAIN_LENGTH = 12
 # levels from the deepest up that have two servers, so that there is one to retry at
-DOUBLED_LEVELS = 4
+REDUNDANT_LEVELS = 4
 SERVER_RETRIES = 2
-SENDINGS = 5
-SECONDS = 2.0
-RATE = 10.0
+MAX_ATTEMPTS = 5
+LOAD_DURATION_S = 2.0
+REQUESTS_PER_S = 10.0
 TIMEOUT_MS = 4000.0
 SETTLE_S = 1.0
 
@@ -45,14 +45,14 @@
 
 
 @frozen
-class Depth:
+class DepthCounts:
     """Runs of one route at one depth, for each sending of a caller."""
 
     method: str
     depth: int
-    sendings: int
-    mean: float
-    most: int
+    attempts: int
+    mean_runs: float
+    max_runs: int
 
 
 def make_spec(levels: int, without: str) -> DeploymentSpec:
@@ -64,7 +64,7 @@
             for method in ("GET", "POST")
             if depth + 1 < levels
         }
-        servers = 2 if depth >= levels - DOUBLED_LEVELS else 1
+        servers = 2 if depth >= levels - REDUNDANT_LEVELS else 1
         flags = {"retries": SERVER_RETRIES}
         return ServiceSpec(
             f"s{depth}", servers, service_time_ms=2.0, plans=plans, flags=flags
@@ -76,26 +76,28 @@
     )
 
 
-def measure(levels: int, without: str, failure: dict[str, object]) -> list[Depth]:
+def measure_runs(
+    levels: int, without: str, failure: dict[str, object]
+) -> list[DepthCounts]:
     """Run a storm on a deployment of its own and return what ran at each depth."""
     with Deployment(make_spec(levels, without)) as deployment:
         asyncio.run(_configure(deployment, levels))
         for vm in deployment.find_vms(f"s{levels - 1}"):
             set_fault(vm.server_admin_address, **failure)
-        sent = _storm(deployment)
+        sent = _send_load(deployment)
         asyncio.run(asyncio.sleep(SETTLE_S))
-        return _count(deployment.get_runs(), sent, levels)
+        return _count_runs(deployment.get_runs(), sent, levels)
 
 
 async def _configure(deployment: Deployment, levels: int) -> None:
     routes = ", ".join(f'"POST /s{depth}/x"' for depth in range(levels))
-    world = World(deployment)
-    await world.publish(CONFIGURATION.format(routes=routes))
+    testbed = Testbed(deployment)
+    await testbed.publish(CONFIGURATION.format(routes=routes))
     # members have to know each other, and slots need their primaries
     await asyncio.sleep(8.0)
 
 
-def _storm(deployment: Deployment) -> dict[str, set[str]]:
+def _send_load(deployment: Deployment) -> dict[str, set[str]]:
     entries = tuple(vm.caller_address for vm in deployment.find_vms("s0"))
     expect = deployment.spec.expect("GET", "/s0/x")
     classes = (
@@ -104,36 +106,43 @@
             "booking", "POST", "/s0/x", expect, keyed=True, timeout_ms=TIMEOUT_MS
         ),
     )
-    load = Load(entries, classes, (Phase(SECONDS, RATE),), retries=SENDINGS - 1)
+    load = Load(
+        entries,
+        classes,
+        (Phase(LOAD_DURATION_S, REQUESTS_PER_S),),
+        retries=MAX_ATTEMPTS - 1,
+    )
     sent: dict[str, set[str]] = defaultdict(set)
     for record in run_load(load):
         method = "GET" if record.class_name == "lookup" else "POST"
-        sent[method] |= {sending.request for sending in record.sendings}
+        sent[method] |= {attempt.request for attempt in record.sendings}
     return sent
 
 
-def _count(
+def _count_runs(
     runs: list[dict[str, object]], sent: dict[str, set[str]], levels: int
-) -> list[Depth]:
+) -> list[DepthCounts]:
     counts = Counter((run["request"], run["route"]) for run in runs)
     depths = []
     for method, requests in sorted(sent.items()):
         for depth in range(levels):
             route = f"{method} /s{depth}/x"
-            found = [counts[request, route] for request in requests]
-            mean = sum(found) / len(found)
-            depths.append(Depth(method, depth, len(found), mean, max(found)))
+            run_counts = [counts[request, route] for request in requests]
+            mean_runs = sum(run_counts) / len(run_counts)
+            depths.append(
+                DepthCounts(method, depth, len(run_counts), mean_runs, max(run_counts))
+            )
     return depths
 
 
-def check(depths: list[Depth]) -> list[str]:
+def find_violations(depths: list[DepthCounts]) -> list[str]:
     """Return where more ran than the bounds allow."""
     bounds = {"GET": 1 + EXTRA_ATTEMPTS, "POST": 1}
     return [
-        f"{item.method} at depth {item.depth}: {item.most} runs, "
+        f"{item.method} at depth {item.depth}: {item.max_runs} runs, "
         f"at most {bounds[item.method]} allowed"
         for item in depths
-        if item.most > bounds[item.method]
+        if item.max_runs > bounds[item.method]
     ]
 
 
@@ -143,22 +152,22 @@
 }
 
 
-def run_storm(levels: int = LEVELS, without: str = "") -> None:
+def run_storm(levels: int = CHAIN_LENGTH, without: str = "") -> None:
     """Run the storm with each failure of the deepest service and print the runs."""
-    broken: list[str] = []
+    violations: list[str] = []
     for name, failure in FAILURES.items():
-        depths = measure(levels, without, failure)
+        depths = measure_runs(levels, without, failure)
         print(f"deepest service fails by: {name}")
         for item in depths:
             print(
-                f"  {item.method:4} depth {item.depth:2}: {item.mean:8.2f} runs a "
-                f"sending, {item.most} at most, of {item.sendings} sendings",
+                f"  {item.method:4} depth {item.depth:2}: {item.mean_runs:8.2f} runs a "
+                f"sending, {item.max_runs} at most, of {item.attempts} sendings",
                 flush=True,
             )
-        broken += check(depths)
-    for line in broken:
+        violations += find_violations(depths)
+    for line in violations:
         print(f"! {line}")
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/matrix/table.py
+++ b/tests/matrix/table.py
@@ -49,7 +49,7 @@
 NOT_APPLICABLE = "-"
 
 # the cells of `make test`: every kind of fault, and every step but a few
-FIXED = (
+FIXED_CELLS = (
     ("entry", "kill-node"),
     ("entry", "cut-both"),
     ("primary", "kill-vm"),
@@ -103,14 +103,16 @@
         Cell(step, pair, False)
         for step, faults in by_step.items()
         for pair in itertools.permutations(faults, 2)
-        if "repeats" not in pair and _fit_together(*pair)
+        if "repeats" not in pair and _are_compatible(*pair)
     ]
     chosen = random.Random(seed).sample(pairs, min(number, len(pairs)))
     return chosen, len(pairs)
 
 
-def _fit_together(one: str, other: str) -> bool:
+def _are_compatible(one: str, other: str) -> bool:
     # a process that is killed can't be frozen, nor told how to answer
-    at_process = [name.split("-")[0] in ("kill", "freeze") for name in (one, other)]
-    spoils = FAULTS[other].spoils or FAULTS[one].spoils
-    return not all(at_process) and not (any(at_process) and spoils)
+    affects_process = [
+        name.split("-")[0] in ("kill", "freeze") for name in (one, other)
+    ]
+    changes_answers = FAULTS[other].changes_answers or FAULTS[one].changes_answers
+    return not all(affects_process) and not (any(affects_process) and changes_answers)
--- a/tests/matrix/testbed.py
+++ b/tests/matrix/testbed.py
@@ -29,14 +29,14 @@
 DOMAINS = ("a", "b")
 # so short that a lost slot comes back soon, far longer than a cell
 KEY_WINDOW_S = 30
-WELL_LIMIT_S = 45.0
-END_CHARACTERS = 1500
-TRIES_AT_ONCE = 4
-QUIET_S = 1.2
-START_LIMIT_S = 20.0
-KEYS_TRIED = 400
-BYSTANDERS = ("frontdesk", "ratebook", "proofline")
-IN_USE = "address already in use"
+HEALTHY_TIMEOUT_S = 45.0
+LOG_TAIL_CHARACTERS = 1500
+MAX_CONCURRENT_BOOKINGS = 4
+LOAD_SETTLE_S = 1.2
+SERVER_START_TIMEOUT_S = 20.0
+MAX_KEYS_TRIED = 400
+UNINVOLVED_SERVICES = ("frontdesk", "ratebook", "proofline")
+ADDRESS_IN_USE_MESSAGE = "address already in use"
 SERVICE_TIME_MS = 10.0
 
 CONFIGURATION = """failure_domains = ["a", "b"]
@@ -94,7 +94,7 @@
 
 
 @define(eq=False)
-class World:
+class Testbed:
     """A running deployment and a stand-in caller's connections."""
 
     deployment: Deployment
@@ -117,9 +117,9 @@
             f"http://{admin}/config?base=0", data=text.encode(), method="POST"
         )
         await asyncio.to_thread(lambda: urllib.request.urlopen(post, timeout=10).read())
-        deadline = time.monotonic() + WELL_LIMIT_S
+        deadline = time.monotonic() + HEALTHY_TIMEOUT_S
         while not all(await asyncio.to_thread(self._read_states, "config_version")):
-            _check_time(deadline, "the configuration")
+            _check_deadline(deadline, "the configuration")
             await asyncio.sleep(0.1)
 
     def _read_states(self, name: str) -> list[object]:
@@ -128,26 +128,28 @@
             for vm in self.deployment.vms
         ]
 
-    async def wait_until_well(self) -> None:
+    async def wait_until_healthy(self) -> None:
         """Wait until a booking is answered through every node with every home."""
-        deadline = time.monotonic() + WELL_LIMIT_S
-        left = [(vm, home) for vm in self.deployment.vms for home in DOMAINS]
-        while left:
-            told = await self._try_all(left)
-            bad = [
+        deadline = time.monotonic() + HEALTHY_TIMEOUT_S
+        pending = [(vm, home) for vm in self.deployment.vms for home in DOMAINS]
+        while pending:
+            outcomes = await self._send_bookings(pending)
+            failed = [
                 (pair, word)
-                for pair, word in zip(left, told, strict=True)
+                for pair, word in zip(pending, outcomes, strict=True)
                 if word != "complete"
             ]
-            left = [pair for pair, _ in bad]
-            if left:
-                self._start_again()
-                listed = [f"{vm.name} to {home}: {word}" for (vm, home), word in bad]
-                _check_time(deadline, ", ".join(listed) + self._read_ends())
+            pending = [pair for pair, _ in failed]
+            if pending:
+                self._restart_after_port_conflicts()
+                listed = [f"{vm.name} to {home}: {word}" for (vm, home), word in failed]
+                _check_deadline(
+                    deadline, ", ".join(listed) + self._describe_ended_processes()
+                )
                 await asyncio.sleep(0.3)
         await self._wait_for_views(deadline)
         # what nodes know of each other's load is up to a second old
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(LOAD_SETTLE_S)
 
     async def _wait_for_views(self, deadline: float) -> None:
         """Wait until every slot has a primary and a backup that live."""
@@ -161,42 +163,44 @@
             }
             if holders <= alive:
                 return
-            _check_time(deadline, "slots are held by nodes that are gone")
+            _check_deadline(deadline, "slots are held by nodes that are gone")
             await asyncio.sleep(0.3)
 
-    async def _try_all(self, pairs: list[tuple[VM, str]]) -> list[str]:
-        told: list[str] = []
-        for first in range(0, len(pairs), TRIES_AT_ONCE):
-            batch = pairs[first : first + TRIES_AT_ONCE]
-            told += await asyncio.gather(*(self._try(vm, home) for vm, home in batch))
-        return told
+    async def _send_bookings(self, pairs: list[tuple[VM, str]]) -> list[str]:
+        outcomes: list[str] = []
+        for first in range(0, len(pairs), MAX_CONCURRENT_BOOKINGS):
+            batch = pairs[first : first + MAX_CONCURRENT_BOOKINGS]
+            outcomes += await asyncio.gather(
+                *(self._send_booking(vm, home) for vm, home in batch)
+            )
+        return outcomes
 
-    def _start_again(self) -> None:
+    def _restart_after_port_conflicts(self) -> None:
         """Start processes anew whose port was taken while they were down."""
-        for process in self._find_ended():
-            if IN_USE in process.read_log()[-END_CHARACTERS:]:
+        for process in self._find_ended_processes():
+            if ADDRESS_IN_USE_MESSAGE in process.read_log()[-LOG_TAIL_CHARACTERS:]:
                 process.start()
 
-    def _find_ended(self) -> list[Process]:
+    def _find_ended_processes(self) -> list[Process]:
         return [
             process
             for process in self.deployment.processes
             if process.log_path.exists() and not process.running
         ]
 
-    def _read_ends(self) -> str:
+    def _describe_ended_processes(self) -> str:
         """Return the last lines of processes that ended by themselves."""
         return "".join(
-            f"; {process.name} ended: {process.read_log()[-END_CHARACTERS:]}"
-            for process in self._find_ended()
+            f"; {process.name} ended: {process.read_log()[-LOG_TAIL_CHARACTERS:]}"
+            for process in self._find_ended_processes()
         )
 
-    async def _try(self, vm: VM, home: str) -> str:
+    async def _send_booking(self, vm: VM, home: str) -> str:
         booking = self.make_booking(f"{home}:{uuid.uuid4().hex}")
-        sending = await booking.send(self.client, vm.caller_address)
-        if sending.outcome == "complete":
-            return sending.outcome
-        return f"{sending.verdict} {sending.reason}"
+        attempt = await booking.send(self.client, vm.caller_address)
+        if attempt.outcome == "complete":
+            return attempt.outcome
+        return f"{attempt.verdict} {attempt.reason}"
 
     async def read_views(self, domain: str) -> list[View]:
         """Return the views of a failure domain's slots, as the log tells them."""
@@ -222,13 +226,13 @@
         views = await self.read_views(domain)
         vms = {vm.advertise_address: vm for vm in self.deployment.vms}
         found: dict[str, tuple[str, VM]] = {}
-        for _ in range(KEYS_TRIED):
+        for _ in range(MAX_KEYS_TRIED):
             key = f"{domain}:{uuid.uuid4().hex}"
             vm = vms.get(getattr(views[find_slot(key)], role).address)
             # after a loss of both holders a slot waits for a whole key window
             if vm is not None and not views[find_slot(key)].lost:
                 found[vm.service] = (key, vm)
-        for service in BYSTANDERS:
+        for service in UNINVOLVED_SERVICES:
             if service in found:
                 return found[service]
         raise LookupError(
@@ -247,13 +251,13 @@
 
     async def set_server(self, vm: VM, **fault: object) -> None:
         """Set a fault of one server, once it listens."""
-        deadline = time.monotonic() + START_LIMIT_S
+        deadline = time.monotonic() + SERVER_START_TIMEOUT_S
         while True:
             try:
                 await asyncio.to_thread(set_fault, vm.server_admin_address, **fault)
                 return
             except OSError:
-                _check_time(deadline, vm.server.name)
+                _check_deadline(deadline, vm.server.name)
                 await asyncio.sleep(0.1)
 
     async def wait_for_run(
@@ -269,6 +273,6 @@
         return None
 
 
-def _check_time(deadline: float, what: str) -> None:
+def _check_deadline(deadline: float, what: str) -> None:
     if time.monotonic() > deadline:
         raise TimeoutError(f"not well in time: {what}")
