--- a/tests/matrix/__init__.py
+++ b/tests/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: every fault at every step, judged from outside."""
+"""Fault matrix: inject every fault at every step of a request."""
--- a/tests/matrix/__main__.py
+++ b/tests/matrix/__main__.py
@@ -20,7 +20,7 @@
 
 
 def print_result(result: Result) -> None:
-    """Print one row: the cell, how it went, what was told and what ran."""
+    """Print the cell, its status, the client's outcome and the runs."""
     print(
         f"{result.status:7} {result.cell.name:44} {result.seconds:5.1f} s  "
         f"{result.runs}  |  {result.client_outcome}",
@@ -38,11 +38,11 @@
     lanes: int = DEFAULT_LANES,
     fixed: bool = False,
 ) -> None:
-    """Run the cells whose names match ``only``, then ``pairs`` drawn pairs of faults.
+    """Run the cells whose names match ``only``, then ``pairs`` random pairs of faults.
 
-    A run of the whole table also draws `DEFAULT_PAIRS` pairs if not told otherwise.
-    ``without`` names a mechanism that is left out of the nodes; ``fixed`` runs only
-    the cells of `make test`.
+    A run of the whole table draws `DEFAULT_PAIRS` pairs by default. ``without`` names
+    a mechanism that is disabled in the nodes; ``fixed`` runs only the cells of
+    `make test`.
     """
     if pairs is None:
         pairs = 0 if only or fixed or without else DEFAULT_PAIRS
@@ -72,7 +72,7 @@
 
 
 def _print_summary(results: list[Result], expected: int, seconds: float) -> None:
-    words = Counter(result.status for result in results)
+    status_counts = Counter(result.status for result in results)
     violations = Counter(
         line.split(": ", 1)[1].split(" (")[0]
         for result in results
@@ -80,8 +80,8 @@
         if ": (" not in line
     )
     print(
-        f"{expected} cells in {seconds:.0f} s: {words['held']} held, "
-        f"{words['FAILED']} failed, {words['not run']} not run"
+        f"{expected} cells in {seconds:.0f} s: {status_counts['held']} held, "
+        f"{status_counts['FAILED']} failed, {status_counts['not run']} not run"
     )
     for what, count in violations.most_common():
         print(f"  {count} x {what}")
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Requests of stand-in callers, each sent as often as a cell wants."""
+"""Requests of stand-in clients that can be retried."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 BOOKING = "/jobdesk/bookings"
 TIMEOUT_S = 3.0
-# how much later than its own deadline an answer may come on a busy machine
+# tolerated delay of an answer after its deadline
 MAX_LATENESS_S = 0.6
 EXTRA_CLIENT_WAIT_S = 1.0
 
 
 @define(eq=False)
 class Booking:
-    """One non-idempotent request: one key, any number of sendings."""
+    """A non-idempotent request with one key and any number of attempts."""
 
     key: str
-    expect: str
+    expected_shape: str
     extra: dict[str, object] = field(factory=dict)
     name: str = field(factory=lambda: f"m{uuid.uuid4().hex[:12]}")
     attempts: list[Sending] = field(factory=list)
@@ -35,7 +35,7 @@
 
     @property
     def attempts_by_end(self) -> list[Sending]:
-        """Return the sendings in the order in which their answers came."""
+        """Return the attempts in the order of their completion."""
         return sorted(self.attempts, key=lambda attempt: attempt.t_end)
 
     async def send(self, client: Client, node: str) -> Sending:
@@ -54,7 +54,7 @@
             outcome = "unreached" if error.reason == "connect" else "unknown"
             reason = error.reason
         else:
-            outcome = judge_answer(answer, self.name, self.expect)
+            outcome = judge_answer(answer, self.name, self.expected_shape)
             reason = answer.headers.get("eelgrassmount-reason", "")
         end = time.monotonic()
         if outcome == "complete":
@@ -80,7 +80,7 @@
 
 
 async def fetch_key(client: Client, node: str) -> str:
-    """Return a key that a node has minted."""
+    """Return a key issued by a node."""
     content = json.dumps({"request": "mint"}).encode()
     answer = await client.request(node, "GET", "/ratebook/price", {}, content, 3.0)
     return answer.headers["eelgrassmount-next-key"]
--- a/tests/matrix/crashes.py
+++ b/tests/matrix/crashes.py
@@ -1,4 +1,4 @@
-"""A request that crashes every backend server that runs it."""
+"""Sends a request that crashes every backend server that runs it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from standins.layout import VM
 
-# crashes that may come before every node has heard of the earlier ones
+# crashes that may happen before the reports of earlier ones reach every node
 MAX_UNREPORTED_CRASHES = 1
 MAX_ALLOWED_CRASHES = MAX_CRASHES + MAX_UNREPORTED_CRASHES
 SERVERS = {"jobdesk": 2, "platehouse": 2, "ratebook": 2, "proofline": 1}
@@ -53,9 +53,9 @@
 
 @frozen
 class CrashCase:
-    """What the crashing request is, and how its caller sends it again.
+    """A crashing request and the pause between its attempts.
 
-    With ``pause_s`` 0 the caller waits for nothing: its sendings overlap.
+    With ``pause_s`` 0 the attempts overlap.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
 @frozen
 class CaseResult:
-    """What a case led to."""
+    """Counts from one case."""
 
     crashes: int
     outcomes: Counter[str]
@@ -85,7 +85,7 @@
 
 
 async def run_case(testbed: Testbed, case: CrashCase) -> CaseResult:
-    """Send the request again and again, other ones beside it, and count."""
+    """Send the crashing request repeatedly among other requests; count outcomes."""
     _start_stopped_servers(testbed)
     await testbed.wait_until_healthy()
     name = f"crash-{uuid.uuid4().hex[:8]}"
@@ -102,7 +102,7 @@
         attempts.append(asyncio.create_task(_send_other(testbed, other, vm)))
         await asyncio.sleep(case.pause_s or 0.1)
     await asyncio.gather(*attempts)
-    # the caller does not give up once it is refused
+    # the client retries even after it is refused
     for vm in testbed.deployment.vms:
         await _send(testbed, case, name, vm, outcomes)
     restarts.cancel()
@@ -135,7 +135,7 @@
 
 
 async def _send_other(testbed: Testbed, other: Booking, vm: VM) -> None:
-    """Send a request of the same class, like a caller that repeats."""
+    """Send a request of the same class, with retries."""
     for _ in range(6):
         attempt = await other.send(testbed.client, vm.caller_address)
         if attempt.outcome == "complete":
@@ -144,7 +144,7 @@
 
 
 async def _send_popular_lookups(testbed: Testbed, case: CrashCase) -> None:
-    """Send the same lookup all the time to the service that crashes."""
+    """Continuously send the same lookup to the crashing service."""
     while True:
         for vm in testbed.deployment.vms:
             await _look_up(testbed, case, vm)
@@ -164,13 +164,13 @@
 
 
 async def _count_refused(testbed: Testbed, case: CrashCase) -> int:
-    """Return how many nodes refuse the popular lookup for the crashes."""
+    """Return the number of nodes that have quarantined the popular lookup."""
     reasons = [await _look_up(testbed, case, vm) for vm in testbed.deployment.vms]
     return reasons.count("quarantined")
 
 
 async def _restart_stopped_servers(testbed: Testbed) -> None:
-    """Start crashed servers anew, as the platform does."""
+    """Restart crashed servers, as the platform does."""
     while True:
         _start_stopped_servers(testbed)
         await asyncio.sleep(RESTART_INTERVAL_S)
@@ -201,7 +201,7 @@
         for case in CASES:
             result = await run_case(testbed, case)
             print(
-                f"{case.name}: {result.crashes} crashes; told "
+                f"{case.name}: {result.crashes} crashes; outcomes "
                 f"{dict(result.outcomes)}; others complete: "
                 f"{result.others_complete} of {result.others_sent}; popular lookup "
                 f"refused by {result.popular_refused} nodes",
@@ -209,7 +209,8 @@
             )
             if result.crashes > MAX_ALLOWED_CRASHES:
                 violations.append(
-                    f"{case.name}: {result.crashes} crashes, {MAX_ALLOWED_CRASHES} allowed"
+                    f"{case.name}: {result.crashes} crashes, "
+                    f"{MAX_ALLOWED_CRASHES} allowed"
                 )
             if result.popular_refused:
                 violations.append(f"{case.name}: the popular lookup is refused")
@@ -219,7 +220,7 @@
 
 
 def run_crashes(without: str = "") -> None:
-    """Run all cases and end with 1 when more servers crashed than allowed."""
+    """Run all cases; exit with 1 if a bound is exceeded."""
     violations = asyncio.run(_run_cases(without))
     for line in violations:
         print(f"! {line}")
--- a/tests/matrix/driver.py
+++ b/tests/matrix/driver.py
@@ -1,4 +1,4 @@
-"""Runs cells on deployments and judges them."""
+"""Runs cells on deployments and checks the promises for their requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Outage,
     describe_outcomes,
     describe_runs,
-    judge_booking,
+    find_broken_promises,
 )
 from tests.matrix.steps import (
     HOME_DOMAIN,
@@ -40,21 +40,21 @@
 
 RETRY_INTERVAL_S = 0.1
 FAULT_INTERVAL_S = 0.15
-# how long a restarted or woken node may need before it answers again
+# time in which a restarted or resumed node may still not answer
 NODE_RECOVERY_S = 4.0
 MAX_RETRY_ROUNDS = 5
 MIN_RETRY_ROUNDS = 2
 ROUND_INTERVAL_S = 1.0
 RUN_END_TIMEOUT_S = 3.0
 MAX_START_ATTEMPTS = 3
-# cells of one deployment: nodes that have failed often are trusted less for minutes
+# nodes that failed often are treated as unstable and would distort later cells
 MAX_CELLS_PER_DEPLOYMENT = 10
 RETRY_VMS = ("frontdesk-b-0", "ratebook-b-0", "ratebook-a-0", "frontdesk-a-0")
 
 
 @frozen
 class Result:
-    """What became of one cell."""
+    """The outcome of one cell."""
 
     cell: Cell
     violations: tuple[str, ...] = ()
@@ -72,7 +72,7 @@
 
 @define(eq=False)
 class CellRun:
-    """One cell under way."""
+    """A cell that is running."""
 
     testbed: Testbed
     cell: Cell
@@ -82,7 +82,7 @@
     tasks: list[asyncio.Task[object]] = field(factory=list)
 
     async def run(self) -> Result:
-        """Hold requests at the step, let the faults come, and judge."""
+        """Hold requests at the step, inject the faults, and check the promises."""
         started_s = time.monotonic()
         await self.testbed.wait_until_healthy()
         role_target = await choose_role_target(self.testbed, self.step)
@@ -102,10 +102,10 @@
         await self._retry_until_answered()
         if target is None or runner is None:
             reason = (
-                f"no request came to the step: {describe_outcomes(self.bookings[0])}"
+                f"no request reached the step: {describe_outcomes(self.bookings[0])}"
             )
             return Result(self.cell, not_run=reason)
-        return await self._judge(time.monotonic() - started_s)
+        return await self._check_promises(time.monotonic() - started_s)
 
     async def _make_bookings(self, first_key: str) -> None:
         role_targets = [
@@ -113,12 +113,13 @@
             for _ in range(1, self.step.bookings)
         ]
         keys = [first_key, *(role_target.key for role_target in role_targets)]
-        # of other kinds, at other nodes: nothing is known of where they are
+        # a key issued by another node and one without a failure domain
         other = self.testbed.find_vm("platehouse-b-0").caller_address
         keys.append(await fetch_key(self.testbed.client, other))
         keys.append(uuid.uuid4().hex)
         self.bookings = [self.testbed.make_booking(key) for key in keys]
-        # its servers answer even if a part is missing; a caller must not see it
+        # servers answer this request without a failed downstream call;
+        # the client must not receive that partial answer
         lenient = self.testbed.make_booking(
             f"{HOME_DOMAIN}:{uuid.uuid4().hex}", lenient=True
         )
@@ -161,7 +162,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _retry_until_answered(self) -> None:
-        """Repeat until each request has its answer, or for a few rounds."""
+        """Retry until each request has its answer, for a limited number of rounds."""
         nodes = [self.testbed.find_vm(name).caller_address for name in RETRY_VMS]
         await asyncio.gather(*self.tasks)
         for number in range(MAX_RETRY_ROUNDS):
@@ -189,13 +190,13 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def _judge(self, seconds: float) -> Result:
+    async def _check_promises(self, seconds: float) -> Result:
         violations: list[str] = []
         expected_bookings = self.step.bookings
         for number, booking in enumerate(self.bookings):
             runs = await self.testbed.read_runs(booking.name)
             must_answer = self.cell.must_answer and number < expected_bookings
-            found = judge_booking(booking, runs, self.outages, must_answer)
+            found = find_broken_promises(booking, runs, self.outages, must_answer)
             violations += [f"{booking.key[:24]}: {what}" for what in found]
             if found:
                 details = f"{describe_runs(runs)} | {describe_outcomes(booking)}"
@@ -214,15 +215,17 @@
 async def run_cells(
     cells: Iterable[Cell], without: str, report_result: Callable[[Result], None]
 ) -> None:
-    """Run cells one after another, on a new deployment whenever one is spoilt."""
+    """Run cells in sequence; use a new deployment after a cell that failed to run."""
     pending = list(cells)
     while pending:
-        async for result in _run_on_one(pending, without):
+        async for result in _run_on_one_deployment(pending, without):
             pending.pop(0)
             report_result(result)
 
 
-async def _run_on_one(cells: list[Cell], without: str) -> AsyncIterator[Result]:
+async def _run_on_one_deployment(
+    cells: list[Cell], without: str
+) -> AsyncIterator[Result]:
     async with AsyncExitStack() as stack:
         try:
             testbed = await _open_testbed(stack, without)
@@ -237,8 +240,8 @@
 
 
 async def _open_testbed(stack: AsyncExitStack, without: str) -> Testbed:
-    """Return the world of a deployment that is started, configured and well."""
-    deployment = await asyncio.to_thread(_start, without)
+    """Start and configure a deployment, and wait until it answers bookings."""
+    deployment = await asyncio.to_thread(_start_deployment, without)
     stack.push_async_callback(asyncio.to_thread, deployment.stop)
     testbed = Testbed(deployment)
     await testbed.publish(CONFIGURATION)
@@ -246,9 +249,9 @@
     return testbed
 
 
-def _start(without: str) -> Deployment:
+def _start_deployment(without: str) -> Deployment:
     for _ in range(MAX_START_ATTEMPTS - 1):
-        # another program may take a port that was free a moment ago
+        # another program may have taken the port in the meantime
         with suppress(RuntimeError, TimeoutError):
             return Deployment(make_spec(without)).__enter__()
     return Deployment(make_spec(without)).__enter__()
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -1,4 +1,4 @@
-"""Faults: what is done to a VM, a link or the log, and how it is undone."""
+"""Faults of a VM, a link or the log, and their removal."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
     FaultAction = Callable[[Deployment, VM], None]
 
-# longer than the callers' patience, and than the time to be thought dead
+# longer than the client timeout and the failure detection timeout
 LONG_HOLD_S = 5.0
 SHORT_HOLD_S = 0.7
-# short enough for requests under way to be answered in time once it heals
+# short enough that running requests meet their deadline after the partition
 PARTITION_S = 1.5
 
 
 @frozen
 class Fault:
-    """One fault at a VM.
+    """A fault at a VM that lasts ``hold_s``.
 
-    It lasts ``hold_s``. With ``affects_node`` the node at the VM can't be expected to
-    answer callers meanwhile; with ``changes_answers`` it changes the answers of its server.
+    With ``affects_node`` the node at the VM can't be expected to answer clients during
+    the fault; with ``changes_answers`` the fault changes the answers of its server.
     """
 
     name: str
@@ -49,14 +49,14 @@
     return Fault(f"kill-{part}", do, undo, 1.5, affects_node)
 
 
-def _freeze(part: str, hold_s: float, word: str, affects_node: bool) -> Fault:
+def _freeze(part: str, hold_s: float, duration: str, affects_node: bool) -> Fault:
     def do(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).freeze()
 
     def undo(deployment: Deployment, vm: VM) -> None:
         (vm if part == "vm" else getattr(vm, part)).wake()
 
-    return Fault(f"freeze-{part}-{word}", do, undo, hold_s, affects_node)
+    return Fault(f"freeze-{part}-{duration}", do, undo, hold_s, affects_node)
 
 
 def _heal(deployment: Deployment, vm: VM) -> None:
@@ -66,7 +66,7 @@
 def _partition(
     name: str, directions: str, mode: str, hold_s: float = PARTITION_S
 ) -> Fault:
-    """Cut the VM's failure domain off: ways out, ways in, or both."""
+    """Partition the VM's failure domain: outgoing links, incoming links, or both."""
 
     def do(deployment: Deployment, vm: VM) -> None:
         local_domain = vm.failure_domain
@@ -109,7 +109,7 @@
 
 
 def _do_nothing(deployment: Deployment, vm: VM) -> None:
-    """Undo nothing."""
+    """Change nothing."""
 
 
 def _fault_answers(name: str, **fault: object) -> Fault:
@@ -125,7 +125,7 @@
 
 
 def _lose_append_answers(deployment: Deployment, vm: VM) -> None:
-    # the log is busy with the views of the slots when a node has gone
+    # the loss of a node makes other nodes append views of slots
     deployment.set_log_fault(lose_answer=3)
     vm.node.kill()
 
--- a/tests/matrix/lanes.py
+++ b/tests/matrix/lanes.py
@@ -1,4 +1,4 @@
-"""Running cells on several deployments side by side."""
+"""Runs cells on several deployments in parallel."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def run_lanes(
     cells: list[Cell], without: str, lanes: int, report_result: Callable[[Result], None]
 ) -> None:
-    """Run cells on several deployments side by side."""
+    """Run cells on ``lanes`` deployments in parallel."""
     lock = threading.Lock()
 
     def report_one(result: Result) -> None:
@@ -29,7 +29,7 @@
     def run_lane(part: list[Cell]) -> None:
         asyncio.run(run_cells(part, without, report_one))
 
-    # in turns, so that every lane has cells of all steps
+    # round robin, so that every lane has cells of all steps
     parts = [cells[number::lanes] for number in range(lanes)]
     threads = [
         threading.Thread(target=run_lane, args=(part,)) for part in parts if part
--- a/tests/matrix/node.py
+++ b/tests/matrix/node.py
@@ -1,4 +1,4 @@
-"""A node with one mechanism left out, to see the promise that it keeps broken."""
+"""A node with one mechanism disabled, to show that the matrix detects its absence."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     from eelgrassmount.calls.request import Call
 
 OPTION = "--without="
-# enough attempts to multiply at each hop, on a machine that must survive it
+# finite, so that retries at every hop don't exhaust the machine
 UNLIMITED_ATTEMPTS = 1000
 
 
 def drop_dedup() -> None:
-    """Run every sending of a key."""
+    """Run every attempt of a key."""
 
     async def run(self: KeyService, call: Call) -> Outcome:
         return await self.core.run(call)
@@ -44,7 +44,7 @@
 
 
 def drop_marks() -> None:
-    """Run a caller's own key before its backup knows of it."""
+    """Run a client-chosen key before its backup has stored the mark."""
 
     async def mark(self: Owner, *_: Any) -> None:
         return None
@@ -53,7 +53,7 @@
 
 
 def drop_verdict() -> None:
-    """Say "not run" whenever there is no answer."""
+    """Report "not run" whenever there is no answer."""
 
     def judge(record: Any, verdict: Verdict) -> Verdict:
         return _claim_not_run(verdict)
@@ -68,7 +68,7 @@
 
 
 def drop_retry_rule() -> None:
-    """Send a call again whatever became of it and wherever it goes."""
+    """Retry a call whatever its verdict and destination."""
 
     def choose(verdict: Verdict, *_: Any) -> RetryReason | None:
         return None if isinstance(verdict, Answered) else RetryReason.PEER_LOST
@@ -76,8 +76,8 @@
     dispatch.choose_retry = choose
 
 
-def drop_fate() -> None:
-    """Ask nobody what became of a call."""
+def drop_outcome_queries() -> None:
+    """Skip the queries for the outcome of a call."""
 
     async def settle(self: Any, call: Call, failure: Any) -> Any:
         return failure
@@ -87,7 +87,7 @@
 
 
 def drop_seals() -> None:
-    """Say that a call is unknown, but let it run when it arrives late."""
+    """Report a call as unknown, but let it run when it arrives later."""
 
     def ask_fate(self: CallTable, call_id: str, now_s: float) -> Fate:
         return Fate.UNKNOWN
@@ -95,8 +95,8 @@
     CallTable.ask_fate = ask_fate
 
 
-def drop_call_ids() -> None:
-    """Take any answer that comes for the one that was asked for."""
+def drop_call_id_check() -> None:
+    """Accept an answer with the id of another call."""
     judge = server.ServerClient.judge
 
     def judge_any(self: server.ServerClient, call: Call, result: Any) -> Verdict:
@@ -110,13 +110,13 @@
     server._is_reusable = lambda result, verdict: isinstance(result, server.RawAnswer)
 
 
-def drop_digests() -> None:
-    """Take bodies without checking them."""
+def drop_digest_check() -> None:
+    """Accept bodies without checking their digests."""
     server.check_digest = lambda headers, body: True
 
 
-def drop_parts() -> None:
-    """Take an answer also when a downstream call has failed."""
+def drop_partial_answer_check() -> None:
+    """Accept an answer even if a downstream call has failed."""
 
     def judge(record: Any, verdict: Verdict) -> Verdict:
         ran = any(child.may_have_run for child in record.children.values())
@@ -125,13 +125,13 @@
     local._judge_subtree = judge
 
 
-def drop_silence() -> None:
-    """Never find that a link has gone silent."""
+def drop_silence_detection() -> None:
+    """Never detect a silent link."""
     Link.watch = lambda self, silence_s: False
 
 
 def drop_budget() -> None:
-    """Let every hop retry as it likes, and take repeats of servers for new calls."""
+    """Let every hop retry without limit, and treat retries of servers as new calls."""
     RetryRatio.take = lambda self, now_s: True
     server.LOST_REASONS = frozenset()
     attempt = dispatch.Dispatcher._attempt
@@ -150,7 +150,7 @@
 
 
 def drop_quarantine() -> None:
-    """Run a content however many servers it has crashed."""
+    """Run a request even if its content has crashed many servers."""
     Quarantine.check = lambda self, digest, now_s: None
 
 
@@ -159,23 +159,23 @@
     "marks": drop_marks,
     "verdict": drop_verdict,
     "retry-rule": drop_retry_rule,
-    "fate": drop_fate,
+    "fate": drop_outcome_queries,
     "seals": drop_seals,
-    "callid": drop_call_ids,
-    "digest": drop_digests,
-    "parts": drop_parts,
-    "silence": drop_silence,
+    "callid": drop_call_id_check,
+    "digest": drop_digest_check,
+    "parts": drop_partial_answer_check,
+    "silence": drop_silence_detection,
     "budget": drop_budget,
     "quarantine": drop_quarantine,
 }
 
 
-def run_without(words: list[str]) -> int:
-    """Run the program's command line without the mechanisms that it names."""
-    for word in words:
-        if word.startswith(OPTION):
-            MECHANISMS[word.removeprefix(OPTION)]()
-    return main([word for word in words if not word.startswith(OPTION)])
+def run_without(arguments: list[str]) -> int:
+    """Run the program's command line without the mechanisms named in it."""
+    for argument in arguments:
+        if argument.startswith(OPTION):
+            MECHANISMS[argument.removeprefix(OPTION)]()
+    return main([argument for argument in arguments if not argument.startswith(OPTION)])
 
 
 if __name__ == "__main__":
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -1,4 +1,4 @@
-"""What must hold for a request, judged by what ran and what was told."""
+"""Checks the promises for a request against its runs and answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @frozen
 class Outage:
-    """A stretch of time in which a node could not be expected to answer."""
+    """A period in which a node can't be expected to answer."""
 
     node: str
     t_start: float
@@ -32,10 +32,10 @@
         return attempt.node == self.node and overlaps
 
 
-def judge_booking(
+def find_broken_promises(
     booking: Booking, runs: Runs, outages: Sequence[Outage], must_answer: bool
 ) -> list[str]:
-    """Return each promise that was broken for one request."""
+    """Return the broken promises of one request."""
     violations = [f"doubled {route}" for _, route in find_doubled(runs)]
     violations += _find_false_refusals(booking, runs)
     violations += _find_bad_answers(booking)
@@ -44,7 +44,7 @@
         violations.append(f"{len(booking.bodies)} different complete answers")
     if must_answer and booking.attempts_by_end[-1].outcome != "complete":
         last = booking.attempts_by_end[-1]
-        violations.append(f"not answered in the end: {last.verdict} {last.reason}")
+        violations.append(f"no complete answer: {last.verdict} {last.reason}")
     return violations
 
 
@@ -70,17 +70,17 @@
 ) -> list[str]:
     late_answers = []
     for attempt in attempts:
-        took_s = attempt.t_end - attempt.t_start
-        in_time = attempt.status and took_s <= TIMEOUT_S + MAX_LATENESS_S
+        duration_s = attempt.t_end - attempt.t_start
+        in_time = attempt.status and duration_s <= TIMEOUT_S + MAX_LATENESS_S
         if not in_time and not any(outage.excuses(attempt) for outage in outages):
             late_answers.append(
-                f"no answer by the deadline ({attempt.reason}, {took_s:.2f} s)"
+                f"no answer by the deadline ({attempt.reason}, {duration_s:.2f} s)"
             )
     return late_answers
 
 
 def describe_outcomes(booking: Booking) -> str:
-    """Return what the caller was told in the end, and how often what before."""
+    """Return the last outcome that the client received, and counts of all outcomes."""
     counts = Counter(_describe(attempt) for attempt in booking.attempts_by_end)
     last = _describe(booking.attempts_by_end[-1])
     listed = ", ".join(f"{count} {what}" for what, count in sorted(counts.items()))
--- a/tests/matrix/silence.py
+++ b/tests/matrix/silence.py
@@ -1,4 +1,4 @@
-"""How long callers wait when a connection has gone silent."""
+"""Measures how long clients wait when a connection goes silent."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 if TYPE_CHECKING:
     from standins.layout import VM
 
-# silences of one deployment: after a few, its nodes take each other for unsteady
+# more trials would make the nodes treat each other as unstable
 TRIALS_PER_DEPLOYMENT = 2
 DEPLOYMENTS = 4
 TIMEOUT_MS = 3000
-# for the membership and the new links to settle
+# time for membership updates and new links
 SETTLE_S = 1.5
 FAULT_DELAY_S = 0.05
-# slots need their primaries
+# time to assign primaries to slots
 STARTUP_S = 6.0
 SLOW_FACTOR = 20.0
 
@@ -50,13 +50,13 @@
 
 @frozen
 class SilenceCase:
-    """Which connections go silent, and whether a call is under way on them."""
+    """The connections that go silent, and whether a call is in progress on them."""
 
     name: str
     fault: str
     method: str
     path: str
-    under_way: bool
+    in_progress: bool
 
 
 CASES = tuple(
@@ -73,26 +73,26 @@
 
 
 async def measure_answer_times(testbed: Testbed, case: SilenceCase) -> list[float]:
-    """Return the milliseconds until complete answers, silence and all."""
+    """Return the milliseconds until each complete answer, infinity for failures."""
     [entry] = testbed.deployment.find_vms("frontdesk")
     [target] = testbed.deployment.find_vms("jobdesk")
-    took_ms = []
+    answer_times_ms = []
     for _ in range(TRIALS_PER_DEPLOYMENT):
         await _send(testbed, case, entry)
-        if case.under_way:
+        if case.in_progress:
             await testbed.set_server(target, slow_factor=SLOW_FACTOR)
         silence = FAULTS[case.fault].do
-        if case.under_way:
+        if case.in_progress:
             attempt = asyncio.create_task(_send(testbed, case, entry))
             await asyncio.sleep(FAULT_DELAY_S)
             await asyncio.to_thread(silence, testbed.deployment, target)
         else:
             await asyncio.to_thread(silence, testbed.deployment, target)
             attempt = asyncio.create_task(_send(testbed, case, entry))
-        took_ms.append(await attempt)
+        answer_times_ms.append(await attempt)
         await testbed.set_server(target, slow_factor=1.0)
         await asyncio.sleep(SETTLE_S)
-    return took_ms
+    return answer_times_ms
 
 
 async def _send(testbed: Testbed, case: SilenceCase, entry: VM) -> float:
@@ -128,19 +128,20 @@
 
 async def _run() -> None:
     for case in CASES:
-        took_ms: list[float] = []
+        answer_times_ms: list[float] = []
         for _ in range(DEPLOYMENTS):
-            took_ms += await _measure_on_new_deployment(case)
-        answered_ms = [ms for ms in took_ms if ms < float("inf")]
+            answer_times_ms += await _measure_on_new_deployment(case)
+        answered_ms = [ms for ms in answer_times_ms if ms < float("inf")]
         print(
-            f"{case.name}: {len(answered_ms)} of {len(took_ms)} answered; median "
-            f"{median(took_ms):.0f} ms, most {max(took_ms):.0f} ms",
+            f"{case.name}: {len(answered_ms)} of {len(answer_times_ms)} answered; "
+            f"median {median(answer_times_ms):.0f} ms, "
+            f"max {max(answer_times_ms):.0f} ms",
             flush=True,
         )
 
 
 def run_silence() -> None:
-    """Measure every case and print the times."""
+    """Measure every case and print the answer times."""
     asyncio.run(_run())
 
 
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -1,4 +1,4 @@
-"""Steps of a request, and how one is held there until a fault has come."""
+"""Steps of a request, and the means to hold requests there until a fault."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 MINTER_VM = "frontdesk-a-0"
 SLOW_FACTOR = 80.0
 NORMAL_FACTOR = 1.0
-# well below the time after which a link counts as silent
+# below the time after which a link counts as silent
 LINK_DELAY_MS = 60.0
 SERVER_DELAY_MS = 500.0
 FILLER_REQUESTS = 120
@@ -32,7 +32,7 @@
 
 
 class HoldPoint(Enum):
-    """What keeps a request where it is."""
+    """Where slow servers, delayed links or full queues hold a request."""
 
     RUN = "run"
     ANSWER = "answer"
@@ -43,7 +43,7 @@
 
 
 class Role(Enum):
-    """Which VM the fault comes to."""
+    """Role of the VM at which the fault is injected."""
 
     ENTRY = "entry"
     PRIMARY = "primary"
@@ -54,10 +54,10 @@
 
 @frozen
 class Step:
-    """Where a request is when the fault comes.
+    """Where a request is when the fault is injected.
 
-    It is held at ``service``; ``remote_only`` lets that service run in the other failure
-    domain only. ``entry`` is the node that the caller sends to.
+    The request is held at ``service``. With ``remote_only`` that service runs in the
+    other failure domain only. ``entry`` is the node that the client sends to.
     """
 
     name: str
@@ -93,14 +93,14 @@
 
 @frozen
 class RoleTarget:
-    """The key of a cell's first request, and the VM of its owner or backup."""
+    """The key of a cell's first request, and the VM with the role, if known."""
 
     key: str
     vm: VM | None
 
 
 async def choose_role_target(testbed: Testbed, step: Step) -> RoleTarget:
-    """Choose a key so that the VM of the role is known."""
+    """Choose a key whose VM in the role of the step is known."""
     match step.role:
         case Role.MINTER:
             vm = testbed.find_vm(MINTER_VM)
@@ -117,7 +117,7 @@
 
 
 async def hold_step(testbed: Testbed, step: Step) -> list[asyncio.Task[None]]:
-    """Let requests stop at the step; return what must be cancelled afterwards."""
+    """Hold requests at the step; return the tasks to cancel afterwards."""
     if step.remote_only:
         await _drain_vm(
             testbed, testbed.deployment.find_vms(step.service, HOME_DOMAIN)[0]
@@ -129,29 +129,31 @@
             await testbed.set_servers(step.service, slow_factor=SLOW_FACTOR)
             return _fill_queues(testbed)
         case hold_point:
-            await _delay(testbed, step, hold_point, True)
+            await _set_link_delays(testbed, step, hold_point, True)
     return []
 
 
 async def _drain_vm(testbed: Testbed, vm: VM) -> None:
-    """Let a VM leave: its node ends once its server drains."""
+    """Drain a VM: its node exits once its server drains."""
     await testbed.set_server(vm, drain=True)
     await asyncio.to_thread(vm.node.wait, _DRAIN_TIMEOUT_S)
     await asyncio.to_thread(vm.server.kill)
 
 
 async def release_step(testbed: Testbed, step: Step) -> None:
-    """End what `hold_step` began."""
+    """Undo `hold_step`."""
     if step.hold_point in (HoldPoint.RUN, HoldPoint.QUEUE):
         await testbed.set_servers(step.service, slow_factor=NORMAL_FACTOR)
     else:
-        await _delay(testbed, step, step.hold_point, False)
+        await _set_link_delays(testbed, step, step.hold_point, False)
     if step.remote_only:
         vm = testbed.deployment.find_vms(step.service, HOME_DOMAIN)[0]
         await asyncio.to_thread(vm.restart)
 
 
-async def _delay(testbed: Testbed, step: Step, hold_point: HoldPoint, on: bool) -> None:
+async def _set_link_delays(
+    testbed: Testbed, step: Step, hold_point: HoldPoint, on: bool
+) -> None:
     server_ms = SERVER_DELAY_MS if on else 0.0
     link_ms = LINK_DELAY_MS if on else 0.0
     vms = [vm.name for vm in testbed.deployment.find_vms(step.service)]
@@ -187,7 +189,7 @@
 async def wait_until_at_step(
     testbed: Testbed, step: Step, booking: Booking
 ) -> VM | None:
-    """Wait until a request is at the step; return the VM that runs it, if any does."""
+    """Wait until a request is at the step; return the VM that runs it, or None."""
     match step.hold_point:
         case HoldPoint.RUN:
             outcomes = ("running",)
--- a/tests/matrix/storm.py
+++ b/tests/matrix/storm.py
@@ -1,4 +1,4 @@
-"""A retry storm: runs at each depth of a chain whose deepest service fails."""
+"""Counts runs at each depth of a call chain whose deepest service fails."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.matrix.testbed import Testbed, make_node_command
 
 CHAIN_LENGTH = 12
-# levels from the deepest up that have two servers, so that there is one to retry at
+# deepest levels; these have a second server that retries can go to
 REDUNDANT_LEVELS = 4
 SERVER_RETRIES = 2
 MAX_ATTEMPTS = 5
@@ -46,7 +46,7 @@
 
 @frozen
 class DepthCounts:
-    """Runs of one route at one depth, for each sending of a caller."""
+    """Runs of one route at one depth per attempt of a client."""
 
     method: str
     depth: int
@@ -56,7 +56,7 @@
 
 
 def make_spec(levels: int, without: str) -> DeploymentSpec:
-    """Return a chain of services whose servers repeat their downstream calls."""
+    """Return a chain of services whose servers retry their downstream calls."""
 
     def make_service(depth: int) -> ServiceSpec:
         plans = {
@@ -79,7 +79,7 @@
 def measure_runs(
     levels: int, without: str, failure: dict[str, object]
 ) -> list[DepthCounts]:
-    """Run a storm on a deployment of its own and return what ran at each depth."""
+    """Run a retry storm on a new deployment and return the runs at each depth."""
     with Deployment(make_spec(levels, without)) as deployment:
         asyncio.run(_configure(deployment, levels))
         for vm in deployment.find_vms(f"s{levels - 1}"):
@@ -93,7 +93,7 @@
     routes = ", ".join(f'"POST /s{depth}/x"' for depth in range(levels))
     testbed = Testbed(deployment)
     await testbed.publish(CONFIGURATION.format(routes=routes))
-    # members have to know each other, and slots need their primaries
+    # time to join the cluster and to assign primaries to slots
     await asyncio.sleep(8.0)
 
 
@@ -136,7 +136,7 @@
 
 
 def find_violations(depths: list[DepthCounts]) -> list[str]:
-    """Return where more ran than the bounds allow."""
+    """Describe each depth with more runs than allowed."""
     bounds = {"GET": 1 + EXTRA_ATTEMPTS, "POST": 1}
     return [
         f"{item.method} at depth {item.depth}: {item.max_runs} runs, "
@@ -153,15 +153,15 @@
 
 
 def run_storm(levels: int = CHAIN_LENGTH, without: str = "") -> None:
-    """Run the storm with each failure of the deepest service and print the runs."""
+    """Run the retry storm with each failure of the deepest service; print the runs."""
     violations: list[str] = []
     for name, failure in FAILURES.items():
         depths = measure_runs(levels, without, failure)
         print(f"deepest service fails by: {name}")
         for item in depths:
             print(
-                f"  {item.method:4} depth {item.depth:2}: {item.mean_runs:8.2f} runs a "
-                f"sending, {item.max_runs} at most, of {item.attempts} sendings",
+                f"  {item.method:4} depth {item.depth:2}: {item.mean_runs:8.2f} runs "
+                f"per attempt, max {item.max_runs}, in {item.attempts} attempts",
                 flush=True,
             )
         violations += find_violations(depths)
--- a/tests/matrix/table.py
+++ b/tests/matrix/table.py
@@ -1,4 +1,4 @@
-"""The table of the matrix: which fault at which step, and what must come of it."""
+"""Table of the matrix: the faults at each step and the required outcome."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tests.matrix.faults import FAULTS
 from tests.matrix.steps import STEPS
 
-# A: the request must be answered completely in the end, and all sendings alike
-# t: the promises hold, but its fate may stay unknown
-# -: the fault can't come to this step
+# A: a retry of the request must get its complete answer
+# t: the promises hold, but the outcome of the request may stay unknown
+# -: the fault does not apply to this step
 TABLE = """
                    entry primary minter backup mark link queue edge run-0 run-1 run-2 far-1 answer-0 answer-1 answer-2
 repeats            A     A       A      A      A    A    t     A    A     A     A     A     A        A        A
@@ -48,7 +48,7 @@
 ANSWERED = "A"
 NOT_APPLICABLE = "-"
 
-# the cells of `make test`: every kind of fault, and every step but a few
+# cells of `make test`
 FIXED_CELLS = (
     ("entry", "kill-node"),
     ("entry", "cut-both"),
@@ -70,7 +70,7 @@
 
 @frozen
 class Cell:
-    """One cell: a step, the faults that come there, and whether it must be answered."""
+    """A step, the faults injected there, and whether the request must be answered."""
 
     step: str
     faults: tuple[str, ...]
@@ -95,7 +95,7 @@
 
 
 def draw_pairs(number: int, seed: int) -> tuple[list[Cell], int]:
-    """Return pairs of faults at one step, and how many pairs there are in all."""
+    """Return random pairs of faults at one step, and the number of all pairs."""
     by_step: dict[str, list[str]] = {step: [] for step in STEPS}
     for cell in read_table():
         by_step[cell.step].append(cell.faults[0])
@@ -110,7 +110,7 @@
 
 
 def _are_compatible(one: str, other: str) -> bool:
-    # a process that is killed can't be frozen, nor told how to answer
+    # a killed or frozen process accepts no second process fault or answer fault
     affects_process = [
         name.split("-")[0] in ("kill", "freeze") for name in (one, other)
     ]
--- a/tests/matrix/testbed.py
+++ b/tests/matrix/testbed.py
@@ -1,4 +1,4 @@
-"""The deployment that cells run on, and how their targets are found."""
+"""The deployment that cells run on, and the search for VMs to inject faults at."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from standins.processes import Process
 
 DOMAINS = ("a", "b")
-# so short that a lost slot comes back soon, far longer than a cell
+# short enough to recover a lost slot soon, longer than a cell
 KEY_WINDOW_S = 30
 HEALTHY_TIMEOUT_S = 45.0
 LOG_TAIL_CHARACTERS = 1500
@@ -35,7 +35,8 @@
 LOAD_SETTLE_S = 1.2
 SERVER_START_TIMEOUT_S = 20.0
 MAX_KEYS_TRIED = 400
-UNINVOLVED_SERVICES = ("frontdesk", "ratebook", "proofline")
+# services that bookings don't use, or that another server can replace; in this order
+REPLACEABLE_SERVICES = ("frontdesk", "ratebook", "proofline")
 ADDRESS_IN_USE_MESSAGE = "address already in use"
 SERVICE_TIME_MS = 10.0
 
@@ -68,7 +69,7 @@
 
 
 def make_spec(without: str = "") -> DeploymentSpec:
-    """Return the deployment of all cells, with a mechanism left out if named."""
+    """Return the deployment of all cells; ``without`` names a mechanism to disable."""
     services = tuple(
         ServiceSpec(
             name, count, service_time_ms=SERVICE_TIME_MS, plans=PLANS.get(name, {})
@@ -87,7 +88,7 @@
 
 
 def make_node_command(without: str) -> tuple[str, ...]:
-    """Return the command of a node with a mechanism left out, if one is named."""
+    """Return the command of a node; ``without`` names a mechanism to disable."""
     if not without:
         return (PYTHON, "-m", "eelgrassmount")
     return (PYTHON, "-m", "tests.matrix.node", f"--without={without}")
@@ -95,20 +96,20 @@
 
 @define(eq=False)
 class Testbed:
-    """A running deployment and a stand-in caller's connections."""
+    """A running deployment and the connections of a stand-in client."""
 
     deployment: Deployment
     client: Client = field(factory=Client)
 
     @property
-    def expect(self) -> str:
+    def expected_shape(self) -> str:
         return self.deployment.spec.expect("POST", BOOKING)
 
     def find_vm(self, name: str) -> VM:
         return next(vm for vm in self.deployment.vms if vm.name == name)
 
     def make_booking(self, key: str, **extra: object) -> Booking:
-        return Booking(key, self.expect, extra)
+        return Booking(key, self.expected_shape, extra)
 
     async def publish(self, text: str) -> None:
         """Publish a configuration and wait until it is in force everywhere."""
@@ -129,41 +130,43 @@
         ]
 
     async def wait_until_healthy(self) -> None:
-        """Wait until a booking is answered through every node with every home."""
+        """Wait until each node answers a booking with a key of each failure domain."""
         deadline = time.monotonic() + HEALTHY_TIMEOUT_S
         pending = [(vm, home) for vm in self.deployment.vms for home in DOMAINS]
         while pending:
             outcomes = await self._send_bookings(pending)
             failed = [
-                (pair, word)
-                for pair, word in zip(pending, outcomes, strict=True)
-                if word != "complete"
+                (pair, outcome)
+                for pair, outcome in zip(pending, outcomes, strict=True)
+                if outcome != "complete"
             ]
             pending = [pair for pair, _ in failed]
             if pending:
                 self._restart_after_port_conflicts()
-                listed = [f"{vm.name} to {home}: {word}" for (vm, home), word in failed]
+                listed = [
+                    f"{vm.name} to {home}: {outcome}" for (vm, home), outcome in failed
+                ]
                 _check_deadline(
                     deadline, ", ".join(listed) + self._describe_ended_processes()
                 )
                 await asyncio.sleep(0.3)
         await self._wait_for_views(deadline)
-        # what nodes know of each other's load is up to a second old
+        # load reports between nodes are up to a second old
         await asyncio.sleep(LOAD_SETTLE_S)
 
     async def _wait_for_views(self, deadline: float) -> None:
-        """Wait until every slot has a primary and a backup that live."""
+        """Wait until the primary and the backup of every slot are running."""
         while True:
             alive = set(await asyncio.to_thread(self._read_states, "incarnation"))
             views = [view for name in DOMAINS for view in await self.read_views(name)]
-            holders = {
-                holder.incarnation
+            assigned = {
+                node.incarnation
                 for view in views
-                for holder in (view.primary, view.backup)
+                for node in (view.primary, view.backup)
             }
-            if holders <= alive:
+            if assigned <= alive:
                 return
-            _check_deadline(deadline, "slots are held by nodes that are gone")
+            _check_deadline(deadline, "slots are assigned to stopped nodes")
             await asyncio.sleep(0.3)
 
     async def _send_bookings(self, pairs: list[tuple[VM, str]]) -> list[str]:
@@ -176,7 +179,7 @@
         return outcomes
 
     def _restart_after_port_conflicts(self) -> None:
-        """Start processes anew whose port was taken while they were down."""
+        """Restart processes that ended because their port was in use."""
         for process in self._find_ended_processes():
             if ADDRESS_IN_USE_MESSAGE in process.read_log()[-LOG_TAIL_CHARACTERS:]:
                 process.start()
@@ -189,7 +192,7 @@
         ]
 
     def _describe_ended_processes(self) -> str:
-        """Return the last lines of processes that ended by themselves."""
+        """Return the last log lines of processes that have ended."""
         return "".join(
             f"; {process.name} ended: {process.read_log()[-LOG_TAIL_CHARACTERS:]}"
             for process in self._find_ended_processes()
@@ -203,7 +206,7 @@
         return f"{attempt.verdict} {attempt.reason}"
 
     async def read_views(self, domain: str) -> list[View]:
-        """Return the views of a failure domain's slots, as the log tells them."""
+        """Return the views of a failure domain's slots according to the log."""
         fold = ViewFold()
         while True:
             path = f"/streams/slots.{domain}/records?from={fold.next}&limit=500"
@@ -218,10 +221,10 @@
                 return fold.views
 
     async def choose_key(self, domain: str, role: str) -> tuple[str, VM]:
-        """Return a caller's own key, and the VM that is its primary or backup.
+        """Return a client-chosen key, and the VM that is its primary or backup.
 
-        It is a VM whose server takes no part in bookings, or else one whose part
-        can be taken by another, so that only the role itself is hit.
+        Choose a VM whose server bookings don't need, or whose service has a second
+        server, so that a fault at the VM affects only its role for the key.
         """
         views = await self.read_views(domain)
         vms = {vm.advertise_address: vm for vm in self.deployment.vms}
@@ -229,28 +232,26 @@
         for _ in range(MAX_KEYS_TRIED):
             key = f"{domain}:{uuid.uuid4().hex}"
             vm = vms.get(getattr(views[find_slot(key)], role).address)
-            # after a loss of both holders a slot waits for a whole key window
+            # a slot that lost its primary and backup waits for a key window
             if vm is not None and not views[find_slot(key)].lost:
                 found[vm.service] = (key, vm)
-        for service in UNINVOLVED_SERVICES:
+        for service in REPLACEABLE_SERVICES:
             if service in found:
                 return found[service]
-        raise LookupError(
-            f"no slot of {domain} has a {role} without a part in bookings"
-        )
+        raise LookupError(f"no slot of {domain} has a {role} that bookings don't need")
 
     async def read_runs(self, request: str = "") -> list[dict[str, object]]:
         query = f"request={request}" if request else ""
         return await asyncio.to_thread(self.deployment.get_runs, query)
 
     async def set_servers(self, service: str, **fault: object) -> None:
-        """Set a fault of all running servers of a service."""
+        """Set a fault at all running servers of a service."""
         for vm in self.deployment.find_vms(service):
             if vm.server.running:
                 await self.set_server(vm, **fault)
 
     async def set_server(self, vm: VM, **fault: object) -> None:
-        """Set a fault of one server, once it listens."""
+        """Set a fault at one server as soon as its admin listener answers."""
         deadline = time.monotonic() + SERVER_START_TIMEOUT_S
         while True:
             try:
@@ -261,10 +262,10 @@
                 await asyncio.sleep(0.1)
 
     async def wait_for_run(
-        self, request: str, service: str, outcomes: tuple[str, ...], limit_s: float
+        self, request: str, service: str, outcomes: tuple[str, ...], timeout_s: float
     ) -> VM | None:
-        """Return the VM whose server is at work on a request, per the journal."""
-        deadline = time.monotonic() + limit_s
+        """Return the VM whose server runs or ran a request according to the journal."""
+        deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             for run in await self.read_runs(request):
                 if run["service"] == service and run["outcome"] in outcomes:
@@ -275,4 +276,4 @@
 
 def _check_deadline(deadline: float, what: str) -> None:
     if time.monotonic() > deadline:
-        raise TimeoutError(f"not well in time: {what}")
+        raise TimeoutError(f"not ready before the deadline: {what}")
