--- a/tests/model/__main__.py
+++ b/tests/model/__main__.py
@@ -20,8 +20,8 @@
         seconds = time.monotonic() - start_s
         failures += not result.passed
         total += result.states
-        word = "ok  " if result.passed else "FAIL"
-        print(f"{word} {case.name}: {result.detail}, ", end="")
+        status = "ok  " if result.passed else "FAIL"
+        print(f"{status} {case.name}: {result.detail}, ", end="")
         print(f"{result.states} states, {seconds:.1f} s", flush=True)
     print(
         f"{len(ALL_CASES) - failures} of {len(ALL_CASES)} as expected, {total} states"
--- a/tests/model/cases.py
+++ b/tests/model/cases.py
@@ -1,19 +1,19 @@
-"""What the model checker is run on, and what it must say."""
+"""Cases of the model checker for the configuration, with the expected results."""
 
 from __future__ import annotations
 
 from attrs import field, frozen
 
-CONFIG = "config.pml"
+CONFIG_MODEL = "config.pml"
 
 
 @frozen
 class Case:
     """One run of the checker.
 
-    ``defines`` are the bounds and mistakes of the run, ``small`` the bounds that
-    take their place in the short run. If ``mistake`` is set the checker must find
-    a counterexample that breaks the assertion with this text in it.
+    ``defines`` are the bounds and mistakes of the run; ``small`` replaces them in the
+    short run. If ``mistake`` is set, the checker must find a counterexample that
+    violates the assertion containing this text.
     """
 
     name: str
@@ -23,7 +23,7 @@
     mistake: str = ""
 
 
-def bound(
+def make_bounds(
     records: int,
     publishes: int,
     rewrites: int,
@@ -42,58 +42,66 @@
     )
 
 
-def seed_mistake(name: str, breaks: str, bounds: tuple[str, ...], *more: str) -> Case:
-    """Return the case of one mistake, which must break an assertion."""
+def make_mistake_case(
+    name: str, assertion: str, bounds: tuple[str, ...], *more: str
+) -> Case:
+    """Return the case of a seeded mistake, which must violate the assertion."""
     title = "config: mistake " + name.lower().replace("_", " ")
-    return Case(title, CONFIG, (f"MISTAKE_{name}", *bounds, *more), mistake=breaks)
+    return Case(
+        title, CONFIG_MODEL, (f"MISTAKE_{name}", *bounds, *more), mistake=assertion
+    )
 
 
-_EXACT = "true_version[node[me].next]"
-_NEVER_DOWN = "answer_version>node[me].board"
-_TOLD = "accepted==told_true"
-_FRESH = "fresh_exact"
-_BOUNDED = "BOUNDED_RETENTION"
+_EXACT_VERSION = "true_version[node[me].next]"
+_VERSION_INCREASES = "answer_version>node[me].board"
+_CORRECT_ANSWER = "accepted==told_true"
+_NEW_READER_EXACT = "fresh_exact"
+_BOUNDED_RETENTION = "BOUNDED_RETENTION"
 
-CASES = (
+CONFIG_CASES = (
     Case(
-        "config: operators at once, lost answers and late copies",
-        CONFIG,
-        bound(5, 3, 1, late=1),
-        bound(4, 2, 0, late=1),
+        "config: concurrent operators, lost answers and late copies",
+        CONFIG_MODEL,
+        make_bounds(5, 3, 1, late=1),
+        make_bounds(4, 2, 0, late=1),
     ),
     Case(
         "config: rewrites, dropped records and restarts",
-        CONFIG,
-        bound(5, 3, 2, restarts=1),
-        bound(4, 2, 1, restarts=1),
+        CONFIG_MODEL,
+        make_bounds(5, 3, 2, restarts=1),
+        make_bounds(4, 2, 1, restarts=1),
     ),
     Case(
         "config: versions from other nodes",
-        CONFIG,
-        bound(5, 3, 1, answers=2),
-        bound(3, 2, 1, answers=1),
+        CONFIG_MODEL,
+        make_bounds(5, 3, 1, answers=2),
+        make_bounds(3, 2, 1, answers=1),
     ),
     Case(
         "config: three nodes",
-        CONFIG,
-        (*bound(4, 2, 1, restarts=1), "NODES=3"),
-        (*bound(3, 2, 1), "NODES=3"),
+        CONFIG_MODEL,
+        (*make_bounds(4, 2, 1, restarts=1), "NODES=3"),
+        (*make_bounds(3, 2, 1), "NODES=3"),
     ),
     Case(
-        "config: whoever begins now learns the version in force",
-        CONFIG,
-        (*bound(6, 3, 3), _BOUNDED),
-        (*bound(4, 2, 2), _BOUNDED),
+        "config: a new reader learns the version in force",
+        CONFIG_MODEL,
+        (*make_bounds(6, 3, 3), _BOUNDED_RETENTION),
+        (*make_bounds(4, 2, 2), _BOUNDED_RETENTION),
+    ),
+    make_mistake_case("NO_BASE_CHECK", _EXACT_VERSION, make_bounds(3, 2, 0)),
+    make_mistake_case("TRUST_REWRITE", _EXACT_VERSION, make_bounds(3, 2, 1)),
+    make_mistake_case("NO_REPLAY", _EXACT_VERSION, make_bounds(3, 2, 1, restarts=1)),
+    make_mistake_case("REWRITE_WINS", _EXACT_VERSION, make_bounds(3, 2, 1)),
+    make_mistake_case("IGNORE_GAP", _EXACT_VERSION, make_bounds(3, 2, 0)),
+    make_mistake_case("TRUST_PEER", _EXACT_VERSION, make_bounds(3, 2, 0, answers=1)),
+    make_mistake_case("GO_DOWN", _VERSION_INCREASES, make_bounds(3, 2, 0, answers=1)),
+    make_mistake_case("LAST_COPY", _CORRECT_ANSWER, make_bounds(3, 2, 0, late=1)),
+    make_mistake_case("ANSWER_IS_ACCEPTANCE", _CORRECT_ANSWER, make_bounds(3, 2, 0)),
+    make_mistake_case(
+        "SILENCE_IS_REFUSAL", _CORRECT_ANSWER, make_bounds(3, 2, 0, late=1)
+    ),
+    make_mistake_case(
+        "ANY_ANCHOR", _NEW_READER_EXACT, make_bounds(4, 2, 2), _BOUNDED_RETENTION
     ),
-    seed_mistake("NO_BASE_CHECK", _EXACT, bound(3, 2, 0)),
-    seed_mistake("TRUST_REWRITE", _EXACT, bound(3, 2, 1)),
-    seed_mistake("NO_REPLAY", _EXACT, bound(3, 2, 1, restarts=1)),
-    seed_mistake("REWRITE_WINS", _EXACT, bound(3, 2, 1)),
-    seed_mistake("IGNORE_GAP", _EXACT, bound(3, 2, 0)),
-    seed_mistake("TRUST_PEER", _EXACT, bound(3, 2, 0, answers=1)),
-    seed_mistake("GO_DOWN", _NEVER_DOWN, bound(3, 2, 0, answers=1)),
-    seed_mistake("LAST_COPY", _TOLD, bound(3, 2, 0, late=1)),
-    seed_mistake("ANSWER_IS_ACCEPTANCE", _TOLD, bound(3, 2, 0)),
-    seed_mistake("SILENCE_IS_REFUSAL", _TOLD, bound(3, 2, 0, late=1)),
-    seed_mistake("ANY_ANCHOR", _FRESH, bound(4, 2, 2), _BOUNDED),
 )
--- a/tests/model/checker.py
+++ b/tests/model/checker.py
@@ -12,7 +12,7 @@
 
 from tests.model.cases import Case
 
-MISSING = (
+MISSING_PROGRAM = (
     "the model checker is missing: install {} (Debian: apt-get install spin gcc); "
     "the model is not checked without it"
 )
@@ -20,8 +20,8 @@
 _PROGRAMS = ("spin", "gcc")
 _DIRECTORY = Path(__file__).parent
 _COMPILER_FLAGS = ("-w", "-DSAFETY", "-DCOLLAPSE", "-DVECTORSZ=4096")
-_MEMORY_MB = 6000
-_DEPTH = 1_000_000
+_MAX_MEMORY_MB = 6000
+_MAX_DEPTH = 1_000_000
 _STATES = re.compile(r"(\d+) states, stored")
 _ERRORS = re.compile(r"errors: (\d+)")
 _VIOLATED = re.compile(r"assertion violated (.*) \(at depth")
@@ -30,7 +30,7 @@
 
 @frozen
 class CheckResult:
-    """What the checker said of a case, and whether that is what was expected."""
+    """The result of a case, and whether it is the expected one."""
 
     case: Case
     passed: bool
@@ -39,24 +39,24 @@
 
 
 def check_case(case: Case, small: bool) -> CheckResult:
-    """Check a case exhaustively within its bounds, or within its small ones."""
-    missing = find_missing()
+    """Check a case exhaustively within its bounds or its small bounds."""
+    missing = find_missing_program()
     if missing:
-        return CheckResult(case, False, 0, MISSING.format(missing))
+        return CheckResult(case, False, 0, MISSING_PROGRAM.format(missing))
     defines = case.small if small and case.small else case.defines
     with tempfile.TemporaryDirectory() as directory:
         optimise = "-O0" if small or case.mistake else "-O2"
         output = _run_checker(case.file, defines, optimise, Path(directory))
-    return judge_output(case, output)
+    return evaluate_output(case, output)
 
 
-def find_missing() -> str:
-    """Return a program that the checker needs and that is missing, or an empty text."""
+def find_missing_program() -> str:
+    """Return a required program that is not installed, or an empty string."""
     return next((name for name in _PROGRAMS if shutil.which(name) is None), "")
 
 
-def judge_output(case: Case, output: str) -> CheckResult:
-    """Compare what the checker printed with what the case expects."""
+def evaluate_output(case: Case, output: str) -> CheckResult:
+    """Compare the output of the checker with the expectation of the case."""
     states, errors = _STATES.search(output), _ERRORS.search(output)
     if not states or not errors:
         return CheckResult(case, False, 0, f"the checker failed: {output[-2000:]}")
@@ -69,7 +69,7 @@
         return CheckResult(case, False, count, f"no such counterexample: {what}")
     if int(errors[1]):
         what = violated[1] if violated else output[-2000:]
-        return CheckResult(case, False, count, f"a property is broken: {what}")
+        return CheckResult(case, False, count, f"a property is violated: {what}")
     if any(sign in output for sign in _INCOMPLETE):
         return CheckResult(case, False, count, "the search was not complete")
     return CheckResult(case, True, count, "holds")
@@ -80,18 +80,18 @@
 ) -> str:
     shutil.copy(_DIRECTORY / file, directory)
     flags = [f"-D{define}" for define in defines]
-    limit = f"-DMEMLIM={_MEMORY_MB}"
+    limit = f"-DMEMLIM={_MAX_MEMORY_MB}"
     steps = (
         ("spin", *flags, "-a", file),
         ("gcc", optimise, *_COMPILER_FLAGS, limit, "-o", "pan", "pan.c"),
-        ("./pan", f"-m{_DEPTH}"),
+        ("./pan", f"-m{_MAX_DEPTH}"),
     )
     output = ""
     for step in steps:
-        done = subprocess.run(
+        process = subprocess.run(
             step, cwd=directory, capture_output=True, text=True, check=False
         )
-        output += done.stdout + done.stderr
-        if done.returncode:
+        output += process.stdout + process.stderr
+        if process.returncode:
             break
     return output
--- a/tests/model/config.pml
+++ b/tests/model/config.pml
@@ -1,10 +1,9 @@
 /*
- * The configuration: publishes and rewrites on the log, its retention, and nodes
- * that read it from wherever it begins and hear from one another.
+ * Model of the configuration: publishes and rewrites on the log, retention of the
+ * log, and nodes that read the retained records and receive versions from peers.
  *
- * docs/internals/model.rst names the function that each step stands for. The
- * bounds are set with -D; -DMISTAKE_... puts one mistake in, which the checker
- * must then find.
+ * docs/internals/model.rst lists the function for each step. The bounds are set
+ * with -D; -DMISTAKE_... seeds one mistake, which the checker must find.
  */
 
 #ifndef NODES
@@ -35,11 +34,11 @@
 #define PUBLISH 1
 #define REWRITE 2
 
-/* a text is named by the number of the publish that brought it */
+/* a text is represented by the number of the publish that contains it */
 typedef Record {
   byte kind;
   byte version; /* of a publish: the version it is based on */
-  byte through; /* of a publish: where its author stood, not on the log */
+  byte through; /* of a publish: where its author had read to; not on the log */
   byte text;
 }
 
@@ -59,10 +58,10 @@
 byte first = 0;
 
 Node node[NODES];
-Record out[NODES]; /* made but not yet appended: its author may be paused */
-Record late;       /* sent without an answer, and still on its way */
+Record out[NODES]; /* created but not yet appended: the author may be paused */
+Record late;       /* sent without an answer, and still in transit */
 
-/* one answer between nodes, on its way */
+/* one answer between nodes, in transit */
 byte answer_to = NONE;
 byte answer_version;
 byte answer_text;
@@ -74,22 +73,22 @@
 byte lates = 0;
 byte answers = 0;
 
-/* what is true, for the properties only */
+/* true state, used by the properties only */
 byte true_version[RECORDS + 1];
 byte true_text[RECORDS + 1];
 byte accepted_text[PUBLISHES + 1];
-byte anchor = 0; /* the newest place that a reader may begin at for good */
+byte anchor = 0; /* the newest offset from which a new reader can learn the state */
 
 hidden byte scan;
 hidden byte fresh_version;
 hidden byte fresh_text;
-hidden byte fresh_exact; /* the rest of these are conditions */
+hidden byte fresh_exact; /* the variables from here on are conditions, except count */
 hidden byte found;
 hidden byte accepted;
 hidden byte told_true;
 hidden byte count;
 
-/* one publish at an exact reader */
+/* an exact reader applies one record */
 inline decide(in_force, in_text, at) {
   if
 #ifdef MISTAKE_NO_BASE_CHECK
@@ -108,12 +107,12 @@
   fi
 }
 
-/* an inexact reader that has read from start to end learns the state at through */
+/* an inexact reader, having read since..until, learns the state at offset kept */
 inline begin(in_force, in_text, known_version, known_text, since, kept, until) {
   in_force = known_version;
   in_text = known_text;
 #ifndef MISTAKE_NO_REPLAY
-  scan = (since > kept -> since : kept); /* older ones were never read */
+  scan = (since > kept -> since : kept); /* earlier records were never read */
   do
   :: scan < until -> decide(in_force, in_text, scan); scan++
   :: else -> break
@@ -137,10 +136,10 @@
 #else
   :: new_version > node[i].board ->
 #endif
-    assert(new_version > node[i].board); /* never down */
+    assert(new_version > node[i].board); /* the version never decreases */
     node[i].board = new_version;
     node[i].board_text = new_text;
-    assert(accepted_text[new_version] == new_text) /* only what was accepted */
+    assert(accepted_text[new_version] == new_text) /* only accepted texts */
   :: else
   fi
 }
@@ -151,7 +150,7 @@
      node[i].text == true_text[node[i].next]))
 }
 
-/* a reader that begins now and reads all that is kept knows what is in force */
+/* a new reader of all retained records knows the version in force */
 inline check_fresh() {
 #ifdef BOUNDED_RETENTION
   fresh_exact = (first == 0);
@@ -250,12 +249,12 @@
   fi
 }
 
-/* the author of a publish reads on from where it stood */
+/* the author of a publish reads on from the offset that it had reached */
 inline settle(i) {
   found = false;
   accepted = false;
   if
-  :: first > out[i].through -> found = true /* dropped: not known, nothing said */
+  :: first > out[i].through -> found = true /* record dropped: outcome unknown, none reported */
   :: else ->
     count = out[i].version;
     scan = out[i].through;
@@ -287,7 +286,7 @@
     found = true;
 #endif
     if
-    :: found -> /* told: accepted or lost */
+    :: found -> /* outcome reported: accepted or rejected */
       was_accepted(out[i].text);
       assert(accepted == told_true)
     :: else
@@ -297,12 +296,12 @@
   accepted = false;
   if
   :: found -> clear(out[i]); node[i].sent = false
-  :: else -> node[i].sent = false /* not there: send it again */
+  :: else -> node[i].sent = false /* not on the log: retry */
   fi;
   found = false
 }
 
-/* whether a text was ever accepted, or still may be */
+/* whether a text was accepted, or will be when the late record arrives */
 inline was_accepted(wanted) {
   told_true = false;
   count = 1;
@@ -377,7 +376,7 @@
   do
   :: d_step { node[me].next < tail || first > node[me].next -> read_one(me) }
 
-  /* an operator publishes here, on top of what this node has */
+  /* an operator publishes at this node, based on its current version */
   :: d_step { node[me].exact && node[me].version == node[me].board &&
               out[me].kind == NOTHING && publishes < PUBLISHES ->
       publishes++;
@@ -387,7 +386,7 @@
       out[me].text = publishes
     }
 
-  /* this node writes the version in force again */
+  /* this node rewrites the version in force */
   :: d_step { node[me].exact && node[me].version > 0 &&
               out[me].kind == NOTHING && rewrites < REWRITES ->
       rewrites++;
@@ -446,7 +445,7 @@
   do
   :: d_step { late.kind != NOTHING && tail < RECORDS -> append(late); clear(late) }
 #ifdef BOUNDED_RETENTION
-  /* the newest good rewrite is kept */
+  /* the newest usable rewrite is retained */
   :: d_step { first < anchor -> first++; check_fresh() }
 #else
   :: d_step { first < tail -> first++ }
--- a/tests/model/keys.pml
+++ b/tests/model/keys.pml
@@ -1,31 +1,31 @@
-/* At most one run for each key: one slot, one key, three nodes.
+/* Model of at most one run per key: one slot, one key, three nodes.
  *
- * A node that is frozen, slow or dead is one whose steps do not happen, so
- * neither needs a step of its own. Suspicions are not modelled either: each
- * node may propose a new view at any time. Messages may be lost, delayed and
- * reordered. Proposals reach the log at any time later, or never.
+ * A frozen, slow or dead node takes no steps, so these states are not modelled
+ * separately. Suspicions are not modelled either: each node may propose a new
+ * view at any time. Messages may be lost, delayed and reordered. Proposals reach
+ * the log at any later time, or never.
  */
 
 #ifndef VIEWS
-#define VIEWS 3		/* accepted views, the first one included */
+#define VIEWS 3		/* accepted views, including the first */
 #endif
 #ifndef SENDINGS
-#define SENDINGS 2	/* sendings of the key by its caller */
+#define SENDINGS 2	/* attempts of the key by the client */
 #endif
 #ifndef MESSAGES
-#define MESSAGES 2	/* messages on their way at once */
+#define MESSAGES 2	/* messages in transit at the same time */
 #endif
 #ifndef PROPOSALS
-#define PROPOSALS 1	/* proposals on their way to the log at once */
+#define PROPOSALS 1	/* proposals in transit to the log at the same time */
 #endif
 #ifndef TRIES
-#define TRIES 2		/* proposals ever written */
+#define TRIES 2		/* proposals written in total */
 #endif
 
 #define NODES 3
 #define NOBODY 3
 
-/* what a node's table has on the key */
+/* state of the key in a node's table */
 #define NONE 0
 #define MARKED 1
 #define RUNNING 2
@@ -47,8 +47,8 @@
 	bool stalled; bool lone;
 	byte stage; byte mark; byte runner;
 	bool ran;		/* the run has reached the backend server */
-	bool seen;		/* it had run when the present sending arrived */
-	byte full_asked;	/* the number of the question, while it is open */
+	bool seen;		/* the key had run when the current attempt arrived */
+	byte full_asked;	/* number of the open view check, 0 if none */
 };
 typedef Message { byte kind; byte from; byte to; byte version; byte stage; byte mark; byte runner };
 typedef Proposal { bool used; byte base; byte primary; byte backup; bool lost };
@@ -151,7 +151,7 @@
 	tries++
 }
 
-/* how a mark is told to be void: the call was not run under it */
+/* frees a mark: the call was not run under it */
 inline give_up(n)
 {
 	find_other(n);
@@ -201,7 +201,7 @@
 	if
 	:: message[x].kind == MARK && fits(n, x) && (node[n].synced || ANY_VERSION) && node[n].stage != RUNNING ->
 		if
-		:: message[x].stage == NONE	/* only asks whether the view holds */
+		:: message[x].stage == NONE	/* only checks whether the view is current */
 		:: message[x].stage != NONE && (node[n].stage == NONE || node[n].runner != message[x].from || node[n].mark < message[x].mark) ->
 			node[n].stage = ELSEWHERE; node[n].mark = message[x].mark;
 			node[n].runner = message[x].from
@@ -214,7 +214,7 @@
 		node[n].mark == message[x].mark ->
 		if
 		:: (node[n].version == message[x].version && !node[n].stalled || ANY_VERSION) -> node[n].stage = RUNNING
-		:: else -> give_up(n)	/* the code marks anew; so does a repeat */
+		:: else -> give_up(n)	/* the code sends a new mark; here a retry does */
 		fi;
 		clear(x)
 	:: message[x].kind == ACK && message[x].stage == NONE ->
@@ -265,7 +265,7 @@
 proctype Runs(byte n)
 {
 end:	do
-	/* Owner.run: a sending arrives at a node that takes itself for the primary */
+	/* Owner.run: an attempt arrives at a node that regards itself as the primary */
 	:: atomic { sent < SENDINGS && !retired && is_primary(n) && node[n].stage == NONE &&
 		node[n].synced && !waiting(n) && !node[n].stalled && !node[n].full_asked ->
 		sent++;
@@ -290,7 +290,7 @@
 			send(MARK, n, partner(n), NONE, marks, n)
 #endif
 		fi }
-	/* a repeat that meets a run under way joins it */
+	/* a retry during a run joins the run */
 	:: atomic { sent < SENDINGS && !retired && is_primary(n) && !node[n].seen &&
 		(node[n].stage == MARKED || node[n].stage == RUNNING) && runs > 0 && !node[n].ran ->
 		sent++; node[n].seen = 1 }
@@ -306,7 +306,7 @@
 #endif
 		}
 	:: atomic { node[n].full_asked -> node[n].full_asked = 0; node[n].seen = 0 }
-	/* the run: the backend server answers, or certainly did nothing */
+	/* the run: the backend server answers, or certainly did not run the call */
 	:: atomic { node[n].stage == RUNNING && !node[n].ran ->
 		if
 		:: runs++; node[n].ran = 1; assert(runs <= 1)
@@ -330,7 +330,7 @@
 		send(COPY, n, partner(n), node[n].stage, node[n].mark, node[n].runner)
 #endif
 		}
-	/* Follower.ask_peer: a view that another node has heard of */
+	/* Follower.ask_peer: a view that another node has received */
 	:: atomic { !node[n].stalled && node[n].version < current ->
 		v = node[n].version + 1;
 		adopt(n, v) }
@@ -363,8 +363,8 @@
 	:: atomic { can_propose && !is_primary(n) && !is_backup(n) ->
 		v = node[n].version;
 		propose(v, n, NOBODY, 1) }
-	/* one key window has passed since a lost view was adopted: by then the key is
-	 * not repeated any more, and a node that has not heard of the view stood still */
+	/* one key window has passed since a lost view was adopted: the key is not
+	 * retried any more, and a node that has not received the view was stalled */
 	:: atomic { is_primary(n) && waiting(n) ->
 		node[n].opened = 1;
 		if :: sent > 0 -> retired = 1 :: else fi;
@@ -373,8 +373,8 @@
 		:: x < NODES ->
 			if
 			:: node[x].version < node[n].version ->
-				/* a pair that has not heard by now has stood still; a primary
-				 * without a backup may also have been cut off */
+				/* a pair that has not received the view by now was stalled; a
+				 * primary without a backup may also have been partitioned */
 				node[x].lone = 0;
 #ifndef MISTAKE_NO_GUARD
 				if :: partner(x) != NOBODY -> node[x].stalled = 1 :: else fi
--- a/tests/model/quotas.pml
+++ b/tests/model/quotas.pml
@@ -1,10 +1,11 @@
 /*
- * A quota that holders hand out in parts: nodes lend their part to one holder at a
- * time, and holders borrow from each other over frames that are lost, late or doubled.
+ * Model of a quota that allocators (here: holders) grant in parts. Each node lends its
+ * part to one allocator at a time; allocators borrow from each other over frames that
+ * may be lost, late or duplicated.
  *
- * Each node's part brings one request a tick. docs/internals/model-quotas.rst names the
- * function that each step stands for. The bounds are set with -D; -DMISTAKE_... puts
- * one mistake in, which the checker must then find.
+ * The part of each node refills by one request per tick. docs/internals/model-quotas.rst
+ * lists the function for each step. The bounds are set with -D; -DMISTAKE_... seeds
+ * one mistake, which the checker must find.
  */
 
 #ifndef HOLDERS
@@ -28,7 +29,7 @@
 
 #define NONE 255
 
-/* a loan on its way; it may be doubled, and come late */
+/* a loan in transit; it may be duplicated or late */
 typedef Loan {
   byte to;
   byte number;
@@ -36,12 +37,12 @@
 }
 
 typedef Lender {
-  byte holder;           /* to which the node lends its part */
-  bool counted[HOLDERS]; /* where it is counted, also until its lease has ended */
+  byte holder;           /* the allocator that the node lends its part to */
+  bool counted[HOLDERS]; /* allocators that count the part until its lease ends */
 }
 
 byte level[HOLDERS];
-byte open_number[HOLDERS]; /* of the question that a holder waits for an answer to */
+byte open_number[HOLDERS]; /* number of the allocator's open loan request */
 Lender node[NODES];
 Loan loan;
 Loan copy;
@@ -52,11 +53,11 @@
 byte restarts = 0;
 byte borrows = 0;
 
-/* what is true, for the properties only */
-byte issued = 0;  /* requests that the quota has allowed up to now */
+/* true state, used by the properties only */
+byte issued = 0;  /* requests allowed by the quota so far */
 byte handed = 0;
 
-/* while a node changes its holder, the lease of the one before lasts for a tick */
+/* after a node changes its allocator, the previous lease lasts for one tick */
 #define ALLOWED (issued + switches)
 
 inline check() {
@@ -82,7 +83,7 @@
 #ifdef MISTAKE_LEASE_NEVER_ENDS
                 skip
 #else
-                /* its lease ends before the next tick */
+                /* the previous lease ends before the next tick */
                 node[n].counted[h] = false
 #endif
              :: else
@@ -100,7 +101,7 @@
   }
 }
 
-/* a node believes in another holder from now on, and tells only that one */
+/* a node selects another allocator and notifies only the new one */
 inline switch_holder() {
   atomic {
     switches < SWITCHES ->
@@ -124,7 +125,7 @@
   }
 }
 
-/* a holder asks the other, which lowers its own part before it answers */
+/* an allocator requests a loan; the lender reduces its part before it answers */
 inline borrow(i) {
   atomic {
     borrows < BORROWS && open_number[i] == NONE && loan.to == NONE ->
@@ -174,7 +175,7 @@
   atomic { open_number[i] != NONE -> open_number[i] = NONE }
 }
 
-/* it knows nothing of before, and the nodes lend their parts to it again */
+/* a restarted allocator starts without state; nodes lend their parts to it again */
 inline restart(i) {
   atomic {
     restarts < RESTARTS ->
--- a/tests/model/quotas_cases.py
+++ b/tests/model/quotas_cases.py
@@ -1,14 +1,16 @@
-"""What the checker is run on for quotas, and what it must say."""
+"""Cases of the model checker for quotas, with the expected results."""
 
 from __future__ import annotations
 
 from tests.model.cases import Case
 
-QUOTAS = "quotas.pml"
-_BROKEN = "handed<="
+QUOTAS_MODEL = "quotas.pml"
+_WITHIN_QUOTA = "handed<="
 
 
-def bound(ticks: int, switches: int, restarts: int, borrows: int) -> tuple[str, ...]:
+def make_bounds(
+    ticks: int, switches: int, restarts: int, borrows: int
+) -> tuple[str, ...]:
     """Return the defines that bound the model."""
     return (
         f"TICKS={ticks}",
@@ -18,34 +20,36 @@
     )
 
 
-def seed_mistake(name: str, bounds: tuple[str, ...]) -> Case:
-    """Return the case of one mistake, by which more than the quota is handed out."""
+def make_mistake_case(name: str, bounds: tuple[str, ...]) -> Case:
+    """Return the case of a seeded mistake that grants more than the quota."""
     title = "quotas: mistake " + name.lower().replace("_", " ")
-    return Case(title, QUOTAS, (f"MISTAKE_{name}", *bounds), mistake=_BROKEN)
+    return Case(
+        title, QUOTAS_MODEL, (f"MISTAKE_{name}", *bounds), mistake=_WITHIN_QUOTA
+    )
 
 
 QUOTAS_CASES = (
     Case(
-        "quotas: loans that are lost, late or doubled",
-        QUOTAS,
-        bound(4, 0, 0, 4),
-        bound(3, 0, 0, 2),
+        "quotas: lost, late and duplicated loans",
+        QUOTAS_MODEL,
+        make_bounds(4, 0, 0, 4),
+        make_bounds(3, 0, 0, 2),
     ),
     Case(
-        "quotas: nodes that change their holder, and restarts",
-        QUOTAS,
-        bound(4, 3, 2, 2),
-        bound(3, 2, 1, 1),
+        "quotas: nodes that change their allocator, and restarts",
+        QUOTAS_MODEL,
+        make_bounds(4, 3, 2, 2),
+        make_bounds(3, 2, 1, 1),
     ),
     Case(
         "quotas: three nodes",
-        QUOTAS,
-        (*bound(4, 2, 1, 2), "NODES=3"),
-        (*bound(2, 1, 1, 1), "NODES=3"),
+        QUOTAS_MODEL,
+        (*make_bounds(4, 2, 1, 2), "NODES=3"),
+        (*make_bounds(2, 1, 1, 1), "NODES=3"),
     ),
-    seed_mistake("LEND_WITHOUT_LOWERING", bound(2, 0, 0, 1)),
-    seed_mistake("TAKE_ANY_LOAN", bound(2, 0, 0, 1)),
-    seed_mistake("LEND_TO_ALL", bound(3, 0, 0, 0)),
-    seed_mistake("LEASE_NEVER_ENDS", bound(4, 1, 0, 0)),
-    seed_mistake("BEGIN_FULL", bound(1, 0, 1, 0)),
+    make_mistake_case("LEND_WITHOUT_LOWERING", make_bounds(2, 0, 0, 1)),
+    make_mistake_case("TAKE_ANY_LOAN", make_bounds(2, 0, 0, 1)),
+    make_mistake_case("LEND_TO_ALL", make_bounds(3, 0, 0, 0)),
+    make_mistake_case("LEASE_NEVER_ENDS", make_bounds(4, 1, 0, 0)),
+    make_mistake_case("BEGIN_FULL", make_bounds(1, 0, 1, 0)),
 )
--- a/tests/model/test_model.py
+++ b/tests/model/test_model.py
@@ -1,4 +1,4 @@
-"""The models within small bounds, and the judgement of the checker's output."""
+"""Checks the models within small bounds, and the evaluation of Spin's output."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from tests.model.cases import Case
 from tests.model.catalogue import ALL_CASES
-from tests.model.checker import check_case, find_missing, judge_output
+from tests.model.checker import check_case, evaluate_output, find_missing_program
 from tools.model_checker import describe_absence
 
 
 @pytest.mark.parametrize("case", ALL_CASES, ids=lambda case: case.name)
 def test_case(case: Case) -> None:
-    if find_missing() and describe_absence():
+    if find_missing_program() and describe_absence():
         pytest.skip(describe_absence())
     result = check_case(case, small=True)
     assert result.passed, result.detail
@@ -35,6 +35,6 @@
         ("c==d", _BROKEN, False),
     ],
 )
-def test_judgement(mistake: str, output: str, passed: bool) -> None:
+def test_output_is_evaluated(mistake: str, output: str, passed: bool) -> None:
     case = Case("x", "x.pml", (), mistake=mistake)
-    assert judge_output(case, output).passed is passed
+    assert evaluate_output(case, output).passed is passed
