--- a/tests/features/command_line.feature
+++ b/tests/features/command_line.feature
@@ -1,6 +1,5 @@
 Feature: Command line of operators
-  Programs can tell from the exit code how a command ended, and people from what
-  it prints.
+  The exit code tells programs how a command ended; the output tells people.
 
   Scenario: the version
     When the operator runs "version"
@@ -10,8 +9,8 @@
   Scenario: help names the exit code and the flags of a node
     When the operator runs "node --help"
     Then it ends with exit code 0
-    And it complains "--caller_address"
-    And it complains "exit code 2"
+    And it prints on standard error "--caller_address"
+    And it prints on standard error "exit code 2"
 
   Scenario: a misspelt flag
     When the operator runs "status --adnim 127.0.0.1:1"
@@ -21,7 +20,7 @@
     Given a node that does not run
     When the operator runs "status --admin {admin}"
     Then it ends with exit code 3
-    And it complains "check --admin"
+    And it prints on standard error "check --admin"
 
   Scenario: a valid configuration
     Given the file "classes.toml"
@@ -38,7 +37,7 @@
     Then it ends with exit code 0
     And it prints "valid, classes: 1"
 
-  Scenario: every error of a configuration in one go
+  Scenario: all errors of a configuration at once
     Given the file "classes.toml"
       """
       [[class]]
@@ -50,10 +49,10 @@
       """
     When the operator runs "config validate {file}"
     Then it ends with exit code 1
-    And it complains "classes.toml:4: "
-    And it complains "classes.toml:5: "
+    And it prints on standard error "classes.toml:4: "
+    And it prints on standard error "classes.toml:5: "
 
-  Scenario Outline: how a publish ends
+  Scenario Outline: results of a publish
     Given a node whose configuration has version 6
     And it answers a publish with <status> and <body>
     And the file "classes.toml"
@@ -84,15 +83,15 @@
     Then it ends with exit code 0
     And the publish was sent 2 times with the same id
 
-  Scenario: back to an old version
+  Scenario: rollback to an old version
     Given a node whose configuration has version 6
     And it answers a publish with 200 and {"version": 7}
     When the operator runs "config rollback 5 --admin {admin}"
     Then it ends with exit code 0
     And the publish carried the text of version 5
 
-  Scenario: back to a version that is not kept
+  Scenario: rollback to a version that is not retained
     Given a node whose configuration has version 6
     When the operator runs "config rollback 1 --admin {admin}"
     Then it ends with exit code 1
-    And it complains "config history"
+    And it prints on standard error "config history"
--- a/tests/features/deployments.py
+++ b/tests/features/deployments.py
@@ -1,4 +1,4 @@
-"""Small deployments of real processes for features."""
+"""Small deployments of real processes for the features."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 within_ms = 2000
 """
 DOMAINS = ("bowbazar", "sealdah")
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 _BOOKINGS = Plan((("GET", "/proofline/status"),))
-_RETRIES = 8
-_PAUSE_MS = 100.0
+_MAX_RETRIES = 8
+_RETRY_PAUSE_MS = 100.0
 
 
 def make_deployment(relays: bool = False) -> Deployment:
@@ -57,7 +57,7 @@
 
 
 def read_state(admin_address: str) -> dict[str, object]:
-    """Return the state that a node shows."""
+    """Return the state that a node reports on its admin listener."""
     return call_admin(admin_address, "GET", "/state")
 
 
@@ -72,21 +72,21 @@
 
 def wait_until(check: Callable[[], bool], within_s: float, what: str) -> float:
     """Poll until ``check`` holds and return the seconds that it took."""
-    began = time.monotonic()
-    while time.monotonic() - began < within_s:
+    started_s = time.monotonic()
+    while time.monotonic() - started_s < within_s:
         try:
             if check():
-                return time.monotonic() - began
+                return time.monotonic() - started_s
         except OSError:
-            # a node that is starting does not answer yet
+            # a starting node does not answer yet
             pass
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     raise AssertionError(f"not within {within_s} s: {what}")
 
 
 @define
 class Traffic:
-    """A load that runs in a thread of its own beside the steps."""
+    """A load that runs in a separate thread during the steps."""
 
     deployment: Deployment
     seconds: float
@@ -95,12 +95,12 @@
     _thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start to send."""
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def finish(self) -> list[Record]:
-        """Wait for the last request and return what became of each."""
+        """Wait for the last request and return the records of all requests."""
         self._thread.join()
         return self.records
 
@@ -129,9 +129,9 @@
             nodes=tuple(self.deployment.caller_addresses),
             classes=classes,
             phases=(Phase(self.seconds, self.rate),),
-            retries=_RETRIES,
-            pause_ms=_PAUSE_MS,
-            # a machine that is short of processor time is overloaded for a while
+            retries=_MAX_RETRIES,
+            pause_ms=_RETRY_PAUSE_MS,
+            # nodes may reject requests while the machine lacks processor time
             obey_retry_after=True,
         )
         await Caller(load, Client(), self.records.append).run()
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""What behave does around scenarios."""
+"""Hooks that prepare the context of a scenario."""
 
 from __future__ import annotations
 
--- a/tests/features/faults.feature
+++ b/tests/features/faults.feature
@@ -1,11 +1,12 @@
-Feature: What a caller is told holds while things fail
-  Bookings are held at a step of their way through real processes, then a fault comes
-  and the callers send them again through other nodes.  None may run twice, none
-  that was told "not run" may have run, no answer may be partial or another's, and
-  each sending has its answer by its deadline.  The whole matrix is `make matrix`.
+Feature: Answers to clients stay correct during faults
+  Bookings are held at a step of their path through real processes. Then a fault is
+  injected and the clients retry through other nodes. No booking may run twice, none
+  that was answered with "not run" may have run, no answer may be partial or belong to
+  another request, and each attempt must be answered by its deadline. `make matrix` runs
+  the whole matrix.
 
   Scenario Outline: <fault> at the step <step>
-    When the fault "<fault>" comes to the step "<step>"
+    When the fault "<fault>" is injected at the step "<step>"
     Then every promise holds
 
     Examples: Kills
@@ -16,7 +17,7 @@
       | run-1   | kill-server |
       | run-2   | kill-node   |
 
-    Examples: Cuts, silence and freezes
+    Examples: Partitions, silence and freezes
       | step   | fault             |
       | entry  | cut-both          |
       | link   | cut-both-reset    |
@@ -24,7 +25,7 @@
       | minter | silent-peers      |
       | minter | freeze-node-short |
 
-    Examples: The log and bad answers
+    Examples: The log and invalid answers
       | step     | fault      |
       | primary  | log-down   |
       | run-0    | wrong-call |
--- a/tests/features/settings.feature
+++ b/tests/features/settings.feature
@@ -1,6 +1,6 @@
 Feature: Settings of a node
-  A node that is started with a wrong setting ends at once and says in one line
-  what to mend.
+  A node that is started with a wrong setting exits at once and names the setting,
+  its value and the allowed values in one line.
 
   Scenario Outline: a wrong setting
     Given the settings of a node
--- a/tests/features/steps/admin.py
+++ b/tests/features/steps/admin.py
@@ -1,4 +1,4 @@
-"""Steps with a fake admin listener, which answers as told."""
+"""Steps with a fake admin listener that gives prepared answers."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def find_closed_address(context):
     probe = socket.socket()
     probe.bind(("127.0.0.1", 0))
-    # bound and not listening: nobody else gets the port during the scenario
+    # bound without listening, so that no other program gets the port
     context.add_cleanup(probe.close)
     context.names["admin"] = f"127.0.0.1:{probe.getsockname()[1]}"
 
--- a/tests/features/steps/deployments.py
+++ b/tests/features/steps/deployments.py
@@ -1,4 +1,4 @@
-"""Steps that run, cut and restart a deployment of real processes."""
+"""Steps that run, partition and restart a deployment of real processes."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     wait_until,
 )
 
-EXIT_WITHIN_S = 30.0
-READY_WITHIN_S = 20.0
-SETTLE_S = 2.0
-OWNERS_S = 6.0
-FIRST_WITHIN_MS = 2000
+NODE_EXIT_TIMEOUT_S = 30.0
+READY_TIMEOUT_S = 20.0
+STARTUP_S = 2.0
+KEY_ASSIGNMENT_S = 6.0
+BASE_WITHIN_MS = 2000
 
 
 @given("a running deployment")
@@ -34,7 +34,7 @@
     _start(context, relays=False)
 
 
-@given("a running deployment with links that can be cut")
+@given("a running deployment with links that can be interrupted")
 def start_deployment_with_relays(context):
     _start(context, relays=True)
 
@@ -45,13 +45,13 @@
     context.add_cleanup(deployment.stop)
     context.deployment = deployment
     context.seen = {}
-    time.sleep(SETTLE_S)
+    time.sleep(STARTUP_S)
 
 
 @given("version {version:d} is published")
 @when("version {version:d} is published")
 def publish_version(context, version):
-    text = CONFIGURATION.format(within_ms=FIRST_WITHIN_MS + version)
+    text = CONFIGURATION.format(within_ms=BASE_WITHIN_MS + version)
     done = context.deployment.publish(text, f"--base={version - 1}")
     assert done.returncode == 0, done.stdout + done.stderr
     _wait_for_version(context, version, 5.0, _find_publishing_domain(context))
@@ -69,7 +69,7 @@
     wait_until(in_force, within_s, f"version {version} in force")
 
 
-@when("two operators publish on version 0 at once")
+@when("two operators publish on version 0 at the same time")
 def publish_twice(context):
     vms = (context.deployment.vms[0], context.deployment.vms[-1])
     context.replies = []
@@ -84,7 +84,7 @@
 
 
 def _post(replies, admin_address, number):
-    text = CONFIGURATION.format(within_ms=FIRST_WITHIN_MS + number)
+    text = CONFIGURATION.format(within_ms=BASE_WITHIN_MS + number)
     request = urllib.request.Request(
         f"http://{admin_address}/config?base=0", text.encode(), method="POST"
     )
@@ -95,11 +95,11 @@
         replies.append((error.code, json.loads(error.read())))
 
 
-@then("one is told that version 1 is accepted and the other what is in force")
+@then("one publish is accepted and the other is rejected as version 1 is in force")
 def check_race(context):
-    won, lost = sorted(context.replies, key=lambda reply: reply[0])
-    assert won == (200, {"version": 1}), context.replies
-    assert (lost[0], lost[1]["in_force"]) == (409, 1), context.replies
+    accepted, rejected = sorted(context.replies, key=lambda reply: reply[0])
+    assert accepted == (200, {"version": 1}), context.replies
+    assert (rejected[0], rejected[1]["in_force"]) == (409, 1), context.replies
 
 
 @then("version {version:d} is in force at every node within {seconds:d} seconds")
@@ -116,20 +116,20 @@
         time.sleep(0.2)
 
 
-@when('failure domain "{domain}" is cut from the log')
-def cut_from_log(context, domain):
+@when('failure domain "{domain}" is disconnected from the log')
+def disconnect_from_log(context, domain):
     context.deployment.cut(domain, "log")
 
 
-@when('failure domain "{domain}" is cut from everything')
-def cut_from_everything(context, domain):
+@when('failure domain "{domain}" is disconnected from everything')
+def disconnect_from_all(context, domain):
     context.deployment.cut(domain, "log")
     for other in DOMAINS:
         if other != domain:
             context.deployment.cut(domain, other)
 
 
-@when("the cuts are healed")
+@when("the links are restored")
 def heal(context):
     context.deployment.heal()
 
@@ -158,49 +158,49 @@
     assert [entry["version"] for entry in versions] == list(range(1, count + 1))
 
 
-@when('the nodes of "{domain}" are killed and started again')
+@when('the nodes of "{domain}" are killed and restarted')
 def restart_domain(context, domain):
     _restart(context, context.deployment.find_vms(failure_domain=domain))
 
 
-@when("all nodes are killed and started again")
+@when("all nodes are killed and restarted")
 def restart_all(context):
     _restart(context, context.deployment.vms)
 
 
 def _restart(context, vms):
-    context.before_restart = max(read_versions(context.deployment))
+    context.old_version = max(read_versions(context.deployment))
     for vm in vms:
         vm.node.kill()
     for vm in vms:
         vm.node.start()
 
 
-@then("no node ever showed an older version after a newer one")
-def check_never_older(context):
+@then("no node ever reports an older version after a newer one")
+def check_no_older_version(context):
     until = time.monotonic() + 2.0
     while time.monotonic() < until:
-        assert set(read_versions(context.deployment)) == {context.before_restart}
+        assert set(read_versions(context.deployment)) == {context.old_version}
         time.sleep(0.2)
 
 
 @when("callers send {rate:d} requests a second for {seconds:d} seconds")
 def start_traffic(context, rate, seconds):
-    # the first owners of keys are chosen when the members have settled
-    time.sleep(OWNERS_S)
+    # time to assign owners to keys
+    time.sleep(KEY_ASSIGNMENT_S)
     context.traffic = Traffic(context.deployment, seconds, rate)
     context.traffic.start()
     time.sleep(1.0)
 
 
-@when("every node is terminated and started again, one after the other")
+@when("every node is terminated and restarted, one after another")
 def restart_gracefully(context):
     context.codes = []
     for vm in context.deployment.vms:
         vm.node.terminate()
-        context.codes.append(vm.node.wait(EXIT_WITHIN_S))
+        context.codes.append(vm.node.wait(NODE_EXIT_TIMEOUT_S))
         vm.node.start()
-        wait_until(lambda vm=vm: _serves(vm), READY_WITHIN_S, f"{vm.name} serves")
+        wait_until(lambda vm=vm: _serves(vm), READY_TIMEOUT_S, f"{vm.name} serves")
 
 
 def _serves(vm):
@@ -216,19 +216,19 @@
 @when("one jobdesk server announces that it drains")
 def drain_server(context):
     vm = context.deployment.find_vms(service="jobdesk")[0]
-    context.drained = vm
+    context.drained_vm = vm
     set_fault(vm.server_admin_address, drain=True)
     context.drained_s = time.monotonic()
 
 
-@then("nothing begins on it later than 2 seconds after that")
+@then("no run starts on it later than 2 seconds after that")
 def check_no_new_work(context):
     context.traffic.finish()
     runs = context.deployment.get_runs()
     late = [
         run
         for run in runs
-        if run["server"] == context.drained.name
+        if run["server"] == context.drained_vm.name
         and run["started"] > context.drained_s + 2.0
     ]
     assert not late, late[:3]
@@ -238,33 +238,33 @@
 def check_complete(context):
     records = context.traffic.finish()
     assert records
-    cut = [record.dump() for record in records if record.outcome != "complete"]
-    assert not cut, f"{len(cut)} of {len(records)}: {cut[:3]}"
+    incomplete = [record.dump() for record in records if record.outcome != "complete"]
+    assert not incomplete, f"{len(incomplete)} of {len(records)}: {incomplete[:3]}"
 
 
-def _is_cut(sending, started):
-    if sending.outcome in ("complete", "refused", "unreached"):
+def _was_interrupted(attempt, started):
+    if attempt.outcome in ("complete", "refused", "unreached"):
         return False
-    # an idle connection may be closed just as its caller sends on it; that is no
-    # request in flight, unless something of it had begun
-    if sending.reason == "closed":
-        return any(start_s < sending.t_end for start_s in started)
+    # A node may close an idle connection while the client sends on it. This
+    # interrupts the request only if one of its runs has started.
+    if attempt.reason == "closed":
+        return any(start_s < attempt.t_end for start_s in started)
     return True
 
 
-@then("no sending was cut off")
-def check_no_cut(context):
+@then("no attempt was interrupted")
+def check_no_interruption(context):
     records = context.traffic.finish()
     started = {}
     for run in context.deployment.get_runs():
         started.setdefault(run["request"], []).append(run["started"])
-    cut = [
-        sending
+    interrupted = [
+        attempt
         for record in records
-        for sending in record.sendings
-        if _is_cut(sending, started.get(sending.request, ()))
+        for attempt in record.sendings
+        if _was_interrupted(attempt, started.get(attempt.request, ()))
     ]
-    assert not cut, f"{len(cut)}: {cut[:3]}"
+    assert not interrupted, f"{len(interrupted)}: {interrupted[:3]}"
 
 
 @then("nothing ran twice")
--- a/tests/features/steps/matrix.py
+++ b/tests/features/steps/matrix.py
@@ -1,4 +1,4 @@
-"""Steps that look up what became of the fixed cells of the fault matrix."""
+"""Steps that look up the results of the fixed cells of the fault matrix."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.matrix.lanes import run_lanes
 from tests.matrix.table import FIXED_CELLS, read_table
 
-LANES = 2
+PARALLEL_LANES = 2
 
 
 @cache
@@ -20,14 +20,14 @@
     ]
     results: dict[tuple[str, str], Result] = {}
 
-    def keep(result: Result) -> None:
+    def store_result(result: Result) -> None:
         results[result.cell.step, result.cell.faults[0]] = result
 
-    run_lanes(cells, "", LANES, keep)
+    run_lanes(cells, "", PARALLEL_LANES, store_result)
     return results
 
 
-@when('the fault "{fault}" comes to the step "{step}"')
+@when('the fault "{fault}" is injected at the step "{step}"')
 def run_cell(context, fault, step):
     context.result = run_fixed_cells()[step, fault]
 
--- a/tests/features/steps/running.py
+++ b/tests/features/steps/running.py
@@ -1,4 +1,4 @@
-"""Steps that run the program as a process of its own."""
+"""Steps that run the program as a separate process."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from behave import given, then, when
 
-LIMIT_S = 60.0
+COMMAND_TIMEOUT_S = 60.0
 
 
-def run_program(context, words):
+def run_program(context, arguments):
     context.result = subprocess.run(
-        [sys.executable, "-m", "eelgrassmount", *words],
+        [sys.executable, "-m", "eelgrassmount", *arguments],
         env={**os.environ, **context.variables},
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=COMMAND_TIMEOUT_S,
         check=False,
     )
 
@@ -78,6 +78,6 @@
     assert text in context.result.stdout, context.result
 
 
-@then('it complains "{text}"')
-def check_complaint(context, text):
+@then('it prints on standard error "{text}"')
+def check_error_output(context, text):
     assert text in context.result.stderr, context.result
