--- a/tests/features/steps/deployments.py
+++ b/tests/features/steps/deployments.py
@@ -184,7 +184,7 @@
         time.sleep(0.2)
 
 
-@when("callers send {rate:d} requests a second for {seconds:d} seconds")
+@when("clients send {rate:d} requests a second for {seconds:d} seconds")
 def start_traffic(context, rate, seconds):
     # time to assign owners to keys
     time.sleep(KEY_ASSIGNMENT_S)
--- a/tests/matrix/crashes.py
+++ b/tests/matrix/crashes.py
@@ -66,10 +66,12 @@
 
 
 CASES = (
-    CrashCase("booking, first service, slowly", "POST", BOOKING, "jobdesk", 1.0),
-    CrashCase("booking, first service, hard", "POST", BOOKING, "jobdesk", 0.0),
-    CrashCase("booking, second service, hard", "POST", BOOKING, "platehouse", 0.0),
-    CrashCase("lookup, hard", "GET", LOOKUP, "ratebook", 0.0),
+    CrashCase("booking, first service, with pauses", "POST", BOOKING, "jobdesk", 1.0),
+    CrashCase("booking, first service, overlapping", "POST", BOOKING, "jobdesk", 0.0),
+    CrashCase(
+        "booking, second service, overlapping", "POST", BOOKING, "platehouse", 0.0
+    ),
+    CrashCase("lookup, overlapping", "GET", LOOKUP, "ratebook", 0.0),
 )
 
 
