--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -91,9 +91,11 @@
         """Wire the gate to a clock of its own."""
         self.timers = TimerService(ManualClock(0.0), self.rng)
         identity = Identity("127.0.0.1:1", "here", "region", "1")
-        board = SharedNodeState(identity)
-        board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-        self.gate = LimitedDispatcher(board, self.timers)
+        shared_state = SharedNodeState(identity)
+        shared_state.server = LocalServer(
+            "proofline", "127.0.0.1:2", ServerState.SERVING
+        )
+        self.gate = LimitedDispatcher(shared_state, self.timers)
         self.timers.schedule(0.0, self.arrive)
         self.timers.subscribe(_CHECK_PERIOD_S, self.check_pending)
 
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -80,7 +80,7 @@
     return Table(
         members,
         services,
-        len(node.base.board.members.summaries),
+        len(node.base.shared_state.members.summaries),
         delegate,
         memory_mb,
         sorted(works, key=lambda work: -work.ms),
@@ -105,7 +105,7 @@
     node.path.announcements.start()
     node.path.probes.start()
     node.shutdown.start(idle)
-    node.base.board.server = LocalServer(SUBJECT, f"{IP}:9", ServerState.SERVING)
+    node.base.shared_state.server = LocalServer(SUBJECT, f"{IP}:9", ServerState.SERVING)
     return node
 
 
@@ -204,7 +204,7 @@
     far = _make_context("far")
     excluded = {
         member.identity.address
-        for member in node.base.board.members.find_serving(SUBJECT)
+        for member in node.base.shared_state.members.find_serving(SUBJECT)
     }
 
     def choose(excluded: set[str]) -> None:
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -91,12 +91,12 @@
         identity = Identity(f"127.0.0.{number}:7000", DOMAIN, "", f"i{number}")
         node = LocalPeers(identity, nodes)
         nodes.append(node)
-        board = SharedNodeState(identity, log_reachable=True)
+        shared_state = SharedNodeState(identity, log_reachable=True)
         document = Document(failure_domains=(DOMAIN,))
-        board.configuration = Configuration(version=1, document=document)
+        shared_state.configuration = Configuration(version=1, document=document)
         timers = TimerService(MonotonicClock(), random.Random(number))
         node.service = KeyService.create(
-            board,
+            shared_state,
             timers,
             node,
             OneRecordLog(nodes),
@@ -106,7 +106,9 @@
     for node in nodes:
         for other in nodes:
             member = Member(other.identity, server_state=ServerState.SERVING)
-            node.service.core.board.members.members[other.identity.address] = member
+            node.service.core.shared_state.members.members[other.identity.address] = (
+                member
+            )
     return nodes
 
 
--- a/benchmarks/member_network.py
+++ b/benchmarks/member_network.py
@@ -63,7 +63,7 @@
 
     identity: Identity
     network: Network
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     membership: Membership = field(init=False)
     frozen: bool = False
@@ -100,8 +100,8 @@
         return not isinstance(reply, PeerFailure)
 
     def serve(self, service: str, state: ServerState = ServerState.SERVING) -> None:
-        self.board.server.service = service
-        self.board.server.state = state
+        self.shared_state.server.service = service
+        self.shared_state.server.state = state
         self.membership.announce_change()
 
     def freeze(self) -> None:
@@ -132,7 +132,7 @@
         return None if reply is None else serialize(reply, _PROTOCOL)
 
     def sees(self, address: str) -> MemberState | None:
-        member = self.board.members.members.get(address)
+        member = self.shared_state.members.members.get(address)
         return None if member is None else member.state
 
 
@@ -168,11 +168,11 @@
     ) -> Node:
         incarnation = f"{self.rng.getrandbits(48):012x}"
         identity = Identity(address, domain, "region-1", incarnation)
-        board = SharedNodeState(identity)
+        shared_state = SharedNodeState(identity)
         timers = TimerService(self.clock, self.rng)
-        node = Node(identity, self, board, timers)
+        node = Node(identity, self, shared_state, timers)
         node.membership = Membership(
-            board,
+            shared_state,
             timers,
             node,
             self.log,
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -99,8 +99,8 @@
     def complete() -> bool:
         wanted = (domains - 1) * services
         return all(
-            len(node.board.members.members) == nodes
-            and len(node.board.members.summaries) == wanted
+            len(node.shared_state.members.members) == nodes
+            and len(node.shared_state.members.summaries) == wanted
             for node in network.nodes.values()
         )
 
@@ -153,7 +153,7 @@
     for step in range(steps):
         node = network.rng.choice(list(network.nodes.values()))
         state = ServerState.DRAINING if step % 2 else ServerState.SERVING
-        node.serve(node.board.server.service, state)
+        node.serve(node.shared_state.server.service, state)
         await network.run(every_s)
 
 
@@ -176,7 +176,7 @@
         for _ in range(runs):
             await network.run(5.0)
             leaving = network.rng.choice(list(network.nodes.values()))
-            service = leaving.board.server.service
+            service = leaving.shared_state.server.service
             leaving.serve(service, ServerState.DRAINING)
             unknown = partial(is_unknown, network, leaving.address, service)
             took.append(await network.run_until(unknown, 30.0))
@@ -191,10 +191,10 @@
 
 
 def knows_as_serving(node: Node, address: str, service: str) -> bool:
-    near = node.board.members.members.get(address)
+    near = node.shared_state.members.members.get(address)
     if near is not None and near.serves:
         return True
-    far = node.board.members.find_summaries(service)
+    far = node.shared_state.members.find_summaries(service)
     return any(address in summary.addresses for summary in far)
 
 
@@ -246,7 +246,7 @@
         took = []
         for run in range(2 * runs):
             node = list(network.nodes.values())[7 * (run // 2) % 36]
-            service = node.board.server.service
+            service = node.shared_state.server.service
             if run % 2:
                 node.serve(service)
             else:
@@ -270,7 +270,7 @@
         def watch() -> bool:
             nonlocal returns, steps, serving
             for node in others:
-                serves = node.board.members.members[victim.address].serves
+                serves = node.shared_state.members.members[victim.address].serves
                 returns += serves and not seen[node.address]
                 seen[node.address] = serves
                 steps += 1
--- a/eelgrassmount/admin/config.py
+++ b/eelgrassmount/admin/config.py
@@ -22,15 +22,15 @@
     body: bytes
 
 
-def show_config(board: SharedNodeState) -> JsonReply:
+def show_config(shared_state: SharedNodeState) -> JsonReply:
     """Answer ``GET /config``: the version in force here, and its text."""
-    own = board.configuration
+    own = shared_state.configuration
     return _reply(
         200,
         {
             "version": own.version,
             "text": own.text,
-            "log_reachable": board.log_reachable,
+            "log_reachable": shared_state.log_reachable,
         },
     )
 
--- a/eelgrassmount/admin/routes.py
+++ b/eelgrassmount/admin/routes.py
@@ -30,7 +30,7 @@
 
 def add_routes(
     listener: AdminListener,
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     gate: ServerDispatcher,
     count_running: Callable[[], int],
     follower: ConfigFollower,
@@ -40,7 +40,7 @@
     """Add every route of the admin interface to its listener."""
 
     async def get_config(request: HttpRequest) -> HttpReply:
-        return _convert(show_config(board))
+        return _convert(show_config(shared_state))
 
     async def get_history(request: HttpRequest) -> HttpReply:
         return _convert(await show_history(follower))
@@ -51,8 +51,8 @@
         request_id = query.get("id", [""])[0]
         return _convert(await publish_config(follower, request.body, base, request_id))
 
-    listener.add("GET", "/state", make_state_handler(board, gate, count_running))
-    listener.add("GET", "/members", make_members_handler(board))
+    listener.add("GET", "/state", make_state_handler(shared_state, gate, count_running))
+    listener.add("GET", "/members", make_members_handler(shared_state))
     listener.add("GET", "/metrics", make_metrics_handler(metrics))
     listener.add("GET", "/config", get_config)
     listener.add("GET", "/config/history", get_history)
--- a/eelgrassmount/admin/state.py
+++ b/eelgrassmount/admin/state.py
@@ -20,7 +20,9 @@
 
 
 def make_state_handler(
-    board: SharedNodeState, gate: ServerDispatcher, count_running: Callable[[], int]
+    shared_state: SharedNodeState,
+    gate: ServerDispatcher,
+    count_running: Callable[[], int],
 ) -> AdminHandler:
     """Return the handler of ``GET /state``."""
 
@@ -29,16 +31,16 @@
         return make_json_reply(
             200,
             {
-                "address": board.identity.address,
-                "failure_domain": board.identity.failure_domain,
-                "region": board.identity.region,
-                "incarnation": board.identity.incarnation,
-                "service": board.server.service,
-                "server_address": board.server.address,
-                "server_state": board.server.state.name.lower(),
-                "drain": board.drain.name.lower(),
-                "config_version": board.configuration.version,
-                "log_reachable": board.log_reachable,
+                "address": shared_state.identity.address,
+                "failure_domain": shared_state.identity.failure_domain,
+                "region": shared_state.identity.region,
+                "incarnation": shared_state.identity.incarnation,
+                "service": shared_state.server.service,
+                "server_address": shared_state.server.address,
+                "server_state": shared_state.server.state.name.lower(),
+                "drain": shared_state.drain.name.lower(),
+                "config_version": shared_state.configuration.version,
+                "log_reachable": shared_state.log_reachable,
                 "threshold": load.threshold,
                 "headroom": load.headroom,
                 "in_flight": count_running(),
@@ -48,11 +50,11 @@
     return show_state
 
 
-def make_members_handler(board: SharedNodeState) -> AdminHandler:
+def make_members_handler(shared_state: SharedNodeState) -> AdminHandler:
     """Return the handler of ``GET /members``."""
 
     async def show_members(request: HttpRequest) -> HttpReply:
-        table = board.members
+        table = shared_state.members
         return make_json_reply(
             200,
             {
--- a/eelgrassmount/calls/admission.py
+++ b/eelgrassmount/calls/admission.py
@@ -25,7 +25,7 @@
     key, which runs a request only if the key has no outcome yet.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     control: LoadControl
     run: Runner
 
@@ -33,7 +33,7 @@
         """Run a root request, or refuse it."""
         request = call.request
         work_class = find_class(
-            self.board.configuration.document, request.method, request.path
+            self.shared_state.configuration.document, request.method, request.path
         )
         if work_class is not None:
             refusal = self.control.admit(
--- a/eelgrassmount/calls/downstream.py
+++ b/eelgrassmount/calls/downstream.py
@@ -31,7 +31,7 @@
     first call and gets the same outcome.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     table: CallTable
     run: Runner
@@ -70,7 +70,7 @@
             context,
             digest=digest,
             idempotent=is_idempotent(
-                self.board.configuration.document, request.method, request.path
+                self.shared_state.configuration.document, request.method, request.path
             ),
         )
         # The call must outlive the server's connection: the server may reconnect and
--- a/eelgrassmount/calls/ingress.py
+++ b/eelgrassmount/calls/ingress.py
@@ -53,7 +53,7 @@
 class Ingress:
     """Classifies callers' requests, sets their deadlines and runs them."""
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     run: Runner
     keys: KeyPort
@@ -66,7 +66,7 @@
         root_id = self.make_id()
         started_s = self.timers.read()
         work_class = find_class(
-            self.board.configuration.document, request.method, request.path
+            self.shared_state.configuration.document, request.method, request.path
         )
         if work_class is None:
             verdict = _refuse(self._find_refusal_reason(), request)
@@ -87,7 +87,7 @@
         record_call(self.metrics, work_class.name, verdict_name, seconds)
 
     def _find_refusal_reason(self) -> Reason:
-        if self.board.configuration.version == 0:
+        if self.shared_state.configuration.version == 0:
             return Reason.NO_CONFIGURATION
         return Reason.NO_ROUTE
 
--- a/eelgrassmount/calls/local.py
+++ b/eelgrassmount/calls/local.py
@@ -44,7 +44,7 @@
 class LocalRunner:
     """Runs each call id once on the local backend server."""
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     table: CallTable
     dispatcher: ServerDispatcher
@@ -107,10 +107,10 @@
         return verdict
 
     def _check(self, call: Call) -> NotRun | None:
-        if call.request.service != self.board.server.service:
+        if call.request.service != self.shared_state.server.service:
             return NotRun(Reason.NO_SERVER)
-        if not self.board.accepts_work:
-            return NotRun(_find_refusal_reason(self.board))
+        if not self.shared_state.accepts_work:
+            return NotRun(_find_refusal_reason(self.shared_state))
         return self.quarantine.check(call.context.digest)
 
     async def _send(self, record: CallRecord) -> Verdict:
@@ -118,7 +118,10 @@
             record.started = True
 
         verdict = await self.client.send(
-            self.board.server.address, record.call, record.attempts_left, mark_started
+            self.shared_state.server.address,
+            record.call,
+            record.attempts_left,
+            mark_started,
         )
         self._record_outcome(record.call.context, verdict)
         return verdict
@@ -154,10 +157,10 @@
                 child.scope.cancel()
 
 
-def _find_refusal_reason(board: SharedNodeState) -> Reason:
-    if board.server.state is ServerState.STARTING:
+def _find_refusal_reason(shared_state: SharedNodeState) -> Reason:
+    if shared_state.server.state is ServerState.STARTING:
         return Reason.SERVER_STARTING
-    if board.server.state is ServerState.ABSENT:
+    if shared_state.server.state is ServerState.ABSENT:
         return Reason.NO_SERVER
     return Reason.DRAINING
 
--- a/eelgrassmount/calls/remote.py
+++ b/eelgrassmount/calls/remote.py
@@ -32,7 +32,7 @@
 class RemoteRunner:
     """Sends calls to other nodes, which run them on their backend servers."""
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     peers: PeerPool
     timers: TimerService
 
@@ -118,7 +118,7 @@
         hello = self.peers.find_hello(failure.address)
         if hello is not None and hello.incarnation != failure.incarnation:
             return True
-        member = self.board.members.members.get(failure.address)
+        member = self.shared_state.members.members.get(failure.address)
         if member is None:
             return False
         return not member.present or member.identity.incarnation != failure.incarnation
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -31,7 +31,7 @@
     """What every part is built on."""
 
     settings: Settings
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     rng: random.Random
     metrics: Metrics
@@ -67,7 +67,7 @@
     )
     return Base(
         settings=settings,
-        board=SharedNodeState(identity),
+        shared_state=SharedNodeState(identity),
         timers=timers,
         rng=rng,
         metrics=metrics,
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -36,7 +36,7 @@
         base.metrics,
     )
     listener = PeerListener(
-        base.board.identity,
+        base.shared_state.identity,
         base.settings.peer_address,
         base.settings.max_frame_bytes,
         {
@@ -57,7 +57,7 @@
     admin = AdminListener(max_body_bytes)
     add_routes(
         admin,
-        base.board,
+        base.shared_state,
         node.path.gate,
         node.path.table.count_running,
         node.follower,
@@ -72,31 +72,31 @@
         max_body_bytes,
         base.metrics,
         node.path.in_flight,
-        lambda: base.board.drain is not DrainStage.RUNNING,
+        lambda: base.shared_state.drain is not DrainStage.RUNNING,
     )
     await serve_http(admin, base.settings.admin_address, base.tasks)
     await serve_http(backend, base.settings.backend_address, base.tasks)
-    await _wait_until_joined(base.board)
+    await _wait_until_joined(base.shared_state)
     server = await serve_http(
         caller, base.settings.caller_address, base.tasks, caller.record_malformed
     )
     node.callers.append(server)
 
 
-async def _wait_until_joined(board: SharedNodeState) -> None:
+async def _wait_until_joined(shared_state: SharedNodeState) -> None:
     """Take no callers before this node can place their requests.
 
     A node that knows no configuration or nobody else after a while may be the
     only one, and takes them all the same.
     """
     with anyio.move_on_after(JOIN_LIMIT_S):
-        while not _has_joined(board):
+        while not _has_joined(shared_state):
             await anyio.sleep(JOIN_POLL_S)
 
 
-def _has_joined(board: SharedNodeState) -> bool:
-    domains = board.configuration.document.failure_domains
-    knows_near = len(board.members.members) > 1
-    knows_far = len(domains) < 2 or bool(board.members.summaries)
-    configured = board.configuration.version > 0 and board.log_reachable
+def _has_joined(shared_state: SharedNodeState) -> bool:
+    domains = shared_state.configuration.document.failure_domains
+    knows_near = len(shared_state.members.members) > 1
+    knows_far = len(domains) < 2 or bool(shared_state.members.summaries)
+    configured = shared_state.configuration.version > 0 and shared_state.log_reachable
     return configured and knows_near and knows_far
--- a/eelgrassmount/compose/main.py
+++ b/eelgrassmount/compose/main.py
@@ -86,9 +86,9 @@
     await listen_to_http(node)
     logger.info(
         "node started",
-        address=base.board.identity.address,
-        failure_domain=base.board.identity.failure_domain,
-        incarnation=base.board.identity.incarnation,
+        address=base.shared_state.identity.address,
+        failure_domain=base.shared_state.identity.failure_domain,
+        incarnation=base.shared_state.identity.incarnation,
     )
 
 
@@ -99,11 +99,13 @@
 
 def _update_gauges(node: Node) -> None:
     metrics = node.base.metrics
-    metrics.config_version.set(node.base.board.configuration.version)
+    metrics.config_version.set(node.base.shared_state.configuration.version)
     metrics.in_flight.set(node.path.gate.in_flight)
     metrics.queued.set(len(node.path.gate.queue))
     metrics.limit.set(node.path.gate.limiter.limit)
     metrics.quarantined.set(node.path.quarantine.count_refused())
-    states = Counter(one.state for one in node.base.board.members.members.values())
+    states = Counter(
+        one.state for one in node.base.shared_state.members.members.values()
+    )
     for state in MemberState:
         metrics.members.labels(state.name.lower()).set(states[state])
--- a/eelgrassmount/compose/node.py
+++ b/eelgrassmount/compose/node.py
@@ -48,13 +48,18 @@
     path = build_path(base, membership.announce_change)
     membership.describe_load = path.gate.describe
     follower = ConfigFollower(
-        base.board, base.timers, base.peers, base.log, base.rng, _name_seeds(settings)
+        base.shared_state,
+        base.timers,
+        base.peers,
+        base.log,
+        base.rng,
+        _name_seeds(settings),
     )
     keys = _build_keys(base, path)
     entry = Ingress(
-        base.board,
+        base.shared_state,
         base.timers,
-        AdmissionRunner(base.board, path.control, path.dispatcher.run),
+        AdmissionRunner(base.shared_state, path.control, path.dispatcher.run),
         keys,
         path.control,
         base.metrics,
@@ -75,7 +80,7 @@
         base.metrics.member_events.labels(count).inc()
 
     return Membership(
-        base.board,
+        base.shared_state,
         base.timers,
         base.peers,
         base.log,
@@ -89,9 +94,9 @@
     def note_event(name: str) -> None:
         base.metrics.key_events.labels(name).inc()
 
-    admitting = AdmissionRunner(base.board, path.control, path.dispatcher.run)
+    admitting = AdmissionRunner(base.shared_state, path.control, path.dispatcher.run)
     return KeyService.create(
-        base.board,
+        base.shared_state,
         base.timers,
         base.peers,
         base.log,
@@ -124,7 +129,7 @@
         await keys.hand_over()
 
     return Shutdown(
-        base.board,
+        base.shared_state,
         base.timers,
         membership.announce_change,
         count_in_flight,
@@ -145,12 +150,12 @@
     """Let versions and suspects ride on the messages of the membership."""
 
     def fill_versions(gossip: Gossip) -> None:
-        gossip.config_version = base.board.configuration.version
+        gossip.config_version = base.shared_state.configuration.version
         gossip.slot_versions = {ALL_SLOTS: keys.find_version()}
 
     def observe_versions(address: str, gossip: Gossip) -> None:
         follower.record_announced_version(address, gossip.config_version or 0)
-        if address in base.board.members.members:
+        if address in base.shared_state.members.members:
             keys.hear_version((gossip.slot_versions or {}).get(ALL_SLOTS, 0), address)
 
     membership.fillers += [fill_versions, path.quarantine.fill]
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -45,17 +45,17 @@
 def build_path(base: Base, note_change: Callable[[], None]) -> Path:
     """Return the parts of the path, wired but not started."""
     table = CallTable()
-    gate = LimitedDispatcher(base.board, base.timers)
-    control = LoadControl(base.board, base.timers)
+    gate = LimitedDispatcher(base.shared_state, base.timers)
+    control = LoadControl(base.shared_state, base.timers)
     quarantine = QuarantineExchange(
-        base.board, base.timers.clock, base.peers, Quarantine(), base.tasks
+        base.shared_state, base.timers.clock, base.peers, Quarantine(), base.tasks
     )
     client = ServerClient(base.timers.clock, base.metrics, base.settings.max_body_bytes)
     announcements = Announcements(
-        base.board, base.timers, note_change, table.count_running
+        base.shared_state, base.timers, note_change, table.count_running
     )
     local = LocalRunner(
-        base.board,
+        base.shared_state,
         base.timers,
         table,
         gate,
@@ -66,18 +66,18 @@
         announcements.remove,
     )
     dispatcher = Dispatcher(
-        base.board.identity.address,
+        base.shared_state.identity.address,
         base.timers,
         control,
         local,
-        RemoteRunner(base.board, base.peers, base.timers),
+        RemoteRunner(base.shared_state, base.peers, base.timers),
         RetryBudget(),
         quarantine,
         base.metrics,
         base.make_id,
     )
     downstream = Downstream(
-        base.board,
+        base.shared_state,
         base.timers,
         table,
         dispatcher.run,
@@ -86,7 +86,7 @@
         control.exchange,
     )
     probes = ServerProbes(
-        client, base.timers, base.tasks, lambda: base.board.server.address
+        client, base.timers, base.tasks, lambda: base.shared_state.server.address
     )
     return Path(
         table=table,
--- a/eelgrassmount/drain/shutdown.py
+++ b/eelgrassmount/drain/shutdown.py
@@ -48,7 +48,7 @@
         report = await shutdown.wait()
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     announce: Callable[[], None]
     count_in_flight: Callable[[], int]
@@ -81,7 +81,7 @@
         """Advance the drain if the conditions for its next step hold."""
         observation = Observation(
             self.timers.read(),
-            self.board.server.state,
+            self.shared_state.server.state,
             self.count_in_flight(),
             self._handed_over,
             self._has_left,
@@ -107,7 +107,7 @@
                 self._finish()
 
     def _set_stage(self, stage: DrainStage) -> None:
-        self.board.drain = stage
+        self.shared_state.drain = stage
         self.announce()
 
     async def _hand_over(self) -> None:
@@ -126,5 +126,5 @@
         if self.drain.timed_out:
             logger.warning("drain limit reached", cut=self.drain.interrupted)
         self._timer.cancel()
-        self.board.drain = DrainStage.DRAINED
+        self.shared_state.drain = DrainStage.DRAINED
         self._drained.set()
--- a/eelgrassmount/edge/announcements.py
+++ b/eelgrassmount/edge/announcements.py
@@ -39,7 +39,7 @@
     ``on_change`` is called when the service, address or state changes.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     on_change: Callable[[], None]
     count_running: Callable[[], int]
@@ -56,7 +56,7 @@
         server = parse_announcement(body, self.timers.read())
         self._update(server)
         return {
-            "incarnation": self.board.identity.incarnation,
+            "incarnation": self.shared_state.identity.incarnation,
             "in_flight": self.count_running(),
         }
 
@@ -65,8 +65,8 @@
         self._update(LocalServer())
 
     def _update(self, server: LocalServer) -> None:
-        previous = self.board.server
-        self.board.server = server
+        previous = self.shared_state.server
+        self.shared_state.server = server
         if (server.service, server.address, server.state) == (
             previous.service,
             previous.address,
@@ -81,7 +81,7 @@
         self.on_change()
 
     def _check(self) -> None:
-        server = self.board.server
+        server = self.shared_state.server
         if server.state is ServerState.ABSENT:
             return
         if self.timers.read() - server.announced_s > ANNOUNCEMENT_TIMEOUT_S:
--- a/eelgrassmount/keys/core.py
+++ b/eelgrassmount/keys/core.py
@@ -57,7 +57,7 @@
 class Core:
     """State and ports of the key service, shared by its parts."""
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     peers: PeerPort
     log: LogService
@@ -85,7 +85,7 @@
     def __attrs_post_init__(self) -> None:
         """Set up empty slots."""
         settings = self.settings
-        self.me = identify_node(self.board.identity)
+        self.me = identify_node(self.shared_state.identity)
         self.budget = Budget(settings.table_size, settings.table_bytes)
         self.holders = [
             SlotHolder(View(slot), Ledger(KeyTable(self.budget)))
@@ -105,7 +105,7 @@
         return self._roster
 
     def _build_roster(self, now_s: float) -> Roster:
-        members = self.board.members.members.values()
+        members = self.shared_state.members.members.values()
         # comparing is far cheaper than building, and mostly nothing has changed
         basis = [
             self.leaving,
--- a/eelgrassmount/keys/follower.py
+++ b/eelgrassmount/keys/follower.py
@@ -65,7 +65,7 @@
     @property
     def stream(self) -> str:
         """The stream of the own failure domain's views."""
-        return f"slots.{self.core.board.identity.failure_domain}"
+        return f"slots.{self.core.shared_state.identity.failure_domain}"
 
     async def catch_up(self, wait_s: float = 0.0) -> bool:
         """Read the stream to its end; tell whether the log answered."""
@@ -98,7 +98,7 @@
     async def ask_peer(self, address: str) -> bool:
         """Take over the views that another node of the failure domain knows."""
         asked_s = self.core.timers.read()
-        domain = self.core.board.identity.failure_domain
+        domain = self.core.shared_state.identity.failure_domain
         digest = compute_digest(holder.view for holder in self.core.holders)
         question = Message(
             slot_question=SlotQuestion(failure_domain=domain, digest=digest)
@@ -127,7 +127,7 @@
 
     async def answer(self, sender: Hello, message: Message) -> Message | None:
         """Answer a question for the views; a stalled node knows none."""
-        domain = self.core.board.identity.failure_domain
+        domain = self.core.shared_state.identity.failure_domain
         views = []
         if not self.core.is_stalled():
             views = [holder.view for holder in self.core.holders if holder.view.version]
--- a/eelgrassmount/keys/minted.py
+++ b/eelgrassmount/keys/minted.py
@@ -67,7 +67,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Choose the secret of this incarnation."""
-        check_identity(self.core.board.identity)
+        check_identity(self.core.shared_state.identity)
         self.ledger = Ledger(KeyTable(self.core.budget))
         self._secret = self.core.rng.randbytes(_SECRET_BYTES)
 
@@ -77,7 +77,7 @@
             return ""
         number = self._next
         self._next += 1
-        return format_minted(self.core.board.identity, number, self._secret)
+        return format_minted(self.core.shared_state.identity, number, self._secret)
 
     def note_checkpoint(self) -> None:
         """Note which numbers are minted by now."""
--- a/eelgrassmount/keys/owner.py
+++ b/eelgrassmount/keys/owner.py
@@ -87,7 +87,7 @@
     def _can_change(self, holder: SlotHolder) -> bool:
         # without the log a dead backup can't be replaced: waiting is no use
         backup_gone = self.core.read_roster().is_gone(holder.view.backup)
-        return self.core.board.log_reachable or not backup_gone
+        return self.core.shared_state.log_reachable or not backup_gone
 
     async def _run_new(self, holder: SlotHolder, call: Call) -> Outcome:
         context = call.context
--- a/eelgrassmount/keys/routes.py
+++ b/eelgrassmount/keys/routes.py
@@ -59,7 +59,7 @@
 
     def _may_ask_again(self, call: Call, started_s: float) -> bool:
         # without the log, no owner is replaced and nothing is to be hoped for
-        if not self.core.board.log_reachable:
+        if not self.core.shared_state.log_reachable:
             return False
         now_s = self.core.timers.read()
         in_time = now_s + ASK_AGAIN_S < call.context.deadline_s
@@ -93,7 +93,7 @@
         return await self.run(call)
 
     async def _run_own(self, key: OwnKey, call: Call) -> Outcome:
-        domains = self.core.board.configuration.document.failure_domains
+        domains = self.core.shared_state.configuration.document.failure_domains
         home = find_home(key.text, key.failure_domain, domains)
         if not domains:
             self.core.count("key-no-configuration")
@@ -101,7 +101,7 @@
         if not home:
             self.core.count("key-malformed")
             return Outcome(NotRun(Reason.KEY_MALFORMED))
-        if home != self.core.board.identity.failure_domain:
+        if home != self.core.shared_state.identity.failure_domain:
             return await self._relay(home, "", call)
         return await self._run_in_slot(self.core.holders[find_slot(key.text)], call)
 
@@ -143,13 +143,13 @@
         if holder.view != tried:
             return True
         gone = self.core.read_roster().is_gone(tried.primary)
-        if gone and not self.core.board.log_reachable:
+        if gone and not self.core.shared_state.log_reachable:
             return False
         await wait_change(holder, min(left_s, RETRY_S))
         return True
 
     async def _run_minted(self, key: MintedKey, call: Call) -> Outcome:
-        identity = self.core.board.identity
+        identity = self.core.shared_state.identity
         if key.incarnation == identity.incarnation:
             return await self.minter.run(key, call)
         if key.failure_domain != identity.failure_domain:
@@ -191,7 +191,7 @@
         return self._refuse_unreachable()
 
     def _find_relays(self, domain: str) -> list[str]:
-        summaries = self.core.board.members.summaries.values()
+        summaries = self.core.shared_state.members.summaries.values()
         addresses = {
             address
             for summary in summaries
--- a/eelgrassmount/keys/service.py
+++ b/eelgrassmount/keys/service.py
@@ -55,7 +55,7 @@
     @classmethod
     def create(
         cls,
-        board: SharedNodeState,
+        shared_state: SharedNodeState,
         timers: TimerService,
         peers: PeerPort,
         log: LogService,
@@ -66,7 +66,7 @@
     ) -> KeyService:
         """Return a service with its parts wired up."""
         settings = settings or KeySettings()
-        core = Core(board, timers, peers, log, run, rng, settings, count)
+        core = Core(shared_state, timers, peers, log, run, rng, settings, count)
         follower = Follower(core)
         owner = Owner(core, follower)
         minter = Minter(core)
--- a/eelgrassmount/load/admission.py
+++ b/eelgrassmount/load/admission.py
@@ -34,7 +34,7 @@
 
 
 def find_bottleneck(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     work_class: WorkClass,
     service: str,
     priority: int,
@@ -45,16 +45,16 @@
     The candidates are the service itself and those that requests of the class use.
     """
     rank = rank_call(work_class.tier, priority)
-    names = {service, *find_services(board.loads, work_class.name)}
+    names = {service, *find_services(shared_state.loads, work_class.name)}
     for name in sorted(names):
-        load = find_load(board.loads, name, now_s)
+        load = find_load(shared_state.loads, name, now_s)
         if load is not None and rank >= load.threshold:
             return name
     return None
 
 
 def admit_at_entry(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     meters: EntryMeters,
     work_class: WorkClass,
     service: str,
@@ -66,9 +66,9 @@
 
     ``priority`` is that of the root request, which all its downstream calls share.
     """
-    bottleneck = find_bottleneck(board, work_class, service, priority, now_s)
+    bottleneck = find_bottleneck(shared_state, work_class, service, priority, now_s)
     if bottleneck is None:
-        for name in {service, *find_services(board.loads, work_class.name)}:
+        for name in {service, *find_services(shared_state.loads, work_class.name)}:
             meters.get_meter(name).record_admitted(now_s)
         return None
     meter = meters.get_meter(bottleneck)
--- a/eelgrassmount/load/control.py
+++ b/eelgrassmount/load/control.py
@@ -41,7 +41,7 @@
     ``choose`` and ``record_end``; ``record_request`` follows each client request.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     exchange: LoadExchange = field(init=False)
     routing: RoutingState = field(init=False)
@@ -50,18 +50,18 @@
 
     def __attrs_post_init__(self) -> None:
         """Subscribe to the timer service."""
-        self.exchange = LoadExchange(self.board.loads)
+        self.exchange = LoadExchange(self.shared_state.loads)
         self.routing = RoutingState(self.timers.read())
         self.timers.subscribe(SHARE_INTERVAL_S, self._adjust_shares)
         self.timers.subscribe(_REFRESH_INTERVAL_S, self._refresh_routing)
         self.timers.subscribe(_EXPIRY_INTERVAL_S, self._drop_expired_loads)
 
     def _adjust_shares(self) -> None:
-        document = self.board.configuration.document
+        document = self.shared_state.configuration.document
         adjust_shares(self.shares, document, self.timers.read())
 
     def _refresh_routing(self) -> None:
-        self.routing.refresh(self.board, self.timers.read())
+        self.routing.refresh(self.shared_state, self.timers.read())
 
     def _drop_expired_loads(self) -> None:
         self.exchange.drop_expired(self.timers.read())
@@ -76,7 +76,7 @@
     ) -> NotRun | None:
         """Decide on a request at its entry node; ``None`` means admitted."""
         return admit_at_entry(
-            self.board,
+            self.shared_state,
             self.entry_meters,
             work_class,
             service,
@@ -95,7 +95,13 @@
         now_s = self.timers.read()
         rank = rank_call(context.tier, context.priority)
         address = choose_server(
-            self.board, self.routing, service, excluded, rank, self.timers.rng, now_s
+            self.shared_state,
+            self.routing,
+            service,
+            excluded,
+            rank,
+            self.timers.rng,
+            now_s,
         )
         if address is not None:
             self.routing.record_start(address, now_s)
@@ -107,7 +113,7 @@
         """Return whether a node that is not excluded would admit a call at once."""
         rank = rank_call(context.tier, context.priority)
         return has_open_server(
-            self.board, self.routing, service, excluded, rank, self.timers.read()
+            self.shared_state, self.routing, service, excluded, rank, self.timers.read()
         )
 
     def record_end(
--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -58,7 +58,7 @@
     server restarts.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     make_limiter: Callable[[float], Limiter] = Limiter
     in_flight: int = 0
@@ -126,9 +126,9 @@
         self._period_counts.ranks.append(waiting.rank)
 
     def _check_server(self) -> NotRun | None:
-        if self.board.drain is not DrainStage.RUNNING:
+        if self.shared_state.drain is not DrainStage.RUNNING:
             return NotRun(Reason.DRAINING)
-        match self.board.server.state:
+        match self.shared_state.server.state:
             case ServerState.SERVING:
                 return None
             case ServerState.STARTING:
@@ -282,7 +282,7 @@
         return too_long and waiting.rank >= self.threshold.threshold
 
     def _follow_server(self, now_s: float) -> None:
-        server = self.board.server
+        server = self.shared_state.server
         if server.state in (ServerState.ABSENT, ServerState.STARTING):
             self._served_address = ""
         elif server.state is ServerState.SERVING:
@@ -310,10 +310,10 @@
     def describe(self) -> ServiceLoad:
         """Return the load that is sent with answers."""
         now_s = self.timers.read()
-        threshold = self.threshold.advertised if self.board.accepts_work else 0
+        threshold = self.threshold.advertised if self.shared_state.accepts_work else 0
         headroom = self.limiter.limit - self.in_flight - len(self.queue)
         return ServiceLoad(
-            service=self.board.server.service,
+            service=self.shared_state.server.service,
             threshold=threshold,
             headroom=max(0, headroom),
             retry_after_s=compute_retry_after(self.admission_meter, now_s),
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -43,7 +43,7 @@
 
 
 def choose_server(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -57,11 +57,11 @@
     headroom, then servers that still admit calls of this ``rank``. ``None`` means that
     no server is known.
     """
-    local = _list_local(board, state, service, excluded, now_s)
+    local = _list_local(shared_state, state, service, excluded, now_s)
     open_local = _select_open(local, rank, min_headroom=1)
     if open_local:
         return _pick(open_local, rng)
-    remote = _list_remote(board, state, service, excluded, now_s)
+    remote = _list_remote(shared_state, state, service, excluded, now_s)
     choices = (
         _select_open(remote, rank, min_headroom=1),
         _select_open(local, rank),
@@ -72,20 +72,25 @@
     for candidates in choices:
         if candidates:
             return _pick(candidates, rng)
-    return _choose_from_held(board, service, excluded, rng)
+    return _choose_from_held(shared_state, service, excluded, rng)
 
 
 def _choose_from_held(
-    board: SharedNodeState, service: str, excluded: Collection[str], rng: random.Random
+    shared_state: SharedNodeState,
+    service: str,
+    excluded: Collection[str],
+    rng: random.Random,
 ) -> str | None:
     # A service without other servers uses the members that are held back.
-    held = [member.identity.address for member in board.members.find_held(service)]
+    held = [
+        member.identity.address for member in shared_state.members.find_held(service)
+    ]
     usable = [address for address in held if address not in excluded]
     return rng.choice(usable) if usable else None
 
 
 def has_open_server(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
@@ -93,8 +98,8 @@
     now_s: float,
 ) -> bool:
     """Return whether a known server has headroom for a call of this rank."""
-    local = _list_local(board, state, service, excluded, now_s)
-    remote = _list_remote(board, state, service, excluded, now_s)
+    local = _list_local(shared_state, state, service, excluded, now_s)
+    remote = _list_remote(shared_state, state, service, excluded, now_s)
     return bool(_select_open([*local, *remote], rank, min_headroom=1))
 
 
@@ -109,45 +114,45 @@
 
 
 def _list_local(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
     reported: dict[str, ServiceLoad] = {}
-    for address in _find_subset(board, state, service, now_s):
-        member = board.members.members.get(address)
+    for address in _find_subset(shared_state, state, service, now_s):
+        member = shared_state.members.members.get(address)
         if member is None or not member.serves or address in excluded:
             continue
         reported[address] = ServiceLoad(
             service, member.threshold, member.headroom, received_s=member.heard_s
         )
-    return _make_candidates(board, state, reported, now_s)
+    return _make_candidates(shared_state, state, reported, now_s)
 
 
 def _find_subset(
-    board: SharedNodeState, state: RoutingState, service: str, now_s: float
+    shared_state: SharedNodeState, state: RoutingState, service: str, now_s: float
 ) -> tuple[str, ...]:
     subset = state.subsets.get(service)
     if subset is None or now_s - subset.chosen_s >= _SUBSET_INTERVAL_S:
-        serving = board.members.find_serving(service)
+        serving = shared_state.members.find_serving(service)
         addresses = [member.identity.address for member in serving]
-        chosen = choose_subset(board.identity.address, addresses)
+        chosen = choose_subset(shared_state.identity.address, addresses)
         subset = state.subsets[service] = Subset(now_s, tuple(chosen))
     return subset.addresses
 
 
 def _list_remote(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     service: str,
     excluded: Collection[str],
     now_s: float,
 ) -> list[Candidate]:
     reported: dict[str, ServiceLoad] = {}
-    for summary in board.members.find_summaries(service):
-        if summary.failure_domain == board.identity.failure_domain:
+    for summary in shared_state.members.find_summaries(service):
+        if summary.failure_domain == shared_state.identity.failure_domain:
             continue
         each = -(-summary.headroom // max(summary.servers, 1))
         for address in summary.addresses:
@@ -155,13 +160,13 @@
                 reported[address] = ServiceLoad(
                     service, summary.threshold, each, received_s=summary.heard_s
                 )
-    chosen = choose_subset(board.identity.address, list(reported))
+    chosen = choose_subset(shared_state.identity.address, list(reported))
     reported = {address: reported[address] for address in chosen}
-    return _make_candidates(board, state, reported, now_s)
+    return _make_candidates(shared_state, state, reported, now_s)
 
 
 def _make_candidates(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     reported: dict[str, ServiceLoad],
     now_s: float,
@@ -170,7 +175,7 @@
     avoided = []
     for address, reported_load in reported.items():
         record = state.find_record(address, now_s)
-        load = _find_latest(board, address, reported_load, now_s)
+        load = _find_latest(shared_state, address, reported_load, now_s)
         candidate = _make_candidate(address, record, load, now_s)
         if should_avoid(record, now_s):
             avoided.append(candidate)
@@ -180,9 +185,9 @@
 
 
 def _find_latest(
-    board: SharedNodeState, address: str, reported: ServiceLoad, now_s: float
+    shared_state: SharedNodeState, address: str, reported: ServiceLoad, now_s: float
 ) -> ServiceLoad:
-    direct = board.loads.by_node.get(address)
+    direct = shared_state.loads.by_node.get(address)
     if direct is None or direct.service != reported.service:
         return reported
     if (
--- a/eelgrassmount/load/servers.py
+++ b/eelgrassmount/load/servers.py
@@ -118,17 +118,17 @@
             )
             record.avoid_until_s = now_s + record.avoidance_s
 
-    def refresh(self, board: SharedNodeState, now_s: float) -> None:
+    def refresh(self, shared_state: SharedNodeState, now_s: float) -> None:
         """Update which servers serve, and drop the records of absent ones.
 
         Called periodically, this distinguishes a server that returns from one that had
         no calls. It covers only services that this node has called.
         """
-        for member in board.members.members.values():
+        for member in shared_state.members.members.values():
             if member.service in self.subsets and member.serves:
                 self.find_record(member.identity.address, now_s)
         for service in self.subsets:
-            for summary in board.members.summaries.find(service):
+            for summary in shared_state.members.summaries.find(service):
                 for address in summary.addresses:
                     self.find_record(address, now_s)
         for address, record in list(self.records.items()):
--- a/eelgrassmount/retry/exchange.py
+++ b/eelgrassmount/retry/exchange.py
@@ -33,7 +33,7 @@
     each remote one. These forward the report within their own failure domain.
     """
 
-    board: SharedNodeState
+    shared_state: SharedNodeState
     clock: Clock
     peers: PeerPort
     quarantine: Quarantine
@@ -77,13 +77,13 @@
         ]
         self.quarantine.clear(_decode(note, now_s) for note in notes if note.cleared)
         suspects = [_decode(note, now_s) for note in notes if not note.cleared]
-        same_domain = address in self.board.members.members
+        same_domain = address in self.shared_state.members.members
         if self.quarantine.merge(suspects, now_s) and not same_domain:
             self._send(self._list_local_nodes())
 
     def _list_local_nodes(self) -> list[str]:
-        local_address = self.board.identity.address
-        members = self.board.members.members.values()
+        local_address = self.shared_state.identity.address
+        members = self.shared_state.members.members.values()
         return [
             member.identity.address
             for member in members
@@ -92,8 +92,8 @@
 
     def _list_remote_nodes(self) -> list[str]:
         by_domain: dict[str, set[str]] = {}
-        for summary in self.board.members.summaries.values():
-            if summary.failure_domain != self.board.identity.failure_domain:
+        for summary in self.shared_state.members.summaries.values():
+            if summary.failure_domain != self.shared_state.identity.failure_domain:
                 nodes = by_domain.setdefault(summary.failure_domain, set())
                 nodes.update(summary.addresses)
         return [
--- a/tests/calls/fakes.py
+++ b/tests/calls/fakes.py
@@ -50,7 +50,7 @@
     return Call(make_context(**changes), request)
 
 
-def make_board() -> SharedNodeState:
+def make_shared_state() -> SharedNodeState:
     return SharedNodeState(Identity(LOCAL, "bowbazar", "kolkata", "first"))
 
 
@@ -131,4 +131,6 @@
 
 def make_quarantine() -> QuarantineExchange:
     """Return the quarantine of a node that knows no other nodes."""
-    return QuarantineExchange(make_board(), ManualClock(), None, Quarantine(), None)
+    return QuarantineExchange(
+        make_shared_state(), ManualClock(), None, Quarantine(), None
+    )
--- a/tests/calls/test_ingress.py
+++ b/tests/calls/test_ingress.py
@@ -16,7 +16,7 @@
 from eelgrassmount.load.control import LoadControl
 from eelgrassmount.metrics import make_metrics
 from eelgrassmount.verdict import Header, MayHaveRun, NotRun, Reason, Verdict
-from tests.calls.fakes import ANSWER, make_board, make_ids, make_timers
+from tests.calls.fakes import ANSWER, make_ids, make_shared_state, make_timers
 
 pytestmark = pytest.mark.anyio
 
@@ -38,16 +38,18 @@
 
 
 def make_ingress(configured: bool = True) -> Ingress:
-    board = make_board()
+    shared_state = make_shared_state()
     if configured:
-        board.configuration = Configuration(1, Document((BOOKING,), ("bowbazar",)))
+        shared_state.configuration = Configuration(
+            1, Document((BOOKING,), ("bowbazar",))
+        )
     timers = make_timers()
     return Ingress(
-        board=board,
+        shared_state=shared_state,
         timers=timers,
         run=FakeKeys().run,
         keys=FakeKeys(),
-        control=LoadControl(board, timers),
+        control=LoadControl(shared_state, timers),
         metrics=make_metrics(),
         make_id=make_ids(),
     )
--- a/tests/calls/test_local.py
+++ b/tests/calls/test_local.py
@@ -20,10 +20,10 @@
 from tests.calls.fakes import (
     ANSWER,
     FakeDispatcher,
-    make_board,
     make_call,
     make_ids,
     make_quarantine,
+    make_shared_state,
     make_timers,
 )
 
@@ -60,16 +60,16 @@
     work: Callable[[Call], Awaitable[Verdict]] = answer,
     dispatcher: FakeDispatcher | None = None,
 ) -> LocalRunner:
-    board = make_board()
-    board.server = LocalServer("jobdesk", "127.0.0.1:9", ServerState.SERVING)
+    shared_state = make_shared_state()
+    shared_state.server = LocalServer("jobdesk", "127.0.0.1:9", ServerState.SERVING)
     return LocalRunner(
-        board=board,
+        shared_state=shared_state,
         timers=make_timers(),
         table=CallTable(),
         dispatcher=dispatcher or FakeDispatcher(),
         client=FakeServer(work),
         quarantine=make_quarantine(),
-        exchange=LoadExchange(board.loads),
+        exchange=LoadExchange(shared_state.loads),
         metrics=make_metrics(),
         on_server_lost=lambda: None,
     )
@@ -131,7 +131,7 @@
     state: ServerState, service: str, reason: Reason
 ) -> None:
     runner = make_runner()
-    runner.board.server.state = state
+    runner.shared_state.server.state = state
     outcome = await runner.run(make_call(service))
     assert outcome.verdict == NotRun(reason)
     assert outcome.attempts_left == 3
@@ -156,7 +156,7 @@
         return Outcome(verdicts[len(calls) - 1], call.context.attempts_left)
 
     downstream = Downstream(
-        board=runner.board,
+        shared_state=runner.shared_state,
         timers=runner.timers,
         table=runner.table,
         run=run,
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -64,12 +64,12 @@
 async def run_call(peers, idempotent=False, state=MemberState.ALIVE, limit_s=30.0):
     timers = TimerService(MonotonicClock(), random.Random(1))
     identity = Identity(ADDRESS, "a", "r", OLD)
-    board = SharedNodeState(evolve(identity, address="127.0.0.1:8"))
-    board.members.members[ADDRESS] = Member(identity, state=state)
+    shared_state = SharedNodeState(evolve(identity, address="127.0.0.1:8"))
+    shared_state.members.members[ADDRESS] = Member(identity, state=state)
     call = make_call("one", idempotent)
     deadline_s = timers.read() + limit_s
     call = evolve(call, context=evolve(call.context, deadline_s=deadline_s))
-    outcome = await RemoteRunner(board, peers, timers).run(ADDRESS, call)
+    outcome = await RemoteRunner(shared_state, peers, timers).run(ADDRESS, call)
     return outcome.verdict
 
 
--- a/tests/drain/test_drain.py
+++ b/tests/drain/test_drain.py
@@ -105,17 +105,17 @@
     """A shutdown with a manual clock, which records its events."""
 
     def __init__(self, group):
-        self.board = SharedNodeState(
+        self.shared_state = SharedNodeState(
             Identity("127.1.0.1:1", "bowbazar", "kolkata", "a")
         )
-        self.board.server.state = SERVING
+        self.shared_state.server.state = SERVING
         self.timers = TimerService(ManualClock(), random.Random(1))
         self.in_flight = 0
         self.events = []
         self.shutdown = Shutdown(
-            self.board,
+            self.shared_state,
             self.timers,
-            lambda: self.events.append(self.board.drain),
+            lambda: self.events.append(self.shared_state.drain),
             lambda: self.in_flight,
             self.hand_over,
             self.leave,
@@ -149,14 +149,14 @@
         fixture.in_flight = 2
         fixture.shutdown.request(Cause.ADMIN)
         assert fixture.events == [DrainStage.DRAINING]
-        assert not fixture.board.accepts_work
+        assert not fixture.shared_state.accepts_work
         await fixture.advance_time(5.0)
         assert fixture.events == [DrainStage.DRAINING]
         fixture.in_flight = 0
         await fixture.advance_time(1.0)
         drain = await fixture.shutdown.wait()
         assert fixture.events == [DrainStage.DRAINING, "keys", "left"]
-        assert fixture.board.drain is DrainStage.DRAINED
+        assert fixture.shared_state.drain is DrainStage.DRAINED
         assert not drain.timed_out
 
     run_scenario(scenario)
@@ -165,13 +165,13 @@
 def test_server_may_cancel_its_drain():
     async def scenario(fixture):
         fixture.in_flight = 1
-        fixture.board.server.state = DRAINING
+        fixture.shared_state.server.state = DRAINING
         await fixture.advance_time(0.5)
-        assert fixture.board.drain is DrainStage.DRAINING
-        fixture.board.server.state = SERVING
+        assert fixture.shared_state.drain is DrainStage.DRAINING
+        fixture.shared_state.server.state = SERVING
         await fixture.advance_time(0.5)
         assert fixture.events == [DrainStage.DRAINING, DrainStage.RUNNING]
-        assert fixture.board.accepts_work
+        assert fixture.shared_state.accepts_work
 
     run_scenario(scenario)
 
--- a/tests/edge/test_listeners.py
+++ b/tests/edge/test_listeners.py
@@ -292,7 +292,7 @@
 
 
 class FakeAnnouncements:
-    board = SharedNodeState(Identity("a", "b", "c", "d"))
+    shared_state = SharedNodeState(Identity("a", "b", "c", "d"))
 
     def apply(self, body: bytes) -> dict[str, Any]:
         return {"taken": parse_announcement(body, 0.0).service}
--- a/tests/keys/world.py
+++ b/tests/keys/world.py
@@ -173,11 +173,11 @@
     def __attrs_post_init__(self) -> None:
         self.thawed.set()
         world = self.world
-        board = SharedNodeState(self.identity)
+        shared_state = SharedNodeState(self.identity)
         document = Document(failure_domains=world.failure_domains)
-        board.configuration = Configuration(version=1, document=document)
+        shared_state.configuration = Configuration(version=1, document=document)
         self.service = KeyService.create(
-            board,
+            shared_state,
             TimerService(self.clock, world.rng),
             self,
             world.log.port(self),
@@ -372,12 +372,14 @@
         for observer in self.nodes.values():
             if not observer.alive or observer.frozen:
                 continue
-            board = observer.service.core.board
-            board.log_reachable = self.log.up and not observer.log_cut
+            shared_state = observer.service.core.shared_state
+            shared_state.log_reachable = self.log.up and not observer.log_cut
             for node in self.nodes.values():
-                self._note_member(board, observer, node)
+                self._note_member(shared_state, observer, node)
 
-    def _note_member(self, board: SharedNodeState, observer: Node, node: Node) -> None:
+    def _note_member(
+        self, shared_state: SharedNodeState, observer: Node, node: Node
+    ) -> None:
         identity = node.identity
         if identity.failure_domain != observer.identity.failure_domain:
             key = (identity.failure_domain, "jobdesk")
@@ -390,7 +392,7 @@
                 )
             )
             summary = ServiceSummary(*key, 1, 1, 1, 1, addresses)
-            board.members.summaries[key] = summary
+            shared_state.members.summaries[key] = summary
             return
         member = Member(identity, server_state=ServerState.SERVING)
         frozen_s = node.clock.frozen_s
@@ -398,7 +400,7 @@
         suspected = self.loop.time() < node.suspected_s
         if not node.alive or ((silent or suspected) and node is not observer):
             member = evolve(member, state=MemberState.DEAD)
-        board.members.members[identity.address] = member
+        shared_state.members.members[identity.address] = member
 
     def make_call(self, key: str, body: bytes = b"", within_s: float = 20.0) -> Call:
         call_id = f"c{next(self._numbers)}"
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -41,9 +41,9 @@
 @pytest.fixture
 def dispatcher() -> LimitedDispatcher:
     timers = TimerService(ManualClock(), random.Random(1))
-    board = SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
-    board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-    return LimitedDispatcher(board, timers, lambda now_s: FixedLimiter())
+    shared_state = SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
+    shared_state.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
+    return LimitedDispatcher(shared_state, timers, lambda now_s: FixedLimiter())
 
 
 def make_context(
@@ -165,7 +165,7 @@
     for _ in range(LIMIT):
         offer(dispatcher)
     waiting = offer(dispatcher)
-    dispatcher.board.server.state = state
+    dispatcher.shared_state.server.state = state
     assert offer(dispatcher).refusal == NotRun(reason)
     dispatcher.timers.advance(0.1)
     assert waiting.refusal == NotRun(reason)
--- a/tests/load/test_entry.py
+++ b/tests/load/test_entry.py
@@ -28,15 +28,15 @@
 
 
 @pytest.fixture
-def board() -> SharedNodeState:
+def shared_state() -> SharedNodeState:
     return SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
 
 
 def is_admitted(
-    board: SharedNodeState, work_class: WorkClass, priority: int, now_s: float
+    shared_state: SharedNodeState, work_class: WorkClass, priority: int, now_s: float
 ) -> bool:
     refusal = admit_at_entry(
-        board, EntryMeters(), work_class, "a", priority, random.Random(1), now_s
+        shared_state, EntryMeters(), work_class, "a", priority, random.Random(1), now_s
     )
     assert refusal is None or refusal.reason is Reason.OVERLOAD
     assert refusal is None or refusal.retry_after_s > 0
@@ -44,43 +44,43 @@
 
 
 def test_entry_refuses_what_a_downstream_service_would_refuse(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
 ) -> None:
-    exchange = LoadExchange(board.loads)
+    exchange = LoadExchange(shared_state.loads)
     deep = ServiceLoad("c", PRIORITY_LEVELS + 300)
     exchange.merge("127.0.0.1:7", "a", [ServiceLoad("a"), deep], NOW_S)
-    assert is_admitted(board, LOOKUP, 300, NOW_S)
+    assert is_admitted(shared_state, LOOKUP, 300, NOW_S)
     exchange.learn("lookup", ["a", "c"])
-    assert not is_admitted(board, LOOKUP, 300, NOW_S)
-    assert is_admitted(board, LOOKUP, 299, NOW_S)
-    assert is_admitted(board, BOOKING, 1023, NOW_S)
-    assert is_admitted(board, STATUS, 1023, NOW_S)
+    assert not is_admitted(shared_state, LOOKUP, 300, NOW_S)
+    assert is_admitted(shared_state, LOOKUP, 299, NOW_S)
+    assert is_admitted(shared_state, BOOKING, 1023, NOW_S)
+    assert is_admitted(shared_state, STATUS, 1023, NOW_S)
     # The threshold rises gradually without new reports.
-    assert not is_admitted(board, LOOKUP, 1000, NOW_S + 1.5)
-    assert is_admitted(board, LOOKUP, 600, NOW_S + 1.9)
-    assert is_admitted(board, LOOKUP, 1023, NOW_S + 3.0)
+    assert not is_admitted(shared_state, LOOKUP, 1000, NOW_S + 1.5)
+    assert is_admitted(shared_state, LOOKUP, 600, NOW_S + 1.9)
+    assert is_admitted(shared_state, LOOKUP, 1023, NOW_S + 3.0)
 
 
 def test_fresh_relayed_load_goes_before_an_old_direct_one(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
 ) -> None:
-    exchange = LoadExchange(board.loads)
+    exchange = LoadExchange(shared_state.loads)
     exchange.merge("127.0.0.1:7", "c", [ServiceLoad("c", 2048)], NOW_S - 1.0)
     exchange.merge("127.0.0.1:8", "a", [ServiceLoad("c", 300)], NOW_S)
     exchange.learn("booking", ["a", "c"])
-    assert not is_admitted(board, BOOKING, 301, NOW_S)
-    assert is_admitted(board, BOOKING, 299, NOW_S)
+    assert not is_admitted(shared_state, BOOKING, 301, NOW_S)
+    assert is_admitted(shared_state, BOOKING, 299, NOW_S)
 
 
 def test_class_that_no_longer_uses_a_service_is_admitted(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
 ) -> None:
-    exchange = LoadExchange(board.loads)
+    exchange = LoadExchange(shared_state.loads)
     exchange.merge("127.0.0.1:7", "a", [ServiceLoad("c", 0)], NOW_S)
     exchange.learn("lookup", ["a", "c"])
     for _ in range(40):
         exchange.learn("lookup", ["a"])
-    assert is_admitted(board, LOOKUP, 300, NOW_S)
+    assert is_admitted(shared_state, LOOKUP, 300, NOW_S)
 
 
 @pytest.mark.parametrize(
@@ -99,8 +99,10 @@
     assert combine_loads("a", loads, NOW_S).threshold == combined
 
 
-def test_answer_carries_the_loads_of_all_used_services(board: SharedNodeState) -> None:
-    exchange = LoadExchange(board.loads)
+def test_answer_carries_the_loads_of_all_used_services(
+    shared_state: SharedNodeState,
+) -> None:
+    exchange = LoadExchange(shared_state.loads)
     exchange.merge("127.0.0.1:7", "b", [ServiceLoad("b", 700)], NOW_S)
     exchange.record_downstream("call", "b", [ServiceLoad("b"), ServiceLoad("c")])
     own = ServiceLoad("a", 900)
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -28,10 +28,10 @@
 
 
 @pytest.fixture
-def board() -> SharedNodeState:
-    board = SharedNodeState(Identity("127.0.0.9:1", "here", "region", "1"))
+def shared_state() -> SharedNodeState:
+    shared_state = SharedNodeState(Identity("127.0.0.9:1", "here", "region", "1"))
     for address in LOCAL:
-        board.members.members[address] = Member(
+        shared_state.members.members[address] = Member(
             Identity(address, "here", "region", "1"),
             service="a",
             server_state=ServerState.SERVING,
@@ -39,19 +39,19 @@
             threshold=FULL_THRESHOLD,
             heard_s=NOW_S,
         )
-    board.members.summaries["there", "a"] = ServiceSummary(
+    shared_state.members.summaries["there", "a"] = ServiceSummary(
         "there", "a", 1, 2, 100, FULL_THRESHOLD, tuple(REMOTE), NOW_S
     )
-    return board
+    return shared_state
 
 
-def change(board: SharedNodeState, address: str, **changes: object) -> None:
-    members = board.members.members
+def change(shared_state: SharedNodeState, address: str, **changes: object) -> None:
+    members = shared_state.members.members
     members[address] = evolve(members[address], **changes)
 
 
 def choose(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
     state: RoutingState,
     count: int = 400,
     rank: int = 0,
@@ -62,13 +62,15 @@
     rng = random.Random(3)
     chosen: Counter[str | None] = Counter()
     for _ in range(count):
-        address = choose_server(board, state, "a", excluded, rank, rng, now_s)
+        address = choose_server(shared_state, state, "a", excluded, rank, rng, now_s)
         chosen[address] += 1
     return chosen
 
 
-def test_local_servers_are_chosen_first_and_evenly(board: SharedNodeState) -> None:
-    chosen = choose(board, RoutingState(NOW_S))
+def test_local_servers_are_chosen_first_and_evenly(
+    shared_state: SharedNodeState,
+) -> None:
+    chosen = choose(shared_state, RoutingState(NOW_S))
     assert set(chosen) == set(LOCAL)
     assert max(chosen.values()) < 2 * min(chosen.values())
 
@@ -83,74 +85,76 @@
     ],
 )
 def test_leaving_server_receives_no_calls(
-    board: SharedNodeState, departure: dict
+    shared_state: SharedNodeState, departure: dict
 ) -> None:
     state = RoutingState(NOW_S)
-    choose(board, state)
-    change(board, LOCAL[0], **departure)
-    assert set(choose(board, state)) == set(LOCAL[1:])
+    choose(shared_state, state)
+    change(shared_state, LOCAL[0], **departure)
+    assert set(choose(shared_state, state)) == set(LOCAL[1:])
     for address in LOCAL[1:]:
-        change(board, address, **departure)
-    assert set(choose(board, state)) == set(REMOTE)
-    board.members.summaries.clear()
-    assert set(choose(board, state)) == {None}
+        change(shared_state, address, **departure)
+    assert set(choose(shared_state, state)) == set(REMOTE)
+    shared_state.members.summaries.clear()
+    assert set(choose(shared_state, state)) == {None}
 
 
 def test_remote_servers_are_chosen_without_local_headroom(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
 ) -> None:
     state = RoutingState(NOW_S)
     for address in LOCAL:
-        change(board, address, headroom=5)
+        change(shared_state, address, headroom=5)
     rng = random.Random(3)
     chosen = []
     for _ in range(30):
-        address = choose_server(board, state, "a", (), 0, rng, NOW_S)
+        address = choose_server(shared_state, state, "a", (), 0, rng, NOW_S)
         state.record_start(address, NOW_S)
         chosen.append(address)
     assert set(chosen[:15]) <= set(LOCAL)
     assert set(chosen[-5:]) <= set(REMOTE)
 
 
-def test_servers_that_admit_the_rank_are_preferred(board: SharedNodeState) -> None:
-    change(board, LOCAL[0], threshold=500)
-    change(board, LOCAL[1], threshold=500)
-    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(LOCAL[2:])
+def test_servers_that_admit_the_rank_are_preferred(
+    shared_state: SharedNodeState,
+) -> None:
+    change(shared_state, LOCAL[0], threshold=500)
+    change(shared_state, LOCAL[1], threshold=500)
+    assert set(choose(shared_state, RoutingState(NOW_S), rank=600)) == set(LOCAL[2:])
     for address in LOCAL:
-        change(board, address, threshold=500)
-    assert set(choose(board, RoutingState(NOW_S), rank=600)) == set(REMOTE)
+        change(shared_state, address, threshold=500)
+    assert set(choose(shared_state, RoutingState(NOW_S), rank=600)) == set(REMOTE)
 
 
-def test_new_server_receives_calls_gradually(board: SharedNodeState) -> None:
+def test_new_server_receives_calls_gradually(shared_state: SharedNodeState) -> None:
     state = RoutingState(NOW_S - 60)
-    new = board.members.members.pop(LOCAL[0])
-    choose(board, state, now_s=NOW_S - 55)
+    new = shared_state.members.members.pop(LOCAL[0])
+    choose(shared_state, state, now_s=NOW_S - 55)
     for second in range(55):
-        state.refresh(board, NOW_S - 55 + second)
-    board.members.members[LOCAL[0]] = evolve(new, headroom=500)
+        state.refresh(shared_state, NOW_S - 55 + second)
+    shared_state.members.members[LOCAL[0]] = evolve(new, headroom=500)
     counts = []
     for second in range(31):
-        state.refresh(board, NOW_S + second)
-        counts.append(choose(board, state, now_s=NOW_S + second)[LOCAL[0]])
+        state.refresh(shared_state, NOW_S + second)
+        counts.append(choose(shared_state, state, now_s=NOW_S + second)[LOCAL[0]])
     assert counts[0] < 40 < counts[4] < counts[30]
 
 
-def test_failing_server_is_avoided_and_probed(board: SharedNodeState) -> None:
+def test_failing_server_is_avoided_and_probed(shared_state: SharedNodeState) -> None:
     state = RoutingState(NOW_S)
     for _ in range(3):
         state.record_start(LOCAL[0], NOW_S)
         state.record_end(LOCAL[0], MayHaveRun(Reason.SERVER_SILENT), 1.0, NOW_S)
-    assert choose(board, state)[LOCAL[0]] == 0
+    assert choose(shared_state, state)[LOCAL[0]] == 0
     later_s = NOW_S + 1.5
-    assert choose(board, state, now_s=later_s)[LOCAL[0]] > 0
+    assert choose(shared_state, state, now_s=later_s)[LOCAL[0]] > 0
     state.record_start(LOCAL[0], later_s)
-    assert choose(board, state, now_s=later_s)[LOCAL[0]] == 0
+    assert choose(shared_state, state, now_s=later_s)[LOCAL[0]] == 0
     state.record_end(LOCAL[0], COMPLETE, 0.1, later_s)
-    change(board, LOCAL[0], heard_s=later_s)
-    assert choose(board, state, now_s=later_s)[LOCAL[0]] > 40
+    change(shared_state, LOCAL[0], heard_s=later_s)
+    assert choose(shared_state, state, now_s=later_s)[LOCAL[0]] > 40
     state.record_start(LOCAL[1], later_s)
     state.record_end(LOCAL[1], NotRun(Reason.DRAINING), 0.1, later_s)
-    assert choose(board, state, now_s=later_s)[LOCAL[1]] == 0
+    assert choose(shared_state, state, now_s=later_s)[LOCAL[1]] == 0
 
 
 def test_subsets_are_small_and_even() -> None:
@@ -167,13 +171,13 @@
 
 
 def test_held_member_serves_when_there_is_no_other_server(
-    board: SharedNodeState,
+    shared_state: SharedNodeState,
 ) -> None:
     for address in LOCAL:
-        change(board, address, held=True)
-    assert set(choose(board, RoutingState())) == set(REMOTE)
-    board.members.summaries.clear()
-    assert set(choose(board, RoutingState())) == set(LOCAL)
-    change(board, LOCAL[0], server_state=ServerState.DRAINING)
-    chosen = choose(board, RoutingState(), excluded=(LOCAL[1],))
+        change(shared_state, address, held=True)
+    assert set(choose(shared_state, RoutingState())) == set(REMOTE)
+    shared_state.members.summaries.clear()
+    assert set(choose(shared_state, RoutingState())) == set(LOCAL)
+    change(shared_state, LOCAL[0], server_state=ServerState.DRAINING)
+    chosen = choose(shared_state, RoutingState(), excluded=(LOCAL[1],))
     assert set(chosen) == set(LOCAL[2:])
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -46,7 +46,7 @@
     for node in nodes:
         serving = {
             member.identity.address
-            for member in node.board.members.find_serving("jobdesk")
+            for member in node.shared_state.members.find_serving("jobdesk")
         }
         expected = {
             other.address
@@ -55,7 +55,7 @@
         }
         if serving != expected:
             return False
-        if len(node.board.members.find_summaries("jobdesk")) != len(domains) - 1:
+        if len(node.shared_state.members.find_summaries("jobdesk")) != len(domains) - 1:
             return False
     return True
 
@@ -128,7 +128,7 @@
         await network.run(freeze_s)
         nodes[3].thaw()
         assert await network.run_until(lambda: knows_all(network), 10.0) < 10.0
-        assert nodes[0].board.members.members[nodes[3].address].identity == (
+        assert nodes[0].shared_state.members.members[nodes[3].address].identity == (
             nodes[3].identity
         )
 
@@ -160,8 +160,8 @@
         )
         await network.run(60.0)
         for node in nodes:
-            assert not node.board.members.find_summaries("jobdesk")
-            assert len(node.board.members.find_serving("jobdesk")) == 4
+            assert not node.shared_state.members.find_summaries("jobdesk")
+            assert len(node.shared_state.members.find_serving("jobdesk")) == 4
         network.is_cut = lambda source, target: False
         assert (
             await network.run_until(lambda: knows_all(network), JOIN_TIMEOUT_S)
@@ -181,7 +181,8 @@
 
         def replaced():
             return all(
-                other.board.members.members[node.address].identity == node.identity
+                other.shared_state.members.members[node.address].identity
+                == node.identity
                 for other in network.nodes.values()
             )
 
@@ -205,7 +206,7 @@
         for _ in range(400):
             former.timers.run_due()
             await network.run(0.05)
-        seen = nodes[0].board.members.members[node.address]
+        seen = nodes[0].shared_state.members.members[node.address]
         assert seen.identity == node.identity
         assert former.membership.roster.counts.values[Count.ADDRESS_CONFLICTS]
 
@@ -222,7 +223,7 @@
 
         def unknown():
             for node in others:
-                members = node.board.members
+                members = node.shared_state.members
                 local = [
                     member.identity.address
                     for member in members.find_serving("jobdesk")
@@ -256,7 +257,7 @@
             await network.run(3.0)
             nodes[1].thaw()
             await network.run(2.0)
-        seen = nodes[0].board.members.members[nodes[1].address]
+        seen = nodes[0].shared_state.members.members[nodes[1].address]
         assert seen.state is MemberState.ALIVE
         assert seen.held and not seen.serves
         assert await network.run_until(lambda: knows_all(network), 60.0) < 60.0
@@ -292,7 +293,7 @@
             new.serve("platehouse")
 
         def replaced():
-            members = nodes[0].board.members
+            members = nodes[0].shared_state.members
             return bool(
                 members.find_summaries("platehouse")
                 and not members.find_summaries("jobdesk")
--- a/tests/retry/test_exchange.py
+++ b/tests/retry/test_exchange.py
@@ -27,15 +27,15 @@
     nodes: dict[str, QuarantineExchange] = field(factory=dict)
 
     def add(self, address: str, domain: str, group: object) -> None:
-        board = SharedNodeState(Identity(address, domain, "region", address))
+        shared_state = SharedNodeState(Identity(address, domain, "region", address))
         local, remote = (DOMAIN_A, DOMAIN_B) if domain == "a" else (DOMAIN_B, DOMAIN_A)
         for other in local:
-            identity = evolve(board.identity, address=other)
-            board.members.members[other] = Member(identity)
+            identity = evolve(shared_state.identity, address=other)
+            shared_state.members.members[other] = Member(identity)
         summary = ServiceSummary("b" if domain == "a" else "a", "s", 1, 3, 1, 1, remote)
-        board.members.summaries[summary.failure_domain, "s"] = summary
+        shared_state.members.summaries[summary.failure_domain, "s"] = summary
         self.nodes[address] = QuarantineExchange(
-            board,
+            shared_state,
             ManualClock(),
             _PeerPort(self, address),
             Quarantine(),
