--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -153,7 +153,7 @@
         headroom=20,
         threshold=2048,
         started=1,
-        heard_s=now_s,
+        received_s=now_s,
     )
 
 
@@ -169,7 +169,7 @@
             f"127.{domain}.{service % 250}.{index + 1}:9000"
             for index in range(ADDRESSES)
         ),
-        heard_s=now_s,
+        received_s=now_s,
     )
 
 
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -71,7 +71,7 @@
     readers: LogReaders
     quotas: QuotaExchange
     rng: random.Random
-    refused: RejectedMessages
+    rejected_messages: RejectedMessages
     look_at_settings: Callable[[], None] = lambda: None
     listeners: list[HttpListener] = field(factory=list)
     found_nodes: bool = False
@@ -131,7 +131,7 @@
             table = read_configuration(document)
         except PlatformDocumentError as error:
             kind = MessageKind.CONFIGURATION
-            self.refused.record(kind, "", error.part, str(error))
+            self.rejected_messages.record(kind, "", error.part, str(error))
             return
         beliefs = self.beliefs
         if table.version <= beliefs.table.version:
@@ -173,13 +173,15 @@
                 self._take_record(record)
             except BadFrameError as error:
                 # the others still hold
-                self.refused.record(kind, record.key, "bad record", error.detail)
+                self.rejected_messages.record(
+                    kind, record.key, "bad record", error.detail
+                )
         self.found_nodes = True
 
     def note_unreadable(self, topic: str, count: int) -> None:
         """Count records of a topic whose bytes could not be read."""
         cause = "no key or value that can be read"
-        self.refused.record(MessageKind.RECORD, topic, cause, cause, count)
+        self.rejected_messages.record(MessageKind.RECORD, topic, cause, cause, count)
 
     def _take_record(self, record: StoredRecord) -> None:
         if record.key == LEARNED_KEY:
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -137,7 +137,7 @@
         read_announcement,
         node.check_heartbeat,
         node.note_server_change,
-        node.refused,
+        node.rejected_messages,
     )
     metrics_address = Address(settings.peer_address.host, METRICS_PORT)
     await _bind(node.inbound, settings.peer_address)
--- a/eelgrassmount/load/routing.py
+++ b/eelgrassmount/load/routing.py
@@ -126,7 +126,7 @@
         if member is None or not member.serves or address in excluded:
             continue
         reported[address] = ServiceLoad(
-            service, member.threshold, member.headroom, received_s=member.heard_s
+            service, member.threshold, member.headroom, received_s=member.received_s
         )
     return _make_candidates(shared_state, state, reported, now_s)
 
@@ -158,7 +158,7 @@
         for address in summary.addresses:
             if address not in excluded:
                 reported[address] = ServiceLoad(
-                    service, summary.threshold, each, received_s=summary.heard_s
+                    service, summary.threshold, each, received_s=summary.received_s
                 )
     chosen = choose_subset(shared_state.identity.address, list(reported))
     reported = {address: reported[address] for address in chosen}
--- a/eelgrassmount/members/delegates.py
+++ b/eelgrassmount/members/delegates.py
@@ -112,7 +112,7 @@
         headroom=sum(member.headroom for member in servers),
         threshold=sum(member.threshold for member in servers) // len(servers),
         addresses=tuple(sorted(retained + added)),
-        heard_s=now_s,
+        received_s=now_s,
     )
 
 
--- a/eelgrassmount/members/domains.py
+++ b/eelgrassmount/members/domains.py
@@ -183,7 +183,7 @@
         due_after_s = (
             timing.domain_heartbeat_interval_s + rank * timing.delegate_stagger_s
         )
-        if before is not None and now_s - before.heard_s < due_after_s:
+        if before is not None and now_s - before.received_s < due_after_s:
             return
         alive = [
             member.identity.address
@@ -198,7 +198,7 @@
             headroom=0,
             threshold=0,
             addresses=tuple(choose_addresses(domain, alive, HEARTBEAT_ADDRESSES)),
-            heard_s=now_s,
+            received_s=now_s,
         )
         self.roster.apply_summary(summary, now_s)
 
--- a/eelgrassmount/members/joining.py
+++ b/eelgrassmount/members/joining.py
@@ -89,7 +89,7 @@
     if identity.address != roster.identity.address:
         roster.contacts.add(identity.failure_domain, identity.address)
     elif identity.incarnation != roster.identity.incarnation:
-        roster.apply_member(member, member.heard_s)
+        roster.apply_member(member, member.received_s)
 
 
 @define
--- a/eelgrassmount/members/roster.py
+++ b/eelgrassmount/members/roster.py
@@ -100,7 +100,7 @@
         """Change the local member, with a higher heartbeat."""
         before = self.local_member
         self.local_member = evolve(
-            before, heartbeat=before.heartbeat + 1, heard_s=now_s, **changes
+            before, heartbeat=before.heartbeat + 1, received_s=now_s, **changes
         )
         self._store(before, self.local_member)
 
@@ -134,7 +134,7 @@
         if stops_serving(known, merged) or refutes(known, merged):
             self.urgent[MemberKey(address)] = None
         self._track_suspicion(known, merged, now_s)
-        merged = evolve(merged, heard_s=now_s, held=self.flapping.holds(address))
+        merged = evolve(merged, received_s=now_s, held=self.flapping.holds(address))
         self._store(known, merged)
 
     def suspect(self, address: str, now_s: float) -> bool:
@@ -158,7 +158,7 @@
     def record_contact(self, address: str, now_s: float) -> None:
         """Record that a message came directly from a member.
 
-        This does not change `Member.heard_s`, the time of the last report.
+        This does not change `Member.received_s`, the time of the last report.
         """
         if address in self.table.members:
             self.last_contact_s[address] = now_s
@@ -176,7 +176,7 @@
             address
             for address, member in self.table.members.items()
             if not member.present
-            and now_s - member.heard_s > self.timing.tombstone_lifetime_s
+            and now_s - member.received_s > self.timing.tombstone_lifetime_s
         ]
         for address in expired:
             if address != self.identity.address:
@@ -237,7 +237,7 @@
         merged = merge_summary(known, report)
         if merged is known:
             return False
-        merged = evolve(merged, heard_s=now_s)
+        merged = evolve(merged, received_s=now_s)
         self.summaries[key] = merged
         if _drops_server(known, merged):
             self.urgent[key] = None
--- a/eelgrassmount/members/table.py
+++ b/eelgrassmount/members/table.py
@@ -48,7 +48,7 @@
     of the same incarnation. ``started`` orders the incarnations at one address.
     ``threshold`` and ``headroom`` describe the load that the node last announced.
     ``held`` is a local decision: a member that repeatedly returned from
-    suspicions gets no new work for a while. ``heard_s`` is the time at which the
+    suspicions gets no new work for a while. ``received_s`` is the time at which the
     report was received.
     """
 
@@ -60,7 +60,7 @@
     headroom: int = 0
     threshold: int = 0
     started: int = 0
-    heard_s: float = 0.0
+    received_s: float = 0.0
     held: bool = False
 
     @property
@@ -92,7 +92,7 @@
     headroom: int
     threshold: int
     addresses: tuple[str, ...]
-    heard_s: float = 0.0
+    received_s: float = 0.0
 
 
 class SummaryTable(UserDict[tuple[str, str], ServiceSummary]):
--- a/eelgrassmount/members/wire.py
+++ b/eelgrassmount/members/wire.py
@@ -68,7 +68,7 @@
         headroom=struct.headroom or 0,
         threshold=struct.threshold or 0,
         started=struct.started or 0,
-        heard_s=now_s,
+        received_s=now_s,
     )
 
 
@@ -102,7 +102,7 @@
         headroom=struct.headroom or 0,
         threshold=struct.threshold or 0,
         addresses=tuple(addresses),
-        heard_s=now_s,
+        received_s=now_s,
     )
 
 
--- a/eelgrassmount/relay/status.py
+++ b/eelgrassmount/relay/status.py
@@ -187,7 +187,7 @@
         len(routes),
         [follower.topic for follower in node.followers if not follower.reachable],
         _collect_log(node.readers, now_s),
-        dict(node.refused.totals),
+        dict(node.rejected_messages.totals),
         _collect_teams(node, now_s),
         _collect_server(node, now_s),
         {
--- a/tests/cmd/test_status.py
+++ b/tests/cmd/test_status.py
@@ -14,8 +14,10 @@
 def test_messages_that_were_not_taken_up_are_counted():
     node = build_relay(SETTINGS)
     assert not any("not taken up" in line for line in print_state(node))
-    node.refused.record(MessageKind.ANNOUNCEMENT, "10.0.0.1", "body", "not JSON")
-    node.refused.record(MessageKind.NODE, "node-2", "address", "no address")
+    node.rejected_messages.record(
+        MessageKind.ANNOUNCEMENT, "10.0.0.1", "body", "not JSON"
+    )
+    node.rejected_messages.record(MessageKind.NODE, "node-2", "address", "no address")
     assert "not taken up   1 announcement, 1 node-record" in print_state(node)
 
 
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -37,7 +37,7 @@
             server_state=ServerState.SERVING,
             headroom=50,
             threshold=FULL_THRESHOLD,
-            heard_s=NOW_S,
+            received_s=NOW_S,
         )
     shared_state.members.summaries["there", "a"] = ServiceSummary(
         "there", "a", 1, 2, 100, FULL_THRESHOLD, tuple(REMOTE), NOW_S
@@ -150,7 +150,7 @@
     state.record_start(LOCAL[0], later_s)
     assert choose(shared_state, state, now_s=later_s)[LOCAL[0]] == 0
     state.record_end(LOCAL[0], COMPLETE, 0.1, later_s)
-    change(shared_state, LOCAL[0], heard_s=later_s)
+    change(shared_state, LOCAL[0], received_s=later_s)
     assert choose(shared_state, state, now_s=later_s)[LOCAL[0]] > 40
     state.record_start(LOCAL[1], later_s)
     state.record_end(LOCAL[1], NotRun(Reason.DRAINING), 0.1, later_s)
--- a/tests/members/test_merge.py
+++ b/tests/members/test_merge.py
@@ -121,7 +121,7 @@
             one.apply_member(report, 1.0)
     merged = one.table.members.get("127.1.0.2:1")
     if merged is not None:
-        other.apply_member(evolve(merged, heard_s=0.0), 2.0)
+        other.apply_member(evolve(merged, received_s=0.0), 2.0)
     assert one.digest == other.digest
 
 
@@ -129,7 +129,7 @@
 def test_a_member_is_decoded_as_it_was_encoded(report):
     for domain in ("bowbazar", "sealdah"):
         struct = encode_member(report, domain)
-        assert decode_member(struct, LOCAL, report.heard_s) == report
+        assert decode_member(struct, LOCAL, report.received_s) == report
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_fuzz.py
+++ b/tests/relay/test_fuzz.py
@@ -377,7 +377,7 @@
         assert member.name
         assert member.service
     assert len(found) <= 2 + len(records)
-    assert sum(node.refused.totals.values()) <= 2 * len(records)
+    assert sum(node.rejected_messages.totals.values()) <= 2 * len(records)
 
 
 targets = st.sampled_from(
@@ -409,7 +409,7 @@
             await send_invalid_request(line)
         assert lone.read_server_view() == before
         assert (await lone.announce(sequence=2)).status == 200
-        rejected = lone.node.refused
+        rejected = lone.node.rejected_messages
         assert rejected.totals["announcement"] == len(calls)
         assert len(rejected._logged_s) <= min(MAX_TRACKED_CAUSES, len(calls))
 
--- a/tests/topics/test_records.py
+++ b/tests/topics/test_records.py
@@ -78,7 +78,7 @@
     node.take_nodes((record, make_record("n4")))
     known = [*before, ("n4", "127.0.0.2:7620", "list")]
     assert list_members(node) == known
-    assert node.refused.totals == {"node-record": 1}
+    assert node.rejected_messages.totals == {"node-record": 1}
     assert node.found_nodes
 
 
@@ -96,7 +96,7 @@
     records = [make_record(f"n{number}") for number in range(members.MAX_MEMBERS + 50)]
     node.take_nodes(tuple(records))
     assert len(node.beliefs.members.by_name) == members.MAX_MEMBERS
-    assert node.refused.totals == {"node-record": 51}
+    assert node.rejected_messages.totals == {"node-record": 51}
     # Known members may still change and leave.
     node.take_nodes((make_record("n1", address="127.0.0.3:7620"),))
     assert node.beliefs.members.by_name["n1"].address == "127.0.0.3:7620"
@@ -125,7 +125,7 @@
     node.take_nodes((record, make_record()))
     assert node.beliefs.graph.calls_per_run == CALLS
     assert len(list_members(node)) == 2
-    assert node.refused.totals == {"learned-calls": 1}
+    assert node.rejected_messages.totals == {"learned-calls": 1}
 
 
 def test_number_of_learned_routes_is_bounded(node):
@@ -170,7 +170,7 @@
     assert table.version == 3
     node.take_configuration((StoredRecord(CONFIGURATION_KEY, document),))
     assert node.beliefs.table is table
-    assert node.refused.totals == {"configuration": 1}
+    assert node.rejected_messages.totals == {"configuration": 1}
     node.take_configuration((StoredRecord(CONFIGURATION_KEY, make_document(8, LIST)),))
     assert node.beliefs.table.version == 8
 
