--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -17,7 +17,7 @@
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.call_attribution import CallAttributor
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import ControlLoop
 from eelgrassmount.relay.decisions import DecisionLog
 from eelgrassmount.relay.dispatcher import Dispatcher
 from eelgrassmount.relay.inbound import InboundLinks
@@ -123,7 +123,7 @@
         has_lost_call=lineage.has_lost_call,
         claim_lost_call=lineage.claim_lost_call,
         on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
-        on_change=lambda: controllers.report_now(),
+        on_change=lambda: control_loop.report_now(),
         call_later=call_later,
     )
     inbound = InboundLinks(
@@ -172,7 +172,7 @@
         news.handle_frame,
     )
     links = LinkManager(beliefs, events)
-    controllers = Controllers(
+    control_loop = ControlLoop(
         beliefs,
         dispatcher,
         inbound,
@@ -229,7 +229,7 @@
         inbound,
         ingress,
         admission,
-        controllers,
+        control_loop,
         links,
         news,
         decisions,
--- a/eelgrassmount/compose/relay_node.py
+++ b/eelgrassmount/compose/relay_node.py
@@ -24,7 +24,7 @@
     from eelgrassmount.http1.server import HttpListener
     from eelgrassmount.platform.store_client import StoreClient
     from eelgrassmount.relay.admission import Admission
-    from eelgrassmount.relay.controllers import Controllers
+    from eelgrassmount.relay.control_loop import ControlLoop
     from eelgrassmount.relay.decisions import DecisionLog
     from eelgrassmount.relay.dispatcher import Dispatcher
     from eelgrassmount.relay.heartbeats import Heartbeat
@@ -59,7 +59,7 @@
     inbound: InboundLinks
     ingress: Ingress
     admission: Admission
-    controllers: Controllers
+    control_loop: ControlLoop
     links: LinkManager
     news: PeerUpdates
     decisions: DecisionLog
@@ -281,7 +281,7 @@
 
     def note_server_change(self) -> None:
         """Act on news of the server beside this node, before it is acknowledged."""
-        self.controllers.report_now()
+        self.control_loop.report_now()
         own = self.beliefs.members.by_name.get(self.settings.name)
         if own is not None and own.service != self.beliefs.server.service:
             self.put_own()
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -86,7 +86,7 @@
         node.callers,
         node.inbound,
         node.settings.grace_s,
-        node.controllers.report_now,
+        node.control_loop.report_now,
         node.count_open,
     )
     async with anyio.create_task_group() as group:
@@ -174,7 +174,7 @@
     timers.subscribe(LINK_PERIOD_S, node.links.maintain_links)
     timers.subscribe(CONTROL_INTERVAL_S, node.readers.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.quotas.step)
-    timers.subscribe(CONTROL_INTERVAL_S, node.controllers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.control_loop.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.dispatcher.sweep)
     timers.subscribe(
         REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
--- a/eelgrassmount/relay/controllers.py
+++ b/eelgrassmount/relay/control_loop.py
@@ -42,7 +42,7 @@
 
 
 @define(eq=False)
-class Controllers:
+class ControlLoop:
     """Updates the admitted fractions at each step and reports to other nodes."""
 
     state: SharedState
--- a/eelgrassmount/relay/peer_updates.py
+++ b/eelgrassmount/relay/peer_updates.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from eelgrassmount.gen import ttypes
-from eelgrassmount.relay.controllers import MS_PER_S, PER_MILLE, PPM
+from eelgrassmount.relay.control_loop import MS_PER_S, PER_MILLE, PPM
 from eelgrassmount.relay.frames import QUOTA_KINDS, FrameKind
 from eelgrassmount.relay.rows import read_rows
 from eelgrassmount.retry.quarantine import QUARANTINE_S, Suspect
--- a/tests/relay/test_forgetting.py
+++ b/tests/relay/test_forgetting.py
@@ -12,7 +12,7 @@
 from eelgrassmount.compose.relay_run import subscribe_timers
 from eelgrassmount.gen import ttypes
 from eelgrassmount.http1.client import ClientAnswer
-from eelgrassmount.relay.controllers import MAX_ROWS
+from eelgrassmount.relay.control_loop import MAX_ROWS
 from eelgrassmount.relay.dispatcher import Job
 from eelgrassmount.relay.frames import encode_struct
 from eelgrassmount.relay.heartbeats import Heartbeat, ServerIncarnation
@@ -89,7 +89,7 @@
     setup.run(setup.list_name)
     setup.run(setup.part_name)
     setup.wait(1.0)
-    report = setup.node.controllers.make_report(True)
+    report = setup.node.control_loop.make_report(True)
     both = {setup.list_name, setup.part_name}
     assert {time.route_name for time in report.times} == both
     assert {count.route_name for count in report.counts} == both
@@ -97,7 +97,7 @@
     assert short_s < MAX_MEAN_WAIT_S
     setup.configure(2, LIST)
     setup.wait(60.0)
-    report = setup.node.controllers.make_report(True)
+    report = setup.node.control_loop.make_report(True)
     assert [time.route_name for time in report.times] == [setup.list_name]
     assert [count.route_name for count in report.counts] == [setup.list_name]
     assert setup.node.dispatcher.measures.compute_max_mean_wait_s() > short_s
@@ -127,7 +127,7 @@
     for _ in range(3):
         setup.node.beliefs.record_call(setup.list_name)
     update_request_counts(setup.node.beliefs)
-    counts = setup.node.controllers.make_report(True).counts
+    counts = setup.node.control_loop.make_report(True).counts
     assert len(counts) == MAX_ROWS
     assert counts[0].route_name == setup.list_name
 
--- a/tests/relay/test_learning.py
+++ b/tests/relay/test_learning.py
@@ -7,7 +7,7 @@
 from eelgrassmount.policy.service_load import combine_server_loads
 from eelgrassmount.relay.admission import CallGraph
 from eelgrassmount.relay.admitted_fractions import AdmittedFractions
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import ControlLoop
 from eelgrassmount.relay.frames import FrameKind
 from eelgrassmount.relay.learning import (
     LEARNING_PERIOD_S,
@@ -93,8 +93,8 @@
         self.reports.append(report)
 
 
-def make_controllers(state: SharedState, inbound: FakeInbound) -> Controllers:
-    return Controllers(
+def make_control_loop(state: SharedState, inbound: FakeInbound) -> ControlLoop:
+    return ControlLoop(
         state,
         FakeGate(),
         inbound,
@@ -108,9 +108,9 @@
     inbound = FakeInbound(callers)
     state = make_state([1.0])
     state.local_vectors = {"shop/book/": {"shop/part/": 2.0}}
-    controllers = make_controllers(state, inbound)
+    control_loop = make_control_loop(state, inbound)
     for _ in range(60):
-        controllers.step()
+        control_loop.step()
     assert len(inbound.reports) == reports
     with_rows = [report for report in inbound.reports if report.calls]
     assert 6 <= len(with_rows) <= 12
@@ -135,11 +135,11 @@
     state = make_state([1.0])
     member = state.members.put("a", "a:1", "near", "desk")
     inbound = FakeInbound(1)
-    controllers = make_controllers(state, inbound)
+    control_loop = make_control_loop(state, inbound)
     member.load.vectors = {"shop/book/": {"shop/part/": 4.0}}
     update_call_graph(state)
     assert state.graph.calls_per_run["shop/book/"] == {"shop/part/": 4.0}
-    assert controllers.make_report(True).calls == []
+    assert control_loop.make_report(True).calls == []
     member.load.vectors = {"shop/book/": {}}
     update_call_graph(state)
     assert state.graph.calls_per_run["shop/book/"] == {}
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -166,7 +166,7 @@
         assert set(first) == ({503} if refused else {200})
         set_draining(deployment, False)
         for vm in deployment.vms:
-            vm.node.controllers.report_now()
+            vm.node.control_loop.report_now()
         await anyio.sleep(0.3)
         second = await send_to_all_nodes(deployment, "k-1", 3)
         if refused:
--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -20,7 +20,7 @@
 node.put_own()
 member = node.beliefs.members.put("node-2", "127.0.0.1:7620", "a", "list")
 member.load = MemberLoad(limit=4, demand=2.0, reported_s=node.beliefs.clock())
-node.controllers.step()
+node.control_loop.step()
 print("done")
 """
 
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -19,7 +19,7 @@
 from eelgrassmount.relay.admitted_fractions import AdmittedFractions
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.call_attribution import CallAttributor
-from eelgrassmount.relay.controllers import Controllers
+from eelgrassmount.relay.control_loop import ControlLoop
 from eelgrassmount.relay.messages import Call
 from eelgrassmount.relay.sender import Sender
 from eelgrassmount.topics.learned import LearnedCalls
@@ -121,7 +121,7 @@
 
 def tell_callers_only() -> None:
     """Report only to nodes that have lately sent calls."""
-    Controllers._is_loaded = lambda self: False
+    ControlLoop._is_loaded = lambda self: False
 
 
 def forget_level() -> None:
