--- a/eelgrassmount/load/dispatcher.py
+++ b/eelgrassmount/load/dispatcher.py
@@ -43,9 +43,9 @@
 
 _SWEEP_INTERVAL_S = 0.02
 _RUN_TIME_SMOOTHING = 0.1
-# A call above the threshold may wait for the typical run time, or this long if longer.
+# A call above the threshold may wait for the mean run time, or this long if longer.
 _MIN_STARVED_S = 0.1
-# A queue that has been nonempty for more typical run times is a standing queue.
+# A queue that has been nonempty for more mean run times is a standing queue.
 _STANDING_QUEUE_RUNS = 2.0
 
 
@@ -166,8 +166,8 @@
         The time since the last completion is the first sign of a server that slows
         down.
         """
-        usual_s = self.limiter.typical_s / max(self.limiter.limit, 1)
-        return max(usual_s, now_s - self._last_completion_s)
+        slot_interval_s = self.limiter.mean_run_s / max(self.limiter.limit, 1)
+        return max(slot_interval_s, now_s - self._last_completion_s)
 
     def _enqueue(self, waiting: WaitingCall, now_s: float) -> None:
         if len(self.queue) < compute_queue_capacity(self.limiter.limit):
@@ -227,7 +227,7 @@
 
     def _is_queue_standing(self, now_s: float) -> bool:
         standing_s = self.queue.compute_standing_s(now_s)
-        return standing_s > _STANDING_QUEUE_RUNS * self.limiter.typical_s
+        return standing_s > _STANDING_QUEUE_RUNS * self.limiter.mean_run_s
 
     def abandon(self, waiting: WaitingCall) -> None:
         """Drop a call whose caller has disconnected before the call started."""
@@ -278,7 +278,7 @@
         # More urgent calls fill the server; this call and its callers would only wait
         # until their deadline.
         waited_s = now_s - waiting.arrived_s
-        too_long = waited_s > max(self.limiter.typical_s, _MIN_STARVED_S)
+        too_long = waited_s > max(self.limiter.mean_run_s, _MIN_STARVED_S)
         return too_long and waiting.rank >= self.threshold.threshold
 
     def _follow_server(self, now_s: float) -> None:
--- a/eelgrassmount/load/limiter.py
+++ b/eelgrassmount/load/limiter.py
@@ -29,10 +29,10 @@
 _COHORT_ROUNDS = 4.0
 _FIRST_COHORT_ROUNDS = 1.5
 # A measurement ends when this share of its runs has completed, or when its last runs
-# are late by this multiple of the typical run time.
+# are late by this multiple of the mean run time.
 _COHORT_COMPLETED_SHARE = 0.95
 _MAX_LATE_ROUNDS = 2.0
-# Longest measurement: a fixed time plus a multiple of the typical run time.
+# Longest measurement: a fixed time plus a multiple of the mean run time.
 _MAX_MEASUREMENT_S = 2.0
 _MAX_MEASUREMENT_ROUNDS = 6
 
@@ -51,7 +51,7 @@
 _TIMEOUT_CEILING_SHARE = 0.75
 _SHED_REDUCTION_FACTOR = 0.95
 _MIN_SATURATED_SHARE = 0.9
-_TYPICAL_SMOOTHING = 0.05
+_RUN_TIME_SMOOTHING = 0.05
 _SLOW_RUN_FACTOR = 3.0
 _SLOW_RUN_SMOOTHING = 0.25
 _MAX_LOW_LOAD_SHARE = 0.5
@@ -90,7 +90,7 @@
     now_s: float = 0.0
     base_limit: float = INITIAL_LIMIT
     phase: Phase = Phase.STARTING
-    typical_s: float = 0.0
+    mean_run_s: float = 0.0
     _current: Measurement = field(init=False)
     _previous: Measurement | None = field(init=False, default=None)
     _last_reduction_s: float = field(init=False, default=-math.inf)
@@ -132,7 +132,7 @@
         current = self._current
         if current.started < current.min_runs:
             return
-        if now_s >= current.reached_s + self.typical_s:
+        if now_s >= current.reached_s + self.mean_run_s:
             current.closed_s = now_s
 
     def record(self, sample: Sample, in_flight: int, now_s: float) -> None:
@@ -145,19 +145,19 @@
             self._reduce_after_shed(in_flight, started_s, now_s)
             return
         if sample.kind is SampleKind.COMPLETE:
-            self._update_typical(sample.latency_s)
+            self._update_mean_run_s(sample.latency_s)
             if in_flight <= _MAX_LOW_LOAD_SHARE * self.limit:
                 self._low_load.add(sample, in_flight)
         if self.phase is not Phase.HOLD:
             self._add_run(sample, started_s)
         self._check_progress(now_s)
 
-    def _update_typical(self, latency_s: float) -> None:
-        if not self.typical_s:
-            self.typical_s = latency_s
-        is_slow = latency_s > _SLOW_RUN_FACTOR * self.typical_s
-        weight = _SLOW_RUN_SMOOTHING if is_slow else _TYPICAL_SMOOTHING
-        self.typical_s += weight * (latency_s - self.typical_s)
+    def _update_mean_run_s(self, latency_s: float) -> None:
+        if not self.mean_run_s:
+            self.mean_run_s = latency_s
+        is_slow = latency_s > _SLOW_RUN_FACTOR * self.mean_run_s
+        weight = _SLOW_RUN_SMOOTHING if is_slow else _RUN_TIME_SMOOTHING
+        self.mean_run_s += weight * (latency_s - self.mean_run_s)
 
     def _add_run(self, sample: Sample, started_s: float) -> None:
         current = self._current
@@ -179,7 +179,7 @@
         current = self._current
         if self.phase is Phase.HOLD:
             return
-        rounds_s = _MAX_MEASUREMENT_ROUNDS * self.typical_s
+        rounds_s = _MAX_MEASUREMENT_ROUNDS * self.mean_run_s
         if now_s - current.started_s < _MAX_MEASUREMENT_S + rounds_s:
             return
         if current.runs >= current.min_runs:
@@ -217,7 +217,7 @@
         if current.completed >= _COHORT_COMPLETED_SHARE * current.started:
             return True
         # An overloaded process records starts late and misses some runs.
-        late_s = current.closed_s + _MAX_LATE_ROUNDS * self.typical_s
+        late_s = current.closed_s + _MAX_LATE_ROUNDS * self.mean_run_s
         return now_s >= late_s
 
     def _compare(self, now_s: float) -> None:
--- a/eelgrassmount/load/refusals.py
+++ b/eelgrassmount/load/refusals.py
@@ -37,7 +37,7 @@
     """Return the mean delay, in seconds, after which refused callers should retry.
 
     This is the time needed to admit all recently refused calls at the current rate, so
-    that the retries don't exceed what is admitted now.
+    that the retries stay within that rate.
     """
     admitted_per_s = max(meter.admitted.read_per_s(now_s), 1.0)
     delay_s = meter.refused.read(now_s) / admitted_per_s
--- a/eelgrassmount/members/conflicts.py
+++ b/eelgrassmount/members/conflicts.py
@@ -21,7 +21,7 @@
 
 @define
 class Conflicts:
-    """Lets this incarnation supersede another one that claims its address.
+    """Lets this incarnation supersede another that claims its address.
 
     A restarted node does so when it receives a report about its former
     incarnation. Repeated conflicts mean that two processes run; then only the
--- a/eelgrassmount/members/detector.py
+++ b/eelgrassmount/members/detector.py
@@ -42,8 +42,8 @@
     The timeout follows the observed round trips and grows with ``health_score``,
     since a node whose probes of several members fail may be at fault itself.
     """
-    usual_s = round_trip.mean_s + _TIMEOUT_DEVIATIONS * round_trip.deviation_s
-    timeout_s = max(timing.min_probe_timeout_s, usual_s) * (1 + health_score)
+    expected_s = round_trip.mean_s + _TIMEOUT_DEVIATIONS * round_trip.deviation_s
+    timeout_s = max(timing.min_probe_timeout_s, expected_s) * (1 + health_score)
     return min(timing.max_probe_timeout_s, timeout_s)
 
 
--- a/eelgrassmount/metrics.py
+++ b/eelgrassmount/metrics.py
@@ -150,9 +150,9 @@
             registry=registry,
             buckets=CALL_BUCKETS_S,
         ),
-        refusals=count("refusals", "Calls refused or of unknown fate.", "reason"),
+        refusals=count("refusals", "Calls refused or of unknown outcome.", "reason"),
         retries=count("retries", "Calls sent once more.", "reason"),
-        dropped_answers=count("dropped_answers", "Answers thrown away.", "reason"),
+        dropped_answers=count("dropped_answers", "Answers discarded.", "reason"),
         peer_links_replaced=count(
             "peer_links_replaced", "Links to peers replaced.", "reason"
         ),
@@ -171,7 +171,7 @@
         limit=gauge("limit", "Limit of calls at once at the backend server."),
         in_flight=gauge("in_flight", "Calls running at the backend server."),
         queued=gauge("queued", "Calls waiting for the backend server."),
-        drains=count("drains", "Graceful shutdowns begun."),
+        drains=count("drains", "Graceful shutdowns started."),
         internal_errors=count("internal_errors", "Programming errors caught."),
     )
     _create_all_labels(metrics)
--- a/eelgrassmount/relay/call_attribution.py
+++ b/eelgrassmount/relay/call_attribution.py
@@ -23,7 +23,7 @@
 # milliseconds, or later, by the time that the call took to get here.
 MAX_EARLIER_DEADLINE_S = 0.0015
 MAX_LATER_DEADLINE_S = 0.0007
-USUAL_EARLIER_DEADLINE_S = 0.0003
+EXPECTED_EARLIER_DEADLINE_S = 0.0003
 # A call whose remaining time is this close to the maximum of its route may have its
 # deadline from the timeout of the route, so that the deadline doesn't identify the run.
 # The maximum decays by a share with each call.
@@ -40,9 +40,9 @@
 DEFAULT_FIRST_CALL_DELAY_S = 0.01
 FIRST_CALL_DELAY_STEP_SHARE = 0.02
 MIN_RUN_AGE_S = 0.0001
-# Factors by which the age of a run is taken to differ from the usual age at a call: for
-# a run that has made a call before, one with an open call, and one that has just had
-# an answer on another connection.
+# Factors by which the age of a run is taken to differ from the expected age at a call:
+# for a run that has made a call before, for a run with an open call, and for a run that
+# has just had an answer on another connection.
 LATER_CALL_PENALTY_FACTOR = 20.0
 OPEN_CALL_PENALTY_FACTOR = 7.0
 ANSWERED_RUN_PENALTY_FACTOR = 2.0
@@ -297,7 +297,7 @@
         """Return the run whose deadline matches that of a call.
 
         Runs without open calls come first, then those whose deadline differs from that
-        of the call by the usual amount.
+        of the call by the expected amount.
         """
         first = _truncate_to_ms(deadline_s - MAX_LATER_DEADLINE_S)
         last = _truncate_to_ms(deadline_s + MAX_EARLIER_DEADLINE_S)
@@ -310,10 +310,10 @@
             <= MAX_EARLIER_DEADLINE_S
             and self.may_call(run.call.route.name, route_name)
         ]
-        usual_s = deadline_s + USUAL_EARLIER_DEADLINE_S
+        expected_s = deadline_s + EXPECTED_EARLIER_DEADLINE_S
         return min(
             found,
-            key=lambda run: (run.open_calls > 0, abs(run.deadline_s - usual_s)),
+            key=lambda run: (run.open_calls > 0, abs(run.deadline_s - expected_s)),
             default=None,
         )
 
@@ -337,7 +337,7 @@
         )
 
     def _record_first_call(self, run: Run, route_name: str) -> None:
-        """Adjust the usual time to the first call by that of this run."""
+        """Adjust the expected time to the first call by that of this run."""
         if run.call_count:
             return
         first_call_delay_s = self._first_call_delay_s.get(
--- a/eelgrassmount/relay/completed.py
+++ b/eelgrassmount/relay/completed.py
@@ -41,7 +41,7 @@
             self._calls[key] = self._calls.get(key, 0.0) + count
 
     def record_call(self, called_route: str, attributed: bool) -> None:
-        """Count a call that is attributed to a run, or one that is not."""
+        """Count a call, whether or not it is attributed to a run."""
         counts = self._attributed if attributed else self._unattributed
         counts[called_route] = counts.get(called_route, 0.0) + 1.0
 
--- a/eelgrassmount/teams/quota_client.py
+++ b/eelgrassmount/teams/quota_client.py
@@ -30,8 +30,8 @@
 # node that gets no answer admits the usual number of requests of the second period.
 FALLBACK_PERIOD_S = 1.0
 FALLBACK_QUOTA_S = 0.3
-# Retry time of requests that are refused because no allocator answered.
-UNJUDGED_WAIT_S = 0.3
+# Retry delay of requests that are refused because no allocator answered.
+UNJUDGED_RETRY_DELAY_S = 0.3
 # Smoothing window of the rate of requests.
 RATE_WINDOW_S = 0.5
 
@@ -273,7 +273,7 @@
                 self._record_usage(team, quota)
                 self._decide(one, ALLOWED)
             else:
-                refusal = QuotaVerdict(Reason.QUOTA_UNJUDGED, UNJUDGED_WAIT_S)
+                refusal = QuotaVerdict(Reason.QUOTA_UNJUDGED, UNJUDGED_RETRY_DELAY_S)
                 self._decide(one, refusal)
 
     def _distribute_grant(
--- a/tests/calls/test_remote.py
+++ b/tests/calls/test_remote.py
@@ -73,7 +73,7 @@
     return outcome.verdict
 
 
-# Replies, the verdict on a call that is not idempotent, the verdict on one that is.
+# Replies, and the verdicts on a call that is not idempotent and on an idempotent call.
 REPLIES = {
     "answered": ([ANSWER], GOOD, GOOD),
     "never sent": ([UNSENT], NOT_RUN, NOT_RUN),
--- a/tests/edge/test_probes.py
+++ b/tests/edge/test_probes.py
@@ -150,7 +150,7 @@
         before = fixture.server.connections
         await fixture.advance_time(0.3)
         await fixture.client.send(fixture.server.address, make_call(), 0, lambda: None)
-        # One connection for the probe, and one that replaces the idle one.
+        # One connection is for the probe, the other replaces the idle connection.
         assert fixture.server.connections == before + 2
 
 
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -26,7 +26,7 @@
 @define
 class FixedLimiter:
     limit: int = LIMIT
-    typical_s: float = 0.1
+    mean_run_s: float = 0.1
 
     def record_start(self, in_flight: int, now_s: float) -> None:
         pass
