--- a/benchmarks/capacity_fit.py
+++ b/benchmarks/capacity_fit.py
@@ -1,4 +1,4 @@
-"""Slopes of the cost of a node by least squares."""
+"""Fits the cost of a node by least squares."""
 
 from __future__ import annotations
 
@@ -17,57 +17,57 @@
 
 @frozen
 class Term:
-    """One thing that a cost depends on."""
+    """One explanatory variable of a cost."""
 
     name: str
-    read: Callable[[Cost], float]
+    get_value: Callable[[Cost], float]
 
 
 @frozen
 class Fit:
-    """Coefficients with their standard errors, and what the fit leaves over."""
+    """Coefficients with their standard errors, and the residuals of the fit."""
 
     measure: str
     names: tuple[str, ...]
-    values: tuple[float, ...]
-    errors: tuple[float, ...]
+    coefficients: tuple[float, ...]
+    standard_errors: tuple[float, ...]
     residual: float
-    worst: float
+    max_residual: float
     r2: float
     samples: int
 
 
 REST_TERMS = (
     Term("base", lambda cost: 1.0),
-    Term("a member", lambda cost: cost.members),
-    Term("a summary", lambda cost: cost.summaries),
-    Term("a log reader", lambda cost: float(cost.reader)),
-    Term("a delegate", lambda cost: float(cost.delegate)),
+    Term("per member", lambda cost: cost.members),
+    Term("per summary", lambda cost: cost.summaries),
+    Term("log reader", lambda cost: float(cost.reader)),
+    Term("delegate", lambda cost: float(cost.delegate)),
     Term(
-        "a delegate's other domain",
+        "per other domain of a delegate",
         lambda cost: cost.delegate * (cost.domains - 1.0),
     ),
 )
 
 
 def fit(costs: Sequence[Cost], terms: Sequence[Term], measure: str) -> Fit:
-    """Fit a measure of the costs by a sum of the terms."""
-    table = np.array([[term.read(cost) for term in terms] for cost in costs])
-    seen = np.array([getattr(cost, measure) for cost in costs])
-    values, _, rank, _ = np.linalg.lstsq(table, seen, rcond=None)
-    left = seen - table @ values
-    freedom = max(1, len(costs) - int(rank))
-    variance = float(left @ left) / freedom
-    errors = np.sqrt(np.diag(np.linalg.pinv(table.T @ table)) * variance)
-    spread = float(((seen - seen.mean()) ** 2).sum())
+    """Fit a measure of the costs as a linear combination of the terms."""
+    matrix = np.array([[term.get_value(cost) for term in terms] for cost in costs])
+    observed = np.array([getattr(cost, measure) for cost in costs])
+    coefficients, _, rank, _ = np.linalg.lstsq(matrix, observed, rcond=None)
+    residuals = observed - matrix @ coefficients
+    degrees_of_freedom = max(1, len(costs) - int(rank))
+    variance = float(residuals @ residuals) / degrees_of_freedom
+    errors = np.sqrt(np.diag(np.linalg.pinv(matrix.T @ matrix)) * variance)
+    total_squares = float(((observed - observed.mean()) ** 2).sum())
     return Fit(
         measure,
         tuple(term.name for term in terms),
-        tuple(float(value) for value in values),
+        tuple(float(value) for value in coefficients),
         tuple(float(error) for error in errors),
         variance**0.5,
-        float(np.abs(left).max()),
-        1.0 - float(left @ left) / spread if spread else 1.0,
+        float(np.abs(residuals).max()),
+        1.0 - float(residuals @ residuals) / total_squares if total_squares else 1.0,
         len(costs),
     )
 
@@ -77,11 +77,11 @@
     terms = "  ".join(
         f"{name} {value:.4f} ±{error:.4f}"
         for name, value, error in zip(
-            result.names, result.values, result.errors, strict=True
+            result.names, result.coefficients, result.standard_errors, strict=True
         )
     )
     print(
-        f"{result.measure}: {terms}\n    residual {result.residual:.3f}, worst"
-        f" {result.worst:.3f}, r2 {result.r2:.3f}, {result.samples} samples",
+        f"{result.measure}: {terms}\n    residual {result.residual:.3f}, max"
+        f" {result.max_residual:.3f}, r2 {result.r2:.3f}, {result.samples} samples",
         flush=True,
     )
--- a/benchmarks/capacity_periodic_work.py
+++ b/benchmarks/capacity_periodic_work.py
@@ -1,19 +1,19 @@
-"""Periodic work of a node, with its slopes."""
+"""Reports the periodic work of a node by the size of its tables."""
 
 from __future__ import annotations
 
 import numpy as np
 from attrs import frozen
 
-_SHOWN = 6
-_MS = 1000
+_MAX_SHOWN_WORKS = 6
+_US_PER_MS = 1000
 
 
 @frozen
 class Work:
-    """One function: microseconds each time and how often it runs a second.
+    """One function: microseconds per run, and runs per second.
 
-    Without a rate it is part of the path of a call.
+    A rate of 0 means that the function runs for each call, not periodically.
     """
 
     name: str
@@ -22,13 +22,13 @@
 
     @property
     def ms(self) -> float:
-        """Milliseconds a second."""
-        return self.each_us * self.rate / _MS
+        """Milliseconds per second."""
+        return self.each_us * self.rate / _US_PER_MS
 
 
 @frozen
 class Table:
-    """The work of a node that knows so many members and services."""
+    """The periodic work of a node with tables of one size."""
 
     members: int
     services: int
@@ -39,12 +39,12 @@
 
     @property
     def ms(self) -> float:
-        """Milliseconds a second of all periodic work."""
+        """Milliseconds per second of all periodic work."""
         return sum(work.ms for work in self.works)
 
 
 def show_tables(tables: list[Table]) -> None:
-    """Print the periodic work of each size, its dearest parts and the slopes."""
+    """Print the periodic work for each size, its costliest functions and the slopes."""
     print("\nperiodic work on filled tables")
     for table in tables:
         role = "delegate" if table.delegate else "other"
@@ -53,19 +53,19 @@
             f" {table.summaries:5} summaries, {role:8}"
             f" {table.ms:7.2f} ms/s, tables {table.memory_mb:5.1f} MB"
         )
-        for work in table.works[:_SHOWN]:
+        for work in table.works[:_MAX_SHOWN_WORKS]:
             print(f"      {work.ms:7.3f} ms/s {work.each_us:9.1f} us {work.name}")
         for work in table.works:
             if not work.rate:
                 print(f"                   {work.each_us:9.1f} us {work.name}")
     for delegate in (False, True):
-        chosen = [table for table in tables if table.delegate is delegate]
-        terms = np.array([[1.0, one.members, one.summaries] for one in chosen])
-        seen = np.array([one.ms for one in chosen])
-        values, *_ = np.linalg.lstsq(terms, seen, rcond=None)
-        left = np.abs(seen - terms @ values).max()
+        selected = [table for table in tables if table.delegate is delegate]
+        terms = np.array([[1.0, table.members, table.summaries] for table in selected])
+        observed = np.array([table.ms for table in selected])
+        coefficients, *_ = np.linalg.lstsq(terms, observed, rcond=None)
+        max_residual = np.abs(observed - terms @ coefficients).max()
         print(
-            f"{'delegate' if delegate else 'other':8} ms/s: {values[0]:.3f}"
-            f" + {values[1]:.5f} a member + {values[2]:.6f} a summary,"
-            f" worst residual {left:.3f}"
+            f"{'delegate' if delegate else 'other':8} ms/s: {coefficients[0]:.3f}"
+            f" + {coefficients[1]:.5f} per member + {coefficients[2]:.6f} per summary,"
+            f" max residual {max_residual:.3f}"
         )
--- a/benchmarks/capacity_samples.py
+++ b/benchmarks/capacity_samples.py
@@ -1,4 +1,4 @@
-"""What each node costs in a stretch of time, and how that depends on its role."""
+"""Measures the cost of each node over a period, by the role of the node."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
     from benchmarks.capacity_cluster import Cluster, Shape, Traffic, Usage
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 @frozen
 class Cost:
-    """What one node cost in each second of one phase."""
+    """Cost of one node per second of one phase."""
 
     cpu_ms: float
     memory_mb: float
@@ -42,13 +42,13 @@
 
     @property
     def summaries(self) -> int:
-        """Summaries of other failure domains' services that the node knows."""
+        """Number of summaries of services in other failure domains."""
         return (self.domains - 1) * self.services
 
 
 @frozen
 class Appends:
-    """Records on the log in one phase, each second, and in the worst second."""
+    """Records appended to the log in one phase: mean per second, and worst second."""
 
     phase: str
     shape: Shape
@@ -60,7 +60,7 @@
 
 @frozen
 class Phase:
-    """What was measured in one phase."""
+    """Measurements of one phase."""
 
     costs: list[Cost]
     appends: Appends
@@ -68,17 +68,19 @@
 
 
 def find_delegates(cluster: Cluster) -> set[str]:
-    """Return the peer addresses of the nodes that speak for their failure domain."""
-    return _choose(cluster, lambda domain: domain, DELEGATES_PER_DOMAIN)
+    """Return the peer addresses of the delegates of all failure domains."""
+    return _choose_per_domain(cluster, lambda domain: domain, DELEGATES_PER_DOMAIN)
 
 
 def find_readers(cluster: Cluster) -> set[str]:
     """Return the peer addresses of the nodes that always tail the configuration."""
-    # the rule of eelgrassmount.config.readers with its lasting salt
-    return _choose(cluster, lambda domain: "", READERS_PER_DOMAIN)
+    # Same choice as in eelgrassmount.config.readers, with its constant salt.
+    return _choose_per_domain(cluster, lambda domain: "", READERS_PER_DOMAIN)
 
 
-def _choose(cluster: Cluster, key: Callable[[str], str], count: int) -> set[str]:
+def _choose_per_domain(
+    cluster: Cluster, key: Callable[[str], str], count: int
+) -> set[str]:
     domains: dict[str, list[str]] = {}
     for node in cluster.nodes:
         domains.setdefault(node.failure_domain, []).append(node.peer_address)
@@ -90,8 +92,8 @@
 
 
 @frozen
-class Reading:
-    """What one process had used and sent up to some moment."""
+class ProcessReading:
+    """Cumulative usage and traffic of one process."""
 
     pid: int
     usage: Usage
@@ -99,60 +101,66 @@
 
 
 def measure(
-    cluster: Cluster, name: str, seconds: float, work: Callable[[float], int]
+    cluster: Cluster, name: str, seconds: float, make_changes: Callable[[float], int]
 ) -> Phase:
-    """Measure all nodes while ``work`` makes changes until its deadline.
+    """Measure all nodes while ``make_changes`` runs until the deadline it is given.
 
-    ``work`` returns how many it made. Nodes that were replaced meanwhile are
-    left out.
+    ``make_changes`` returns the number of changes. Nodes that were restarted in the
+    meantime are left out.
     """
     appends = _sum_appends(cluster)
-    # reading the metrics costs a node something, so that comes first and last
+    # Reading metrics costs processor time, so it stays outside the measured period.
     traffics = [read_traffic(node.admin_address) for node in cluster.nodes]
     usages = [read_usage(node.process.pid) for node in cluster.nodes]
     before = {
-        node.name: Reading(node.process.pid, usage, traffic)
+        node.name: ProcessReading(node.process.pid, usage, traffic)
         for node, usage, traffic in zip(cluster.nodes, usages, traffics, strict=True)
     }
-    began_s = time.monotonic()
-    changes = work(began_s + seconds)
-    time.sleep(max(0.0, began_s + seconds - time.monotonic()))
-    took_s = time.monotonic() - began_s
-    stayed = [
+    started_s = time.monotonic()
+    changes = make_changes(started_s + seconds)
+    time.sleep(max(0.0, started_s + seconds - time.monotonic()))
+    elapsed_s = time.monotonic() - started_s
+    running_nodes = [
         node for node in cluster.nodes if node.process.pid == before[node.name].pid
     ]
-    usages = [read_usage(node.process.pid) for node in stayed]
+    usages = [read_usage(node.process.pid) for node in running_nodes]
     after = {
-        node.name: Reading(node.process.pid, usage, read_traffic(node.admin_address))
-        for node, usage in zip(stayed, usages, strict=True)
+        node.name: ProcessReading(
+            node.process.pid, usage, read_traffic(node.admin_address)
+        )
+        for node, usage in zip(running_nodes, usages, strict=True)
     }
     delegates, readers = find_delegates(cluster), find_readers(cluster)
     costs = [
         evolve(
-            _compare(before[node.name], after[node.name], took_s),
+            _compute_cost(before[node.name], after[node.name], elapsed_s),
             phase=name,
             domains=cluster.shape.domains,
             members=cluster.shape.members,
             services=cluster.shape.services,
             delegate=node.peer_address in delegates,
             reader=node.peer_address in readers,
-            changes_a_second=changes / took_s,
+            changes_a_second=changes / elapsed_s,
         )
-        for node in stayed
+        for node in running_nodes
     ]
     return Phase(
         costs,
-        _compare_appends(cluster, name, appends, took_s),
+        _compute_appends(cluster, name, appends, elapsed_s),
         _sum_errors(after) - _sum_errors({name: before[name] for name in after}),
     )
 
 
-def _compare(before: Reading, after: Reading, took_s: float) -> Cost:
+def _compute_cost(
+    before: ProcessReading, after: ProcessReading, elapsed_s: float
+) -> Cost:
     def rate(name: str) -> float:
-        return (getattr(after.traffic, name) - getattr(before.traffic, name)) / took_s
+        return (
+            getattr(after.traffic, name) - getattr(before.traffic, name)
+        ) / elapsed_s
 
     return Cost(
-        cpu_ms=_MS * (after.usage.cpu_s - before.usage.cpu_s) / took_s,
+        cpu_ms=_MS_PER_S * (after.usage.cpu_s - before.usage.cpu_s) / elapsed_s,
         memory_mb=after.usage.memory_mb,
         bytes_sent=rate("bytes_sent"),
         bytes_received=rate("bytes_received"),
@@ -161,7 +169,7 @@
     )
 
 
-def _sum_errors(readings: dict[str, Reading]) -> float:
+def _sum_errors(readings: dict[str, ProcessReading]) -> float:
     traffics = [reading.traffic for reading in readings.values()]
     return sum(traffic.log_errors + traffic.internal_errors for traffic in traffics)
 
@@ -176,8 +184,8 @@
     )
 
 
-def _compare_appends(
-    cluster: Cluster, name: str, before: Counter[tuple[str, int]], took_s: float
+def _compute_appends(
+    cluster: Cluster, name: str, before: Counter[tuple[str, int]], elapsed_s: float
 ) -> Appends:
     new = _sum_appends(cluster) - before
     seconds: Counter[int] = Counter()
@@ -188,43 +196,43 @@
     return Appends(
         phase=name,
         shape=cluster.shape,
-        seconds=took_s,
-        mean=sum(seconds.values()) / took_s,
+        seconds=elapsed_s,
+        mean=sum(seconds.values()) / elapsed_s,
         worst=max(seconds.values(), default=0),
         streams=dict(streams),
     )
 
 
 def show_costs(costs: list[Cost]) -> None:
-    """Print the mean of the nodes of each phase, and of the delegates."""
+    """Print the mean costs of the delegates and of the other nodes in one phase."""
     for delegate in (False, True):
-        chosen = [cost for cost in costs if cost.delegate is delegate]
-        if not chosen:
+        selected = [cost for cost in costs if cost.delegate is delegate]
+        if not selected:
             continue
-        one = chosen[0]
-        cpu = [cost.cpu_ms for cost in chosen]
-        most = max(cost.bytes_sent for cost in chosen)
+        first_cost = selected[0]
+        cpu = [cost.cpu_ms for cost in selected]
+        max_bytes_sent = max(cost.bytes_sent for cost in selected)
 
-        def mean(name: str, chosen: list[Cost] = chosen) -> float:
-            return statistics.mean(getattr(cost, name) for cost in chosen)
+        def mean(name: str, selected: list[Cost] = selected) -> float:
+            return statistics.mean(getattr(cost, name) for cost in selected)
 
         print(
-            f"{one.phase:16} {one.domains:3} x {one.members:3},"
-            f" {one.services:3} services,"
-            f" {'delegates' if delegate else 'others':9} {len(chosen):4}"
-            f" cpu ms/s {statistics.mean(cpu):6.2f} (most {max(cpu):6.2f})"
+            f"{first_cost.phase:16} {first_cost.domains:3} x {first_cost.members:3},"
+            f" {first_cost.services:3} services,"
+            f" {'delegates' if delegate else 'others':9} {len(selected):4}"
+            f" cpu ms/s {statistics.mean(cpu):6.2f} (max {max(cpu):6.2f})"
             f" MB {mean('memory_mb'):5.1f}"
-            f" B/s out {mean('bytes_sent'):6.0f} (most {most:6.0f})"
+            f" B/s out {mean('bytes_sent'):6.0f} (max {max_bytes_sent:6.0f})"
             f" in {mean('bytes_received'):6.0f}"
             f" msg/s out {mean('messages_sent'):5.1f}"
             f" in {mean('messages_received'):5.1f}"
-            f" changes/s {one.changes_a_second:.2f}",
+            f" changes/s {first_cost.changes_a_second:.2f}",
             flush=True,
         )
 
 
 def show_appends(appends: Appends) -> None:
-    """Print the records on the log in a phase."""
+    """Print the records appended to the log in a phase."""
     shape = appends.shape
     print(
         f"{appends.phase:16} {shape.domains:3} x {shape.members:3} appends/s"
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -1,8 +1,8 @@
-"""What at-most-once costs: memory and processor time for each key.
+"""Measures memory and processor time of at-most-once execution for each key.
 
-Run it with ``python -m benchmarks.keys``. Two nodes share one process and speak
-through encoded frames without sockets, so the processor time is that of both
-holders of a slot together.
+Run it with ``python -m benchmarks.keys``. Two nodes share one process and exchange
+encoded frames without sockets, so that the processor time includes both replicas of
+a slot.
 """
 
 from __future__ import annotations
@@ -53,14 +53,14 @@
         if offset:
             await anyio.sleep(wait_s)
             return Page(0, 1, ())
-        pair = [node.service.core.me for node in self.nodes]
+        pair = [node.service.core.node_id for node in self.nodes]
         views = [Proposal(slot, 0, *pair) for slot in range(64)]
         return Page(0, 1, (Record(0, encode_proposals(views)),))
 
 
 @define(eq=False)
 class LocalPeers:
-    """One node and its way to the other one in the same process."""
+    """One node, and its peer connection to the other one in the same process."""
 
     identity: Identity
     nodes: list[LocalPeers]
@@ -91,12 +91,12 @@
         identity = Identity(f"127.0.0.{number}:7000", DOMAIN, "", f"i{number}")
         node = LocalPeers(identity, nodes)
         nodes.append(node)
-        board = SharedNodeState(identity, log_reachable=True)
+        shared_state = SharedNodeState(identity, log_reachable=True)
         document = Document(failure_domains=(DOMAIN,))
-        board.configuration = Configuration(version=1, document=document)
+        shared_state.configuration = Configuration(version=1, document=document)
         timers = TimerService(MonotonicClock(), random.Random(number))
         node.service = KeyService.create(
-            board,
+            shared_state,
             timers,
             node,
             OneRecordLog(nodes),
@@ -106,7 +106,9 @@
     for node in nodes:
         for other in nodes:
             member = Member(other.identity, server_state=ServerState.SERVING)
-            node.service.core.board.members.members[other.identity.address] = member
+            node.service.core.shared_state.members.members[other.identity.address] = (
+                member
+            )
     return nodes
 
 
@@ -136,17 +138,17 @@
         for node in nodes:
             await node.service.start(group)
         primary = nodes[0].service
-        while not all(holder.synced for holder in primary.core.holders):
+        while not all(holder.synced for holder in primary.core.slot_states):
             await anyio.sleep(0.1)
-        figures: dict[str, list[float]] = {"plain": [], "own": [], "minted": []}
-        figures["repeat"] = []
+        figures: dict[str, list[float]] = {"plain": [], "client": [], "minted": []}
+        figures["retry"] = []
         for number in range(ROUNDS):
-            own = [f"{number}-{index}" for index in range(CALLS)]
-            minted = [primary.mint() for _ in range(CALLS)]
-            figures["plain"].append(await time_calls(answer_at_once, own))
-            figures["own"].append(await time_calls(primary.run, own))
-            figures["repeat"].append(await time_calls(primary.run, own))
-            figures["minted"].append(await time_calls(primary.run, minted))
+            client_keys = [f"{number}-{index}" for index in range(CALLS)]
+            minted_keys = [primary.mint() for _ in range(CALLS)]
+            figures["plain"].append(await time_calls(answer_at_once, client_keys))
+            figures["client"].append(await time_calls(primary.run, client_keys))
+            figures["retry"].append(await time_calls(primary.run, client_keys))
+            figures["minted"].append(await time_calls(primary.run, minted_keys))
         group.cancel_scope.cancel()
     for name, values in figures.items():
         low, high = min(values), max(values)
@@ -157,7 +159,7 @@
     table = KeyTable(Budget(KEYS, 1 << 30))
     gc.collect()
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    start_bytes = tracemalloc.get_traced_memory()[0]
     for number in range(KEYS):
         key = f"0194f3c2-7a11-7000-8000-{number:012x}"
         body = b'{"booking": %d, "state": "accepted"}' % number
@@ -165,9 +167,9 @@
         table.put(entry)
         table.finish(entry, Outcome(Answered(201, (), body)), 1.0)
         find_slot(key)
-    used = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - start_bytes
     tracemalloc.stop()
-    print(f"memory   {used / KEYS:7.0f} bytes a key at each holder, body included")
+    print(f"memory   {used_bytes / KEYS:7.0f} bytes per key at each replica, with body")
 
 
 def main() -> None:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""What membership costs each node, and how soon a failure is found.
+"""Measures what membership costs each node, and how soon failures are detected.
 
-``python -m benchmarks.membership`` runs everything in one process, on a clock
-that is moved by hand and a network in memory that encodes each message. So
-bytes and messages are exact; processor time has the codec in it but no sockets.
+``python -m benchmarks.membership`` runs all nodes in one process, on a manual clock
+and an in-memory network that encodes each message. Counts of bytes and messages are
+exact; processor time includes the codec but no sockets.
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 SEED = 20261202
 SETTLE_S = 20.0
 MEASURE_S = 20.0
-BETWEEN_FREEZES_S = 10.0
+FREEZE_INTERVAL_S = 10.0
 FREEZES_S = (0.1, 0.3, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
-JOIN_LIMIT_S = 120.0
+JOIN_TIMEOUT_S = 120.0
 PARTS = ("costs", "detection", "drain", "ideas", "all")
-GONE = (MemberState.SUSPECT, MemberState.DEAD)
+SUSPECT_OR_DEAD = (MemberState.SUSPECT, MemberState.DEAD)
 
 
 @frozen
 class Cost:
-    """The cost of one node in one second, and of joining."""
+    """Cost of one node per second, and of joining."""
 
     scenario: str
     nodes: int
@@ -60,7 +60,7 @@
 
 @frozen
 class Detection:
-    """How freezes of one length were seen, over some runs."""
+    """How the other nodes detected freezes of one length, over several runs."""
 
     nodes: int
     freeze_s: float
@@ -76,35 +76,35 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
 
-def make_load(rng: random.Random, changing: bool) -> Callable[[], ServiceLoad]:
-    def describe() -> ServiceLoad:
+def make_describe_load(rng: random.Random, changing: bool) -> Callable[[], ServiceLoad]:
+    def describe_load() -> ServiceLoad:
         headroom = rng.choice([5, 20, 80]) if changing else 20
         return ServiceLoad("service", headroom=headroom)
 
-    return describe
+    return describe_load
 
 
-async def grow(
+async def start_nodes(
     network: Network, domains: int, nodes: int, services: int, changing: bool
 ) -> float:
-    """Start all nodes at once through a few seeds; return the time it took."""
+    """Start all nodes at once with a few seeds; return the seconds until all joined."""
     seeds = tuple(f"127.{domain + 1}.0.1:9000" for domain in range(domains))
     for index in range(nodes):
         for domain in range(domains):
             address = f"127.{domain + 1}.{index // 250}.{index % 250 + 1}:9000"
-            load = make_load(network.rng, changing)
-            node = await network.add(address, f"domain-{domain}", seeds, load)
+            describe_load = make_describe_load(network.rng, changing)
+            node = await network.add(address, f"domain-{domain}", seeds, describe_load)
             node.serve(f"service-{index % services}")
 
     def complete() -> bool:
-        wanted = (domains - 1) * services
+        expected_summaries = (domains - 1) * services
         return all(
-            len(node.board.members.members) == nodes
-            and len(node.board.members.summaries) == wanted
+            len(node.shared_state.members.members) == nodes
+            and len(node.shared_state.members.summaries) == expected_summaries
             for node in network.nodes.values()
         )
 
-    return await network.run_until(complete, JOIN_LIMIT_S)
+    return await network.run_until(complete, JOIN_TIMEOUT_S)
 
 
 async def measure_cost(
@@ -114,23 +114,23 @@
     rng = random.Random(SEED)
     async with Network(rng).open() as network:
         changing = scenario == "load changes"
-        join_s = await grow(network, domains, nodes, services, changing)
-        everyone = list(network.nodes.values())
-        total = len(everyone)
-        join_kb = sum(node.bytes_out for node in everyone) / total / 1024
+        join_s = await start_nodes(network, domains, nodes, services, changing)
+        all_nodes = list(network.nodes.values())
+        total = len(all_nodes)
+        join_kb = sum(node.bytes_out for node in all_nodes) / total / 1024
         await network.run(SETTLE_S)
-        before = [(node.bytes_out, node.messages_out) for node in everyone]
+        before = [(node.bytes_out, node.messages_out) for node in all_nodes]
         pulls = count(network, Count.PULLS)
         cpu_s = network.cpu_s
         await (churn(network, churn_s) if churn_s else network.run(MEASURE_S))
         cpu_s = network.cpu_s - cpu_s
         sent = [
-            node.bytes_out - was
-            for node, (was, _) in zip(everyone, before, strict=True)
+            node.bytes_out - previous
+            for node, (previous, _) in zip(all_nodes, before, strict=True)
         ]
         messages = [
-            node.messages_out - was
-            for node, (_, was) in zip(everyone, before, strict=True)
+            node.messages_out - previous
+            for node, (_, previous) in zip(all_nodes, before, strict=True)
         ]
         return Cost(
             scenario,
@@ -147,19 +147,19 @@
         )
 
 
-async def churn(network: Network, every_s: float) -> None:
-    """Let servers drain and serve again, one change in each ``every_s`` seconds."""
-    steps = int(MEASURE_S / every_s)
+async def churn(network: Network, interval_s: float) -> None:
+    """Drain and restore random servers, one change each ``interval_s`` seconds."""
+    steps = int(MEASURE_S / interval_s)
     for step in range(steps):
         node = network.rng.choice(list(network.nodes.values()))
         state = ServerState.DRAINING if step % 2 else ServerState.SERVING
-        node.serve(node.board.server.service, state)
-        await network.run(every_s)
+        node.serve(node.shared_state.server.service, state)
+        await network.run(interval_s)
 
 
 @frozen
-class Spread:
-    """How long it took until no node would send work to a draining server."""
+class DrainDelay:
+    """Seconds until no node would send work to a draining server."""
 
     nodes: int
     domains: int
@@ -168,65 +168,67 @@
     seconds: list[float]
 
 
-async def measure_spread(domains: int, nodes: int, loss: float, runs: int) -> Spread:
+async def measure_drain_delay(
+    domains: int, nodes: int, loss: float, runs: int
+) -> DrainDelay:
     async with Network(random.Random(SEED)).open() as network:
-        await grow(network, domains, nodes, min(nodes, 10), changing=False)
+        await start_nodes(network, domains, nodes, min(nodes, 10), changing=False)
         network.loss = loss
-        took = []
+        durations = []
         for _ in range(runs):
             await network.run(5.0)
-            leaving = network.rng.choice(list(network.nodes.values()))
-            service = leaving.board.server.service
-            leaving.serve(service, ServerState.DRAINING)
-            unknown = partial(is_unknown, network, leaving.address, service)
-            took.append(await network.run_until(unknown, 30.0))
-            leaving.serve(service)
-        return Spread(domains * nodes, domains, loss, runs, took)
+            draining = network.rng.choice(list(network.nodes.values()))
+            service = draining.shared_state.server.service
+            draining.serve(service, ServerState.DRAINING)
+            drain_known = partial(is_drain_known, network, draining.address, service)
+            durations.append(await network.run_until(drain_known, 30.0))
+            draining.serve(service)
+        return DrainDelay(domains * nodes, domains, loss, runs, durations)
 
 
-def is_unknown(network: Network, address: str, service: str) -> bool:
+def is_drain_known(network: Network, address: str, service: str) -> bool:
     return not any(
-        knows_as_serving(node, address, service) for node in network.nodes.values()
+        is_seen_serving(node, address, service) for node in network.nodes.values()
     )
 
 
-def knows_as_serving(node: Node, address: str, service: str) -> bool:
-    near = node.board.members.members.get(address)
-    if near is not None and near.serves:
+def is_seen_serving(node: Node, address: str, service: str) -> bool:
+    member = node.shared_state.members.members.get(address)
+    if member is not None and member.serves:
         return True
-    far = node.board.members.find_summaries(service)
-    return any(address in summary.addresses for summary in far)
+    summaries = node.shared_state.members.find_summaries(service)
+    return any(address in summary.addresses for summary in summaries)
 
 
-def show_spreads(spreads: list[Spread]) -> None:
-    print("nodes  dom  loss  runs  s until no new work: median   p90  worst")
-    for one in spreads:
-        ordered = sorted(one.seconds)
+def show_drain_delays(drain_delays: list[DrainDelay]) -> None:
+    print("nodes  dom  loss  runs  s until no new work: median   p90    max")
+    for delay in drain_delays:
+        ordered = sorted(delay.seconds)
         print(
-            f"{one.nodes:5} {one.domains:4} {one.loss:5.2f} {one.runs:5}"
+            f"{delay.nodes:5} {delay.domains:4} {delay.loss:5.2f} {delay.runs:5}"
             f" {statistics.median(ordered):28.2f}"
             f" {ordered[int(0.9 * len(ordered))]:5.2f} {ordered[-1]:6.2f}"
         )
 
 
-async def run_spreads(runs: int) -> None:
-    spreads = [
-        await measure_spread(domains, nodes, loss, runs)
+async def run_drain_delays(runs: int) -> None:
+    drain_delays = [
+        await measure_drain_delay(domains, nodes, loss, runs)
         for domains, nodes in ((1, 30), (1, 200), (14, 20))
         for loss in (0.0, 0.01)
     ]
-    show_spreads(spreads)
-    print(json.dumps({"spreads": [asdict(one) for one in spreads]}))
+    show_drain_delays(drain_delays)
+    print(json.dumps({"spreads": [asdict(delay) for delay in drain_delays]}))
 
 
-async def run_ideas(runs: int) -> None:
-    """Compare staggered publishing and damped flapping with the lack of them."""
+async def run_comparisons(runs: int) -> None:
+    """Compare runs with and without staggered publishing and flap damping."""
     for stagger_s in (Timing().delegate_stagger_s, 0.0):
-        published, took = await measure_stagger(stagger_s, runs)
+        published, durations = await measure_stagger(stagger_s, runs)
         print(
-            f"stagger {stagger_s:.1f} s: {published:.2f} summaries a change,"
-            f" no new work after {statistics.median(took):.2f} s"
-            f" (worst {max(took):.2f})"
+            f"stagger {stagger_s:.1f} s: {published:.2f} summaries per change,"
+            f" no new work after {statistics.median(durations):.2f} s"
+            f" (max {max(durations):.2f})"
         )
     for max_hold_s in (flapping.MAX_HOLD_S, 0.0):
         returns, share = await measure_flapping(max_hold_s)
@@ -237,40 +239,43 @@
 
 
 async def measure_stagger(stagger_s: float, runs: int) -> tuple[float, list[float]]:
-    """Return summaries published for each change, and the times until known."""
+    """Return summaries published per change, and the seconds until each was known."""
     timing = Timing(delegate_stagger_s=stagger_s)
     async with Network(random.Random(SEED), timing=timing).open() as network:
-        await grow(network, 3, 12, 4, changing=False)
+        await start_nodes(network, 3, 12, 4, changing=False)
         await network.run(SETTLE_S)
         before = count(network, Count.SUMMARIES_PUBLISHED)
-        took = []
+        durations = []
         for run in range(2 * runs):
             node = list(network.nodes.values())[7 * (run // 2) % 36]
-            service = node.board.server.service
+            service = node.shared_state.server.service
             if run % 2:
                 node.serve(service)
             else:
                 node.serve(service, ServerState.DRAINING)
-                unknown = partial(is_unknown, network, node.address, service)
-                took.append(await network.run_until(unknown, 30.0))
+                drain_known = partial(is_drain_known, network, node.address, service)
+                durations.append(await network.run_until(drain_known, 30.0))
             await network.run(5.0)
         published = count(network, Count.SUMMARIES_PUBLISHED) - before
-        return published / (2 * runs), took
+        return published / (2 * runs), durations
 
 
 async def measure_flapping(max_hold_s: float) -> tuple[float, float]:
-    """Freeze one of 20 nodes for 2 s in each 5 s, for two minutes."""
-    usual_s, flapping.MAX_HOLD_S = flapping.MAX_HOLD_S, max_hold_s
+    """Return returns to service per node, and the share of time in service.
+
+    One of 20 nodes is frozen for 2 s of every 5 s, for two minutes.
+    """
+    default_max_hold_s, flapping.MAX_HOLD_S = flapping.MAX_HOLD_S, max_hold_s
     async with Network(random.Random(SEED)).open() as network:
-        await grow(network, 1, 20, 1, changing=False)
+        await start_nodes(network, 1, 20, 1, changing=False)
         victim, *others = network.nodes.values()
         seen = dict.fromkeys((node.address for node in others), True)
         returns = steps = serving = 0
 
-        def watch() -> bool:
+        def observe() -> bool:
             nonlocal returns, steps, serving
             for node in others:
-                serves = node.board.members.members[victim.address].serves
+                serves = node.shared_state.members.members[victim.address].serves
                 returns += serves and not seen[node.address]
                 seen[node.address] = serves
                 steps += 1
@@ -279,10 +284,10 @@
 
         for _ in range(24):
             victim.freeze()
-            await network.run_until(watch, 2.0)
+            await network.run_until(observe, 2.0)
             victim.thaw()
-            await network.run_until(watch, 3.0)
-    flapping.MAX_HOLD_S = usual_s
+            await network.run_until(observe, 3.0)
+    flapping.MAX_HOLD_S = default_max_hold_s
     return returns / len(others), serving / steps
 
 
@@ -297,9 +302,9 @@
     result = Detection(nodes, freeze_s, runs, 0, 0)
     suspected = dead = 0
     async with Network(rng).open() as network:
-        await grow(network, 1, nodes, 1, changing=False)
+        await start_nodes(network, 1, nodes, 1, changing=False)
         for _ in range(runs):
-            await network.run(BETWEEN_FREEZES_S)
+            await network.run(FREEZE_INTERVAL_S)
             victim = rng.choice(list(network.nodes.values()))
             seen = await freeze(network, victim, freeze_s, result)
             suspected += MemberState.SUSPECT in seen or MemberState.DEAD in seen
@@ -319,15 +324,15 @@
 async def freeze(
     network: Network, victim: Node, freeze_s: float, result: Detection
 ) -> set[MemberState]:
-    """Freeze a node for a while and note what the others think of it."""
+    """Freeze a node, and record the states in which the others see it."""
     others = [node for node in network.nodes.values() if node is not victim]
     seen: set[MemberState] = set()
     start_s = network.clock.now_s
 
-    def watch() -> bool:
-        states = {node.sees(victim.address) for node in others}
+    def observe() -> bool:
+        states = {node.get_member_state(victim.address) for node in others}
         elapsed_s = network.clock.now_s - start_s
-        if not seen & set(GONE) and states & set(GONE):
+        if not seen & set(SUSPECT_OR_DEAD) and states & set(SUSPECT_OR_DEAD):
             result.suspect_s.append(elapsed_s)
         if MemberState.DEAD not in seen and MemberState.DEAD in states:
             result.dead_s.append(elapsed_s)
@@ -335,14 +340,17 @@
         return False
 
     victim.freeze()
-    await network.run_until(watch, freeze_s)
+    await network.run_until(observe, freeze_s)
     victim.thaw()
 
-    def back() -> bool:
-        watch()
-        return all(node.sees(victim.address) is MemberState.ALIVE for node in others)
+    def all_see_alive() -> bool:
+        observe()
+        return all(
+            node.get_member_state(victim.address) is MemberState.ALIVE
+            for node in others
+        )
 
-    result.back_s.append(await network.run_until(back, 60.0))
+    result.back_s.append(await network.run_until(all_see_alive, 60.0))
     return seen
 
 
@@ -361,7 +369,7 @@
 
 
 def show_slopes(costs: list[Cost]) -> None:
-    """Fit the cost against the number of members, in one failure domain at rest."""
+    """Fit the cost at rest to the number of members of one failure domain."""
     rest = [cost for cost in costs if cost.scenario == "rest" and cost.domains == 1]
     if len(rest) < 3:
         return
@@ -370,14 +378,16 @@
         values = np.array([getattr(cost, name) for cost in rest])
         slope, base = np.polyfit(nodes, values, 1)
         fitted = slope * nodes + base
-        spread = ((values - values.mean()) ** 2).sum()
-        fit = 1 - ((values - fitted) ** 2).sum() / spread if spread else 1.0
-        print(f"{name}: {base:.3f} + {slope:.6f} a member, r2 {fit:.3f}")
+        total_squares = ((values - values.mean()) ** 2).sum()
+        r2 = (
+            1 - ((values - fitted) ** 2).sum() / total_squares if total_squares else 1.0
+        )
+        print(f"{name}: {base:.3f} + {slope:.6f} per member, r2 {r2:.3f}")
 
 
 def show_detections(detections: list[Detection]) -> None:
     print(
-        "freeze s  runs  suspected  dead   s to suspicion   s to verdict   s until back"
+        "freeze s  runs  suspected  dead   s to suspicion   s to declared    s to alive"
     )
 
     def show(values: list[float]) -> str:
@@ -385,11 +395,12 @@
             return f"{'-':>15}"
         return f"{statistics.median(values):7.2f}/{max(values):6.2f} "
 
-    for one in detections:
+    for detection in detections:
         print(
-            f"{one.nodes:5} {one.freeze_s:9.1f} {one.runs:5} {one.suspected:10}"
-            f" {one.declared_dead:5}"
-            f" {show(one.suspect_s)} {show(one.dead_s)} {show(one.back_s)}"
+            f"{detection.nodes:5} {detection.freeze_s:9.1f} {detection.runs:5}"
+            f" {detection.suspected:10} {detection.declared_dead:5}"
+            f" {show(detection.suspect_s)} {show(detection.dead_s)}"
+            f" {show(detection.back_s)}"
         )
 
 
@@ -419,7 +430,7 @@
     detections = [await measure_detection(freeze_s, 30, runs) for freeze_s in FREEZES_S]
     detections.append(await measure_detection(10.0, 200, runs // 4))
     show_detections(detections)
-    print(json.dumps({"detections": [asdict(one) for one in detections]}))
+    print(json.dumps({"detections": [asdict(detection) for detection in detections]}))
 
 
 def main() -> None:
@@ -435,9 +446,9 @@
     if options.part in ("detection", "all"):
         anyio.run(run_detections, options.runs)
     if options.part in ("drain", "all"):
-        anyio.run(run_spreads, options.runs)
+        anyio.run(run_drain_delays, options.runs)
     if options.part in ("ideas", "all"):
-        anyio.run(run_ideas, options.runs)
+        anyio.run(run_comparisons, options.runs)
     print(f"took {time.monotonic() - started_s:.0f} s")
 
 
--- a/benchmarks/overload_shapes.py
+++ b/benchmarks/overload_shapes.py
@@ -1,4 +1,4 @@
-"""The deployments under overload, scaled down from those of the users."""
+"""Defines the deployments for overload, scaled down from those of the users."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from standins.layout import ServiceSpec
 from standins.plans import Plan, expect_shape
 
-# slots, connections and so the rates are divided by this
-SCALE = 5
+# divides slots and connections, and thereby rates
+SCALE_DIVISOR = 5
 CALLER_TIMEOUT_MS = 6000.0
 
 
 @frozen
 class ClassSpec:
-    """One class of work: its route, its target, and its part of the mix."""
+    """One class of requests: its route, its target, and its weight in the mix."""
 
     name: str
     method: str
@@ -27,13 +27,13 @@
 
     @property
     def keyed(self) -> bool:
-        """Tell whether requests of the class carry idempotency keys."""
+        """Return whether requests of the class carry idempotency keys."""
         return self.method == "POST"
 
 
 @frozen
 class ServiceShape:
-    """One service, which has one server in each failure domain here."""
+    """One service, with one server in each failure domain."""
 
     name: str
     slots: int
@@ -43,8 +43,8 @@
 
     @property
     def scaled_slots(self) -> int:
-        """Return the slots of one server here."""
-        return self.slots // SCALE
+        """Return the slots of one server after scaling."""
+        return self.slots // SCALE_DIVISOR
 
 
 @frozen
@@ -56,7 +56,7 @@
     delay_ms: float
     services: tuple[ServiceShape, ...]
     classes: tuple[ClassSpec, ...]
-    scarce: str
+    bottleneck: str
 
     @property
     def plans(self) -> dict[str, Plan]:
@@ -68,57 +68,59 @@
 
     def find_service(self, name: str) -> ServiceShape:
         """Return a service by name."""
-        return next(one for one in self.services if one.name == name)
+        return next(service for service in self.services if service.name == name)
 
-    def expect(self, one: ClassSpec) -> str:
-        """Return the shape of a complete answer."""
-        return expect_shape(self.plans, one.method, one.path)
+    def describe_complete_answer(self, spec: ClassSpec) -> str:
+        """Return the shape of a complete response."""
+        return expect_shape(self.plans, spec.method, spec.path)
 
-    def count_scarce_calls(self, one: ClassSpec) -> int:
-        """Return how many calls of the scarce service a request makes."""
-        return self.expect(one).count(self.scarce)
+    def count_bottleneck_calls(self, spec: ClassSpec) -> int:
+        """Return how many calls of the bottleneck service a request makes."""
+        return self.describe_complete_answer(spec).count(self.bottleneck)
 
     @property
-    def scarce_limit_per_s(self) -> float:
-        """Return what the scarce service can do: slots by service time."""
-        service = self.find_service(self.scarce)
+    def bottleneck_capacity_per_s(self) -> float:
+        """Return the calls per second that the bottleneck service can complete."""
+        service = self.find_service(self.bottleneck)
         slots = service.scaled_slots * len(self.failure_domains)
         return slots / (service.service_time_ms / 1000)
 
     @property
     def capacity_per_s(self) -> float:
-        """Return the rate of requests of the mix that fills the scarce service."""
-        total = sum(one.weight for one in self.classes)
-        calls = sum(one.weight * self.count_scarce_calls(one) for one in self.classes)
-        return self.scarce_limit_per_s * total / calls
+        """Return the rate of requests that saturates the bottleneck service."""
+        total = sum(spec.weight for spec in self.classes)
+        calls = sum(
+            spec.weight * self.count_bottleneck_calls(spec) for spec in self.classes
+        )
+        return self.bottleneck_capacity_per_s * total / calls
 
     def make_call_classes(self) -> tuple[CallClass, ...]:
-        """Return the classes as the callers know them."""
+        """Return the classes in the form that the callers take."""
         return tuple(
             CallClass(
-                one.name,
-                one.method,
-                one.path,
-                self.expect(one),
-                one.weight,
-                one.keyed,
+                spec.name,
+                spec.method,
+                spec.path,
+                self.describe_complete_answer(spec),
+                spec.weight,
+                spec.keyed,
                 CALLER_TIMEOUT_MS,
             )
-            for one in self.classes
+            for spec in self.classes
         )
 
-    def make_services(self, queue_slots: float | None) -> tuple[ServiceSpec, ...]:
+    def make_services(self, queue_factor: float | None) -> tuple[ServiceSpec, ...]:
         """Return the services for a deployment.
 
-        A server sheds beyond its connections, or beyond ``queue_slots`` times
-        its slots waiting.
+        A server sheds beyond its connections, or beyond ``queue_factor`` waiting
+        requests per slot.
         """
         specs = []
         for service in self.services:
             slots = service.scaled_slots
-            queue = service.connections // SCALE - slots
-            if queue_slots is not None:
-                queue = max(1, int(queue_slots * slots))
+            queue = service.connections // SCALE_DIVISOR - slots
+            if queue_factor is not None:
+                queue = max(1, int(queue_factor * slots))
             specs.append(
                 ServiceSpec(
                     service.name,
@@ -134,16 +136,16 @@
         """Return the configuration that operators would publish."""
         domains = ", ".join(f'"{name}"' for name in self.failure_domains)
         lines = [f"failure_domains = [{domains}]"]
-        for one in self.classes:
+        for spec in self.classes:
             lines += [
                 "",
                 "[[class]]",
-                f'name = "{one.name}"',
-                f'routes = ["{one.method} {one.path}"]',
-                f"idempotent = {str(not one.keyed).lower()}",
-                f"refuse_last = {str(one.refuse_last).lower()}",
-                f"complete_fraction = {one.complete_fraction}",
-                f"within_ms = {one.within_ms}",
+                f'name = "{spec.name}"',
+                f'routes = ["{spec.method} {spec.path}"]',
+                f"idempotent = {str(not spec.keyed).lower()}",
+                f"refuse_last = {str(spec.refuse_last).lower()}",
+                f"complete_fraction = {spec.complete_fraction}",
+                f"within_ms = {spec.within_ms}",
             ]
         return "\n".join(lines) + "\n"
 
@@ -185,7 +187,7 @@
         ClassSpec("status", "GET", "/proofline/status", 0.5, False, 0.9, 3000),
         ClassSpec("price", "GET", "/ratebook/prices", 0.2, False, 0.9, 2000),
     ),
-    scarce="proofline",
+    bottleneck="proofline",
 )
 
 _HISTORY = Plan((("GET", "/history-svc/events"),))
@@ -246,7 +248,7 @@
         ClassSpec("tracking", "GET", "/status-svc/tracking", 0.5, False, 0.9, 3000),
         ClassSpec("history", "GET", "/history-svc/events", 0.2, False, 0.9, 2000),
     ),
-    scarce="status-svc",
+    bottleneck="status-svc",
 )
 
 SHAPES = {shape.name: shape for shape in (SAMITI, SFRAGIDA)}
--- a/benchmarks/readers.py
+++ b/benchmarks/readers.py
@@ -1,9 +1,8 @@
-"""What the nodes that listen to a reader of the log cost it.
+"""Measures the cost of a log reader by the number of its subscribers.
 
-Run it with ``python -m benchmarks.readers``. A reader is asked by many nodes, over
-frames that are encoded and decoded as on a link; only its own work is timed, in
-processor time. The ratio between numbers of nodes holds on a busy machine, the
-milliseconds are of this one.
+Run it with ``python -m benchmarks.readers``. Many nodes subscribe to one reader,
+through frames that are encoded and decoded as on a link. Only the processor time of
+the reader is measured.
 """
 
 from __future__ import annotations
@@ -24,15 +23,15 @@
 from eelgrassmount.topics.readers import SUBSCRIBE_INTERVAL_S
 from eelgrassmount.util.addresses import Address
 
-LISTENERS = (16, 32, 64, 128)
+SUBSCRIBER_COUNTS = (16, 32, 64, 128)
 ROUTES = 8
 ROUNDS = 40
-STEPS_PER_ROUND = 4
+UPDATES_PER_ROUND = 4
 SERVICES = 4
 
 
-def make_question(number: int, rng: random.Random) -> bytes:
-    """Return a question of a node with counts of some routes."""
+def make_subscribe_frame(number: int, rng: random.Random) -> bytes:
+    """Return an encoded subscription of a node, with counts of some routes."""
     routes = [f"shop.example/route-{route}/" for route in range(ROUTES)]
     counts = {name: rng.uniform(1.0, 40.0) for name in routes}
     tally = Tally(
@@ -46,38 +45,38 @@
     return encode_struct(struct)
 
 
-def measure_second(listeners: int) -> float:
-    """Return the processor seconds that a reader works for its listeners a second."""
-    rng = random.Random(listeners)
+def measure_cpu_s(subscribers: int) -> float:
+    """Return the processor seconds per second of a reader with these subscribers."""
+    rng = random.Random(subscribers)
     host = "127.0.0.1"
     addresses = [Address(host, port) for port in range(7620, 7626)]
     node = build_relay(RelaySettings("reader", "a", "service-0", *addresses))
-    node.put_own()
-    for number in range(listeners):
-        node.beliefs.members.put(f"node-{number}", f"{host}:7620", "a", "service-1")
-    questions = [make_question(number, rng) for number in range(listeners)]
+    node.register_local_node()
+    for number in range(subscribers):
+        node.state.members.put(f"node-{number}", f"{host}:7620", "a", "service-1")
+    payloads = [make_subscribe_frame(number, rng) for number in range(subscribers)]
 
     def send(kind: FrameKind, struct: object) -> None:
         encode_frame(kind, struct)
 
-    begun_s = time.process_time()
+    started_s = time.process_time()
     for _ in range(ROUNDS):
-        for payload in questions:
+        for payload in payloads:
             struct = decode_struct(ttypes.RelaySubscribe, payload)
             node.readers.handle_subscribe(struct, send)
-        for _ in range(STEPS_PER_ROUND):
-            node.readers._update_cluster_counts(node.beliefs.clock())
-    return (time.process_time() - begun_s) / ROUNDS / SUBSCRIBE_INTERVAL_S
+        for _ in range(UPDATES_PER_ROUND):
+            node.readers._update_cluster_counts(node.state.clock())
+    return (time.process_time() - started_s) / ROUNDS / SUBSCRIBE_INTERVAL_S
 
 
 def main() -> None:
-    """Print the work of a reader by the number of nodes that listen to it."""
-    least = measure_second(LISTENERS[0])
-    for listeners in LISTENERS:
-        second = measure_second(listeners)
+    """Print the processor time of a reader by the number of its subscribers."""
+    base_s = measure_cpu_s(SUBSCRIBER_COUNTS[0])
+    for subscribers in SUBSCRIBER_COUNTS:
+        cpu_s = measure_cpu_s(subscribers)
         print(
-            f"{listeners:4} nodes: {second * 1000:6.2f} ms a second, "
-            f"{second / least:5.2f} times that of {LISTENERS[0]}"
+            f"{subscribers:4} nodes: {cpu_s * 1000:6.2f} ms per second, "
+            f"{cpu_s / base_s:5.2f} times that of {SUBSCRIBER_COUNTS[0]}"
         )
 
 
--- a/eelgrassmount/cmd/config.py
+++ b/eelgrassmount/cmd/config.py
@@ -21,29 +21,29 @@
 if TYPE_CHECKING:
     from eelgrassmount.util.addresses import Address
 
-SETTLE_LIMIT_S = 20.0
+PUBLISH_TIMEOUT_S = 20.0
 
 _ID_BYTES = 8
 _OK = 200
-_LOST = 409
+_CONFLICT = 409
 _INVALID = 422
-_UNSETTLED = 503
-_RETRY_S = 1.0
+_OUTCOME_UNKNOWN = 503
+_DEFAULT_RETRY_DELAY_S = 1.0
 _HISTORY_COLUMNS = ("version", "base", "offset", "bytes")
 
 
 def publish(file: str, admin: str = "", base: str = "", json: bool = False) -> Action:
     """Publish a configuration.
 
-    It replaces the version that is in force; if another operator is faster, nothing
-    is changed and the command ends with 1. An answer that was lost is asked for
-    again; if the outcome stays unknown it ends with 4, and `config show` tells later.
+    It replaces the version in force. If another operator publishes first, nothing
+    changes and the exit code is 1. The request is retried after a lost reply; if the
+    outcome stays unknown, the exit code is 4, and `config show` shows it later.
 
     Args:
         file: The TOML file, or - for standard input.
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
         base: The version to replace; else the one in force. Give the version that
-            the file was made from, so that no other operator's change is undone.
+            the file is based on, so that no other operator's change is reverted.
         json: Print JSON.
     """
 
@@ -81,7 +81,7 @@
 def validate(file: str, json: bool = False) -> Action:
     """Check a configuration file without a node.
 
-    Every error is printed with its line; the command ends with 1 if there is one.
+    Errors are printed with their lines; the exit code is 1 if there are any.
 
     Args:
         file: The TOML file, or - for standard input.
@@ -103,7 +103,7 @@
 
 
 def history(admin: str = "", json: bool = False) -> Action:
-    """List the versions that the log still holds, oldest first.
+    """List the versions that the log still contains, oldest first.
 
     Args:
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
@@ -124,25 +124,30 @@
 
 
 def rollback(version: str, admin: str = "", json: bool = False) -> Action:
-    """Publish an old version's content as a new version.
+    """Publish the content of an earlier version as a new version.
 
     Args:
-        version: The version to bring back, as listed by `config history`.
+        version: The version to restore, as listed by `config history`.
         admin: Admin address (ip:port) of any node; else EELGRASSMOUNT_ADMIN.
         json: Print JSON.
     """
 
     def start() -> ExitCode:
-        wanted = read_version("version", version)
+        requested = read_version("version", version)
         address = read_admin_address(admin)
         base = _read_in_force(address)
         entries = read_admin(address, "/config/history")["versions"]
         texts = {entry["version"]: entry["text"] for entry in entries}
-        if wanted not in texts:
-            print(f"version {wanted} is not kept, see: config history", file=sys.stderr)
+        if requested not in texts:
+            print(
+                f"version {requested} is not stored, see: config history",
+                file=sys.stderr,
+            )
             return ExitCode.REFUSED
-        name = f"version {wanted}"
-        return _publish_text(address, texts[wanted], base, is_set("json", json), name)
+        name = f"version {requested}"
+        return _publish_text(
+            address, texts[requested], base, is_set("json", json), name
+        )
 
     return Action(start)
 
@@ -154,35 +159,34 @@
 def _publish_text(
     address: Address, text: str, base: int, as_json: bool, name: str
 ) -> ExitCode:
-    reply = _settle(address, text, base)
+    reply = _publish_until_settled(address, text, base)
     match reply.status:
         case status if status == _OK:
             version = reply.content["version"]
             print_result(f"version {version} is accepted", reply.content, as_json)
             return ExitCode.DONE
-        case status if status == _LOST:
+        case status if status == _CONFLICT:
             return _print_refusal(reply.content, as_json, ExitCode.REFUSED)
         case status if status == _INVALID:
             return _print_errors(reply.content["errors"], name, as_json)
-        case status if status == _UNSETTLED:
+        case status if status == _OUTCOME_UNKNOWN:
             return _print_refusal(reply.content, as_json, ExitCode.UNKNOWN)
     require_success(address, reply)
     return ExitCode.REFUSED
 
 
-def _settle(address: Address, text: str, base: int) -> AdminReply:
-    """Send a publish until its outcome is known or the time is over.
+def _publish_until_settled(address: Address, text: str, base: int) -> AdminReply:
+    """Retry a publish until its outcome is known or `PUBLISH_TIMEOUT_S` is over.
 
-    All sendings carry one id, so that a node that got the first one answers for
-    that one and publishes nothing twice.
+    All attempts carry one id, so that the node publishes the text at most once.
     """
     path = f"/config?base={base}&id={secrets.token_hex(_ID_BYTES)}"
-    end_s = time.monotonic() + SETTLE_LIMIT_S
+    end_s = time.monotonic() + PUBLISH_TIMEOUT_S
     while True:
         reply = _send_once(address, path, text)
-        if reply.status != _UNSETTLED:
+        if reply.status != _OUTCOME_UNKNOWN:
             return reply
-        wait_s = reply.content.get("retry_after_ms", 0) / 1000 or _RETRY_S
+        wait_s = reply.content.get("retry_after_ms", 0) / 1000 or _DEFAULT_RETRY_DELAY_S
         if time.monotonic() + wait_s > end_s:
             return reply
         time.sleep(wait_s)
@@ -195,7 +199,7 @@
         if not error.sent:
             raise
         message = f"not known whether it was accepted: {error.cause}"
-        return AdminReply(_UNSETTLED, {"message": message})
+        return AdminReply(_OUTCOME_UNKNOWN, {"message": message})
 
 
 def _print_refusal(content: Any, as_json: bool, code: ExitCode) -> ExitCode:
--- a/eelgrassmount/compose/base.py
+++ b/eelgrassmount/compose/base.py
@@ -1,4 +1,4 @@
-"""What the parts of a node are built on."""
+"""Shared services of a node: settings, timers, metrics, log and peer connections."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 ID_BITS = 64
 INCARNATION_BYTES = 8
-TIMER_GRID_S = 0.1
+TIMER_RESOLUTION_S = 0.1
 
 
 @define(eq=False)
 class Base:
-    """What every part is built on."""
+    """Services that all parts of a node use."""
 
     settings: Settings
-    board: SharedNodeState
+    shared_state: SharedNodeState
     timers: TimerService
     rng: random.Random
     metrics: Metrics
@@ -45,11 +45,11 @@
 
 
 def build_base(settings: Settings, group: anyio.abc.TaskGroup) -> Base:
-    """Return what the parts of a node are built on."""
+    """Return the services that all parts of a node use."""
     rng = random.Random(secrets.randbits(ID_BITS))
     metrics = make_metrics()
     timers = TimerService(
-        MonotonicClock(), rng, metrics.internal_errors.inc, TIMER_GRID_S
+        MonotonicClock(), rng, metrics.internal_errors.inc, TIMER_RESOLUTION_S
     )
     identity = Identity(
         address=str(settings.advertise_address),
@@ -67,7 +67,7 @@
     )
     return Base(
         settings=settings,
-        board=SharedNodeState(identity),
+        shared_state=SharedNodeState(identity),
         timers=timers,
         rng=rng,
         metrics=metrics,
--- a/eelgrassmount/compose/listeners.py
+++ b/eelgrassmount/compose/listeners.py
@@ -20,23 +20,23 @@
 if TYPE_CHECKING:
     pass
 
-JOIN_LIMIT_S = 3.0
-JOIN_POLL_S = 0.05
+JOIN_TIMEOUT_S = 3.0
+JOIN_POLL_INTERVAL_S = 0.05
 
 
 async def listen_to_peers(node: Node) -> None:
-    """Take messages of other nodes."""
+    """Start the listener for messages of other nodes."""
     base = node.base
     calls = CallHandlers(
         base.timers,
         node.path.table,
         node.path.local,
-        node.keys.handle_own,
+        node.keys.handle_forwarded,
         node.path.in_flight,
         base.metrics,
     )
     listener = PeerListener(
-        base.board.identity,
+        base.shared_state.identity,
         base.settings.peer_address,
         base.settings.max_frame_bytes,
         {
@@ -51,14 +51,14 @@
 
 
 async def listen_to_http(node: Node) -> None:
-    """Take requests of operators, of the backend server and of callers."""
+    """Start the HTTP listeners for operators, the backend server and callers."""
     base = node.base
     max_body_bytes = base.settings.max_body_bytes
     admin = AdminListener(max_body_bytes)
     add_routes(
         admin,
-        base.board,
-        node.path.gate,
+        base.shared_state,
+        node.path.server_dispatcher,
         node.path.table.count_running,
         node.follower,
         base.metrics,
@@ -72,31 +72,31 @@
         max_body_bytes,
         base.metrics,
         node.path.in_flight,
-        lambda: base.board.drain is not DrainStage.RUNNING,
+        lambda: base.shared_state.drain is not DrainStage.RUNNING,
     )
     await serve_http(admin, base.settings.admin_address, base.tasks)
     await serve_http(backend, base.settings.backend_address, base.tasks)
-    await _wait_until_joined(base.board)
+    await _wait_until_joined(base.shared_state)
     server = await serve_http(
         caller, base.settings.caller_address, base.tasks, caller.record_malformed
     )
     node.callers.append(server)
 
 
-async def _wait_until_joined(board: SharedNodeState) -> None:
-    """Take no callers before this node can place their requests.
+async def _wait_until_joined(shared_state: SharedNodeState) -> None:
+    """Wait until this node can route requests, for at most `JOIN_TIMEOUT_S`.
 
-    A node that knows no configuration or nobody else after a while may be the
-    only one, and takes them all the same.
+    After the timeout the node accepts callers without a configuration or other
+    members, since it may be the only node.
     """
-    with anyio.move_on_after(JOIN_LIMIT_S):
-        while not _has_joined(board):
-            await anyio.sleep(JOIN_POLL_S)
+    with anyio.move_on_after(JOIN_TIMEOUT_S):
+        while not _has_joined(shared_state):
+            await anyio.sleep(JOIN_POLL_INTERVAL_S)
 
 
-def _has_joined(board: SharedNodeState) -> bool:
-    domains = board.configuration.document.failure_domains
-    knows_near = len(board.members.members) > 1
-    knows_far = len(domains) < 2 or bool(board.members.summaries)
-    configured = board.configuration.version > 0 and board.log_reachable
-    return configured and knows_near and knows_far
+def _has_joined(shared_state: SharedNodeState) -> bool:
+    domains = shared_state.configuration.document.failure_domains
+    has_local_peers = len(shared_state.members.members) > 1
+    has_remote_peers = len(domains) < 2 or bool(shared_state.members.summaries)
+    configured = shared_state.configuration.version > 0 and shared_state.log_reachable
+    return configured and has_local_peers and has_remote_peers
--- a/eelgrassmount/compose/main.py
+++ b/eelgrassmount/compose/main.py
@@ -1,4 +1,4 @@
-"""Starting and ending a node."""
+"""Start and stop a node."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 if TYPE_CHECKING:
     from eelgrassmount.settings import Settings
 
-EXPIRE_PERIOD_S = 1.0
-# objects before a collection of the youngest, middle and oldest generation
-COLLECTOR_THRESHOLDS = (20_000, 20, 50)
+EXPIRY_INTERVAL_S = 1.0
+# collection thresholds of the young, middle and old generation
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def run_node(settings: Settings) -> None:
-    """Run a node as the main job of a process, until it is told to stop."""
+    """Run a node until a signal or an operator stops it."""
     _tune_collector()
     anyio.run(serve_node, settings)
 
 
 def _tune_collector() -> None:
-    """Keep the garbage collector from pausing calls for what lives for good."""
+    """Exclude permanent objects from garbage collection, which pauses calls."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 async def serve_node(settings: Settings) -> None:
-    """Run a node until it is told to stop.
+    """Run a node until a signal or an operator stops it.
 
     Raises `ListenError` when one of its addresses can't be bound.
     """
@@ -52,7 +52,7 @@
             failure = error
         node.base.tasks.close()
         group.cancel_scope.cancel()
-    # the task group would wrap it
+    # raised outside the task group, which would wrap it in an exception group
     if failure is not None:
         raise failure
 
@@ -69,7 +69,7 @@
 
 
 async def start_node(node: Node) -> None:
-    """Start all parts of a node, the listeners for calls last."""
+    """Start all parts of a node, the HTTP listeners last."""
     base = node.base
     await base.peers.start(base.tasks)
     await listen_to_peers(node)
@@ -79,16 +79,16 @@
     node.path.announcements.start()
     node.path.probes.start()
     node.shutdown.start(base.tasks)
-    # calls of other nodes are taken from here on, before the callers' listener
+    # the node already serves calls of other nodes; callers are accepted last
     base.tasks.start_soon(_wait_for_signal, node)
-    base.timers.subscribe(EXPIRE_PERIOD_S, lambda: _expire(node))
+    base.timers.subscribe(EXPIRY_INTERVAL_S, lambda: _expire(node))
     base.tasks.start_soon(base.timers.run)
     await listen_to_http(node)
     logger.info(
         "node started",
-        address=base.board.identity.address,
-        failure_domain=base.board.identity.failure_domain,
-        incarnation=base.board.identity.incarnation,
+        address=base.shared_state.identity.address,
+        failure_domain=base.shared_state.identity.failure_domain,
+        incarnation=base.shared_state.identity.incarnation,
     )
 
 
@@ -99,11 +99,13 @@
 
 def _update_gauges(node: Node) -> None:
     metrics = node.base.metrics
-    metrics.config_version.set(node.base.board.configuration.version)
-    metrics.in_flight.set(node.path.gate.in_flight)
-    metrics.queued.set(len(node.path.gate.queue))
-    metrics.limit.set(node.path.gate.limiter.limit)
+    metrics.config_version.set(node.base.shared_state.configuration.version)
+    metrics.in_flight.set(node.path.server_dispatcher.in_flight)
+    metrics.queued.set(len(node.path.server_dispatcher.queue))
+    metrics.limit.set(node.path.server_dispatcher.limiter.limit)
     metrics.quarantined.set(node.path.quarantine.count_refused())
-    states = Counter(one.state for one in node.base.board.members.members.values())
+    states = Counter(
+        one.state for one in node.base.shared_state.members.members.values()
+    )
     for state in MemberState:
         metrics.members.labels(state.name.lower()).set(states[state])
--- a/eelgrassmount/compose/path.py
+++ b/eelgrassmount/compose/path.py
@@ -1,4 +1,4 @@
-"""Wiring of the parts that a call passes through."""
+"""Wiring of the call path."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @define(eq=False)
 class Path:
-    """The parts that a call passes through."""
+    """The parts that process a call."""
 
     table: CallTable
-    gate: LimitedDispatcher
+    server_dispatcher: LimitedDispatcher
     control: LoadControl
     quarantine: QuarantineExchange
     announcements: Announcements
@@ -42,23 +42,23 @@
     in_flight: InFlight
 
 
-def build_path(base: Base, note_change: Callable[[], None]) -> Path:
-    """Return the parts of the path, wired but not started."""
+def build_path(base: Base, handle_change: Callable[[], None]) -> Path:
+    """Return the parts of the call path, wired but not started."""
     table = CallTable()
-    gate = LimitedDispatcher(base.board, base.timers)
-    control = LoadControl(base.board, base.timers)
+    server_dispatcher = LimitedDispatcher(base.shared_state, base.timers)
+    control = LoadControl(base.shared_state, base.timers)
     quarantine = QuarantineExchange(
-        base.board, base.timers.clock, base.peers, Quarantine(), base.tasks
+        base.shared_state, base.timers.clock, base.peers, Quarantine(), base.tasks
     )
     client = ServerClient(base.timers.clock, base.metrics, base.settings.max_body_bytes)
     announcements = Announcements(
-        base.board, base.timers, note_change, table.count_running
+        base.shared_state, base.timers, handle_change, table.count_running
     )
     local = LocalRunner(
-        base.board,
+        base.shared_state,
         base.timers,
         table,
-        gate,
+        server_dispatcher,
         client,
         quarantine,
         control.exchange,
@@ -66,18 +66,18 @@
         announcements.remove,
     )
     dispatcher = Dispatcher(
-        base.board.identity.address,
+        base.shared_state.identity.address,
         base.timers,
         control,
         local,
-        RemoteRunner(base.board, base.peers, base.timers),
+        RemoteRunner(base.shared_state, base.peers, base.timers),
         RetryBudget(),
         quarantine,
         base.metrics,
         base.make_id,
     )
     downstream = Downstream(
-        base.board,
+        base.shared_state,
         base.timers,
         table,
         dispatcher.run,
@@ -86,11 +86,11 @@
         control.exchange,
     )
     probes = ServerProbes(
-        client, base.timers, base.tasks, lambda: base.board.server.address
+        client, base.timers, base.tasks, lambda: base.shared_state.server.address
     )
     return Path(
         table=table,
-        gate=gate,
+        server_dispatcher=server_dispatcher,
         control=control,
         quarantine=quarantine,
         announcements=announcements,
--- a/eelgrassmount/compose/relay.py
+++ b/eelgrassmount/compose/relay.py
@@ -17,7 +17,7 @@
 from eelgrassmount.relay.backend import BackendPool
 from eelgrassmount.relay.budget import RetryBudget
 from eelgrassmount.relay.call_attribution import CallAttributor
-from eelgrassmount.relay.control_loop import Controllers
+from eelgrassmount.relay.control_loop import ControlLoop
 from eelgrassmount.relay.decisions import DecisionLog
 from eelgrassmount.relay.dispatcher import Dispatcher
 from eelgrassmount.relay.inbound import InboundLinks
@@ -45,9 +45,9 @@
     from eelgrassmount.relay.settings import RelaySettings
 
 INCARNATION_BYTES = 6
-# divides the periods of a node's timers: what is due at nearly the same time is done on
-# one wake-up, which saves processor time
-TIMER_GRID_S = 0.05
+# timers that are due within this interval share one wake-up, which saves CPU time;
+# the periods of all timers are multiples of it
+TIMER_RESOLUTION_S = 0.05
 
 
 def build_relay(settings: RelaySettings) -> RelayNode:
@@ -60,13 +60,13 @@
     server = LocalServer(
         settings.service,
         settings.server_address,
-        on_restart=lambda ended, begun: dispatcher.handle_restart(
-            ended, begun.compute_start_s(clock(), time.time())
+        on_restart=lambda ended, started: dispatcher.handle_restart(
+            ended, started.compute_start_s(clock(), time.time())
         ),
     )
     members = MemberTable()
     graph = CallGraph()
-    beliefs = SharedState(
+    state = SharedState(
         settings.name,
         incarnation,
         str(settings.peer_address),
@@ -77,24 +77,24 @@
         clock,
         rng,
     )
-    lineage = CallAttributor(
-        clock, graph.may_call, graph.count_runs, rng, beliefs.completed
+    call_attributor = CallAttributor(
+        clock, graph.may_call, graph.count_runs, rng, state.completed
     )
 
     learned_jobs: set[Job] = set()
 
-    def note_begin(job: Job) -> None:
-        # with keys, calls are counted by their runs
-        if not beliefs.identifies_clients():
+    def handle_run_start(job: Job) -> None:
+        # with client keys, calls are counted per run by the call attributor
+        if not state.identifies_clients():
             learned_jobs.add(job)
-            beliefs.learner.start_run(job.call.route.name)
-        lineage.start_run(job, job.call, job.timeout_s)
+            state.learner.start_run(job.call.route.name)
+        call_attributor.start_run(job, job.call, job.timeout_s)
 
-    def note_end(job: Job, well: bool) -> None:
+    def handle_run_end(job: Job, succeeded: bool) -> None:
         if job in learned_jobs:
             learned_jobs.remove(job)
-            beliefs.learner.finish_run(job.call.route.name)
-        lineage.finish_run(job, well)
+            state.learner.finish_run(job.call.route.name)
+        call_attributor.finish_run(job, succeeded)
 
     pool = BackendPool(
         clock,
@@ -116,35 +116,35 @@
             rng,
         ),
         is_leaf=lambda name: not graph.calls_per_run.get(name),
-        find_time_allowance=beliefs.find_time_allowance,
-        find_call_timeout=beliefs.find_call_timeout,
-        on_run_start=note_begin,
-        on_run_end=note_end,
-        has_lost_call=lineage.has_lost_call,
-        claim_lost_call=lineage.claim_lost_call,
-        on_crash=lambda ended, jobs: news.handle_crash(ended, jobs),
-        on_change=lambda: controllers.report_now(),
+        find_time_allowance=state.find_time_allowance,
+        find_call_timeout=state.find_call_timeout,
+        on_run_start=handle_run_start,
+        on_run_end=handle_run_end,
+        has_lost_call=call_attributor.has_lost_call,
+        claim_lost_call=call_attributor.claim_lost_call,
+        on_crash=lambda ended, jobs: peer_updates.handle_crash(ended, jobs),
+        on_change=lambda: control_loop.report_now(),
         call_later=call_later,
     )
     inbound = InboundLinks(
         incarnation,
         dispatcher,
         clock,
-        beliefs.find_route,
-        beliefs.make_hello,
-        lambda hello: news.register_peer(hello),
-        lambda kind, struct, send: news.handle_frame(kind, struct, send),
+        state.find_route,
+        state.make_hello,
+        lambda hello: peer_updates.register_peer(hello),
+        lambda kind, struct, send: peer_updates.handle_frame(kind, struct, send),
     )
     readers = LogReaders(
-        beliefs,
+        state,
         NODES_TOPIC,
         [],
         lambda member: links.open_link(member),
-        lambda records: node.take_nodes(records),
-        lambda: make_tally(beliefs, admission.request_rates),
+        lambda records: node.apply_node_records(records),
+        lambda: make_tally(state, admission.request_rates),
     )
-    news = PeerUpdates(
-        beliefs,
+    peer_updates = PeerUpdates(
+        state,
         quarantine,
         lambda document: node.apply_document(document),
         inbound.broadcast,
@@ -152,7 +152,7 @@
         lambda kind, struct, send: quotas.handle_frame(kind, struct, send),
     )
     quotas = QuotaExchange(
-        beliefs,
+        state,
         readers,
         settings.find_quota_bounds(),
         lambda member: links.open_link(member),
@@ -160,31 +160,29 @@
     )
     admission = Admission(
         graph,
-        beliefs.get_admitted_fraction,
-        lambda: beliefs.cluster_counts.offered,
-        lambda name: name in beliefs.client_routes,
+        state.get_admitted_fraction,
+        lambda: state.cluster_counts.offered,
+        lambda name: name in state.client_routes,
         rng,
     )
     events = LinkHandlers(
-        beliefs.make_hello,
-        news.handle_hello,
-        news.handle_report,
-        news.handle_frame,
-    )
-    links = LinkManager(beliefs, events)
-    controllers = Controllers(
-        beliefs,
+        state.make_hello,
+        peer_updates.handle_hello,
+        peer_updates.handle_report,
+        peer_updates.handle_frame,
+    )
+    links = LinkManager(state, events)
+    control_loop = ControlLoop(
+        state,
         dispatcher,
         inbound,
-        AdmittedFractions(beliefs).update,
+        AdmittedFractions(state).update,
         admission.update,
     )
     decisions = DecisionLog.create(clock)
     sender = Sender(
         settings.name,
-        Router(
-            members, settings.failure_domain, clock, rng, beliefs.find_time_allowance
-        ),
+        Router(members, settings.failure_domain, clock, rng, state.find_time_allowance),
         dispatcher,
         admission,
         decisions,
@@ -200,7 +198,7 @@
         metrics,
         clock,
         rng,
-        lineage,
+        call_attributor,
         quotas.client.return_quota,
     )
     sender.responder = answers
@@ -213,29 +211,29 @@
         clock,
         rng,
         graph.is_called_by_servers,
-        lambda name: name in beliefs.client_routes,
-        beliefs.record_call,
-        beliefs.record_client_request,
-        lineage,
+        lambda name: name in state.client_routes,
+        state.record_call,
+        state.record_client_request,
+        call_attributor,
         readers.is_current,
         quotas.client,
     )
-    learned = LearnedCalls(beliefs, readers.ranking.count_readers)
+    learned = LearnedCalls(state, readers.ranking.count_readers)
     readers.epoch_tracker.on_advance.append(learned.forget_stored)
     node = RelayNode(
         settings,
-        beliefs,
+        state,
         dispatcher,
         inbound,
         ingress,
         admission,
-        controllers,
+        control_loop,
         links,
-        news,
+        peer_updates,
         decisions,
         metrics,
         StoreClient(settings.log_address, readers.epoch_tracker),
-        TimerService(MonotonicClock(), rng, grid_s=TIMER_GRID_S),
+        TimerService(MonotonicClock(), rng, grid_s=TIMER_RESOLUTION_S),
         HttpListener(ingress.handle, clock),
         learned,
         readers,
--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -1,4 +1,4 @@
-"""Starting, running and ending a node beside its backend server."""
+"""Start, run and stop a node beside its backend server."""
 
 from __future__ import annotations
 
@@ -45,27 +45,27 @@
     from eelgrassmount.relay.inbound import InboundLinks
 
 METRICS_PORT = 9464
-# an announcement has some hundred bytes, and other calls to these listeners none
+# limit of the listeners for announcements, readiness and metrics
 MAX_BODY_BYTES = 1024 * 1024
-LINK_PERIOD_S = 0.1
-# learned calls are taken up each so many intervals of counting
-VECTOR_STEPS = 4
-# a node that can't write its record tries again after so long, doubled each time
-RECORD_RETRY_S = 0.5
-RECORD_RETRY_LIMIT_S = 3.0
+LINK_CHECK_INTERVAL_S = 0.1
+# request-count intervals between two updates of the call graph
+LEARNING_INTERVAL_STEPS = 4
+# exponential backoff of a node that can't write its record
+MIN_RECORD_RETRY_DELAY_S = 0.5
+MAX_RECORD_RETRY_DELAY_S = 3.0
 
 
 async def serve_relay(path: str) -> None:
-    """Run a node as the settings file says, until SIGTERM and its end in order.
+    """Run a node with a settings file until SIGTERM or SIGINT, then shut it down.
 
     Raises `ListenError` when one of its addresses can't be bound.
     """
     settings = load_settings(path)
-    # the lines of many nodes are read together
+    # log lines of several nodes are read together
     logger.configure(extra={"node": settings.name})
     node = build_relay(settings)
     watch = SettingsWatch(path, load_settings, node.apply_settings)
-    node.look_at_settings = watch.check
+    node.check_settings = watch.check
     async with anyio.create_task_group() as group:
         ends = (signal.SIGTERM, signal.SIGINT)
         with anyio.open_signal_receiver(*ends, signal.SIGHUP) as signals:
@@ -80,29 +80,29 @@
 
 
 async def stop_relay(node: RelayNode) -> None:
-    """End a node in order: clients go first, then calls of other nodes."""
+    """Shut a node down: first for clients, then for calls of other nodes."""
     stopping = Shutdown(
-        node.beliefs,
+        node.state,
         node.callers,
         node.inbound,
         node.settings.grace_s,
-        node.controllers.report_now,
+        node.control_loop.report_now,
         node.count_open,
     )
     async with anyio.create_task_group() as group:
-        group.start_soon(_drop_own, node)
+        group.start_soon(_delete_local_record, node)
         await stopping.run()
         group.cancel_scope.cancel()
     node.decisions.report_dropped_lines()
     node.end()
 
 
-async def _drop_own(node: RelayNode) -> None:
-    """Drop the record of a node whose server has left for good.
+async def _delete_local_record(node: RelayNode) -> None:
+    """Delete the log record of this node if its server has left permanently.
 
-    The others would go on counting it, and keep its part of the quotas for it.
+    Other nodes would otherwise keep counting it and reserve quotas for it.
     """
-    if not node.beliefs.server.has_left:
+    if not node.state.server.has_left:
         return
     offset = await node.store.append(NODES_TOPIC, node.settings.name, b"")
     if isinstance(offset, StoreFailure):
@@ -114,16 +114,16 @@
 async def start_relay(node: RelayNode, group: TaskGroup) -> None:
     """Start all parts of a node, the listener for clients last."""
     settings = node.settings
-    node.put_own()
+    node.register_local_node()
     await _listen(node)
     subscribe_timers(node)
     group.start_soon(node.timers.run)
-    group.start_soon(_follow, node, CONFIGURATION_TOPIC)
-    group.start_soon(_join, node)
-    group.start_soon(_keep_records, node)
+    group.start_soon(_follow_topic, node, CONFIGURATION_TOPIC)
+    group.start_soon(_join_cluster, node)
+    group.start_soon(_maintain_records, node)
     logger.info(
         "node started",
-        incarnation=node.beliefs.incarnation,
+        incarnation=node.state.incarnation,
         service=settings.service,
         failure_domain=settings.failure_domain,
     )
@@ -131,20 +131,20 @@
 
 async def _listen(node: RelayNode) -> None:
     settings = node.settings
-    clock = node.beliefs.clock
+    clock = node.state.clock
     announcements = AnnouncementListener(
-        node.beliefs.server,
+        node.state.server,
         read_announcement,
         node.check_heartbeat,
-        node.note_server_change,
-        node.refused,
+        node.handle_server_change,
+        node.rejected_messages,
     )
     metrics_address = Address(settings.peer_address.host, METRICS_PORT)
     await _bind(node.inbound, settings.peer_address)
     for handle, address in (
         (announcements.handle, settings.announce_address),
-        (node.answer_ready, settings.ready_address),
-        (node.answer_metrics, metrics_address),
+        (node.handle_readiness_request, settings.ready_address),
+        (node.handle_metrics_request, metrics_address),
     ):
         limits = ServerLimits(max_body_bytes=MAX_BODY_BYTES)
         listener = HttpListener(handle, clock, limits)
@@ -162,22 +162,22 @@
 
 
 def subscribe_timers(node: RelayNode) -> None:
-    """Let a node's parts do what they do from time to time."""
+    """Subscribe the periodic work of a node to its timers."""
     timers = node.timers
     stalls = StallWatch(
-        LINK_PERIOD_S,
+        LINK_CHECK_INTERVAL_S,
         read_process_times,
         timers.slowest.pop,
         node.metrics.stalls.inc,
     )
-    timers.subscribe(LINK_PERIOD_S, stalls.check)
-    timers.subscribe(LINK_PERIOD_S, node.links.maintain_links)
+    timers.subscribe(LINK_CHECK_INTERVAL_S, stalls.check)
+    timers.subscribe(LINK_CHECK_INTERVAL_S, node.links.maintain_links)
     timers.subscribe(CONTROL_INTERVAL_S, node.readers.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.quotas.step)
-    timers.subscribe(CONTROL_INTERVAL_S, node.controllers.step)
+    timers.subscribe(CONTROL_INTERVAL_S, node.control_loop.step)
     timers.subscribe(CONTROL_INTERVAL_S, node.dispatcher.sweep)
     timers.subscribe(
-        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.beliefs)
+        REQUEST_COUNT_INTERVAL_S, lambda: update_request_counts(node.state)
     )
     timers.subscribe(REQUEST_COUNT_INTERVAL_S, make_learning_step(node))
     timers.subscribe(SWEEP_INTERVAL_S, node.callers.sweep)
@@ -186,26 +186,32 @@
     timers.subscribe(SWEEP_INTERVAL_S, node.decisions.report_dropped_lines)
     timers.subscribe(SWEEP_INTERVAL_S, node.forget_routes)
     timers.subscribe(SWEEP_INTERVAL_S, node.ingress.call_attributor.discard_old_answers)
-    timers.subscribe(SWEEP_INTERVAL_S, node.beliefs.completed.decay)
+    timers.subscribe(SWEEP_INTERVAL_S, node.state.completed.decay)
 
 
 def make_learning_step(node: RelayNode) -> Callable[[], None]:
-    """Return what takes up learned calls: often while none are known, as in a surge."""
+    """Return the timer step that updates the call graph.
+
+    Until calls are learned, each step updates it, so that a surge after the start is
+    handled.
+    """
     steps = itertools.count(1)
 
     def step() -> None:
-        graph = node.beliefs.graph
-        if not graph.has_learned_calls() or next(steps) % VECTOR_STEPS == 0:
-            update_call_graph(node.beliefs)
+        graph = node.state.graph
+        if not graph.has_learned_calls() or next(steps) % LEARNING_INTERVAL_STEPS == 0:
+            update_call_graph(node.state)
 
     return step
 
 
-async def _follow(node: RelayNode, topic: str) -> None:
-    take = node.take_configuration
+async def _follow_topic(node: RelayNode, topic: str) -> None:
+    apply_records = node.apply_configuration_records
     if topic == NODES_TOPIC:
-        take = node.take_nodes
-    follower = TopicFollower(node.store, topic, take, node.rng, node.note_unreadable)
+        apply_records = node.apply_node_records
+    follower = TopicFollower(
+        node.store, topic, apply_records, node.rng, node.count_unreadable_records
+    )
     if topic == NODES_TOPIC:
         follower.on_read = node.readers.record_read
         follower.next_offset = node.readers.record_table.next_offset or None
@@ -215,26 +221,26 @@
     await follower.run()
 
 
-async def _join(node: RelayNode) -> None:
-    """Write this node's record unless it stands there, then follow the others.
+async def _join_cluster(node: RelayNode) -> None:
+    """Write this node's record unless the log has it, then follow all records.
 
-    Without the log, a node goes by what those say that open links to it, and its record
-    may be known to them.
+    While the log is unreachable, the node relies on the nodes that open links to it.
     """
-    own = make_own_record(node)
-    backoff = Backoff(node.rng, RECORD_RETRY_S, RECORD_RETRY_LIMIT_S)
-    while not await _put_record(node, own):
+    local_record = make_local_record(node)
+    backoff = Backoff(node.rng, MIN_RECORD_RETRY_DELAY_S, MAX_RECORD_RETRY_DELAY_S)
+    while not await _ensure_local_record(node, local_record):
         node.readers.start()
         await anyio.sleep(backoff.fail())
-        # a copy under another key would not lead anybody here
-        if node.readers.record_table.find(own.key) == own:
+        # another node may have supplied the record; only an identical one under this
+        # key leads other nodes here
+        if node.readers.record_table.find(local_record.key) == local_record:
             break
     node.readers.start()
-    await _follow(node, NODES_TOPIC)
+    await _follow_topic(node, NODES_TOPIC)
 
 
-def make_own_record(node: RelayNode) -> StoredRecord:
-    """Return the record by which other nodes find this one."""
+def make_local_record(node: RelayNode) -> StoredRecord:
+    """Return the record by which other nodes find this node."""
     settings = node.settings
     record = ttypes.NodeRecord(
         settings.name,
@@ -245,44 +251,44 @@
     return StoredRecord(settings.name, encode_struct(record))
 
 
-async def _put_record(node: RelayNode, own: StoredRecord) -> bool:
-    """Read the records of all nodes, and append this node's unless it stands there.
+async def _ensure_local_record(node: RelayNode, local_record: StoredRecord) -> bool:
+    """Read the records of all nodes, and append this node's if it is missing.
 
-    Return whether it does now.
+    Return whether the log holds the record.
     """
     book = node.readers.record_table
     snapshot = await node.store.read_newest(NODES_TOPIC)
     if isinstance(snapshot, StoreFailure):
         return False
-    node.take_nodes(snapshot.records)
+    node.apply_node_records(snapshot.records)
     book.apply(snapshot.records, snapshot.end)
-    if book.find(own.key) == own:
+    if book.find(local_record.key) == local_record:
         return True
-    offset = await node.store.append(NODES_TOPIC, own.key, own.value)
+    offset = await node.store.append(NODES_TOPIC, local_record.key, local_record.value)
     if isinstance(offset, StoreFailure):
         return False
-    book.put(evolve(own, offset=offset))
+    book.put(evolve(local_record, offset=offset))
     return True
 
 
-async def _keep_records(node: RelayNode) -> None:
-    """Write what has to stand on the log, again if it is gone."""
-    beliefs = node.beliefs
-    own = LocalRecord(
-        make_own_record(node),
+async def _maintain_records(node: RelayNode) -> None:
+    """Write learned calls and this node's record to the log whenever due."""
+    state = node.state
+    local_record = LocalRecord(
+        make_local_record(node),
         node.readers.record_table,
-        lambda: len(beliefs.members.by_name),
-        beliefs.clock,
+        lambda: len(state.members.by_name),
+        state.clock,
         node.rng,
     )
     while True:
         await anyio.sleep(RECORD_CHECK_INTERVAL_S)
-        await _keep_learned(node)
-        if node.readers.started and not beliefs.stopping and own.is_due():
-            await _write_own(node, own.record)
+        await _write_learned_calls(node)
+        if node.readers.started and not state.stopping and local_record.is_due():
+            await _write_local_record(node, local_record.record)
 
 
-async def _write_own(node: RelayNode, record: StoredRecord) -> None:
+async def _write_local_record(node: RelayNode, record: StoredRecord) -> None:
     offset = await node.store.append(NODES_TOPIC, record.key, record.value)
     if isinstance(offset, StoreFailure):
         logger.warning("own record not written", kind=offset.kind)
@@ -291,14 +297,14 @@
     node.readers.record_table.put(evolve(record, offset=offset))
 
 
-async def _keep_learned(node: RelayNode) -> None:
-    """Write what all nodes have learned when it has changed for good."""
+async def _write_learned_calls(node: RelayNode) -> None:
+    """Write the learned calls to the log after a lasting change."""
     value = node.learned.build_due_record() if node.readers.is_reader else None
     if value is None:
         return
     offset = await node.store.append(NODES_TOPIC, LEARNED_KEY, value)
     if isinstance(offset, StoreFailure):
-        # it is written later by the same chance, here or elsewhere
+        # this or another node retries at a later interval
         logger.warning("learned calls not kept", kind=offset.kind)
     else:
         node.learned.apply(value)
--- a/eelgrassmount/keys/entry_codec.py
+++ b/eelgrassmount/keys/entry_codec.py
@@ -1,4 +1,4 @@
-"""Marks and facts about keys on their way between the holders of a slot."""
+"""Encoding of key table entries for the nodes that hold a slot."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-COPIES_AT_ONCE = 100
-_BATCH_BYTES = 256 * 1024
+MAX_BATCH_ENTRIES = 100
+_MAX_BATCH_BYTES = 256 * 1024
 
 
 def encode_entry(entry: Entry, now_s: float) -> KeyMark:
@@ -29,7 +29,7 @@
 
 
 def decode_entry(mark: KeyMark, now_s: float) -> Entry:
-    """Return what a mark says, raising `ValueError` or `BadFrameError`."""
+    """Return the entry of a mark; raise `ValueError` or `BadFrameError`."""
     runner, _, number = (mark.call_id or "").rpartition(".")
     if not mark.key or not runner:
         raise ValueError("a mark must have a key and a call id")
@@ -46,12 +46,14 @@
 
 
 def split_batches(marks: Iterable[KeyMark]) -> Iterator[list[KeyMark]]:
-    """Yield marks in batches that fit in one message each, at least one batch."""
+    """Yield marks in batches that fit into one message; yield at least one batch."""
     batch: list[KeyMark] = []
     size = 0
     for mark in marks:
         body = mark.outcome.body if mark.outcome and mark.outcome.body else b""
-        if batch and (len(batch) >= COPIES_AT_ONCE or size + len(body) > _BATCH_BYTES):
+        if batch and (
+            len(batch) >= MAX_BATCH_ENTRIES or size + len(body) > _MAX_BATCH_BYTES
+        ):
             yield batch
             batch = []
             size = 0
--- a/eelgrassmount/keys/syntax.py
+++ b/eelgrassmount/keys/syntax.py
@@ -16,24 +16,24 @@
 _KEY_PATTERN = re.compile(r"(?:([A-Za-z0-9._-]{1,63}):)?[A-Za-z0-9._~-]{1,128}")
 _PART_PATTERN = re.compile(r"[A-Za-z0-9._-]+")
 _NONCE_PATTERN = re.compile(r"([0-9a-f]{1,12})-([0-9a-f]{16})")
-_SEAL_BYTES = 8
+_MAC_BYTES = 8
 
 
 @frozen
 class MintedKey:
-    """A key that the system minted: it names its owner, which alone may run it."""
+    """A key minted by a node; only that incarnation may run it."""
 
     text: str
     address: str
     failure_domain: str
     incarnation: str
     number: int
-    seal: str
+    mac: str
 
 
 @frozen
-class OwnKey:
-    """A key of the caller's own; ``failure_domain`` is empty if none is named."""
+class CallerKey:
+    """A key chosen by the caller; ``failure_domain`` is empty if none is named."""
 
     text: str
     failure_domain: str
@@ -41,23 +41,22 @@
 
 @frozen
 class BadKey:
-    """A text that is no key; ``detail`` says what to mend."""
+    """A malformed key; ``detail`` states the error."""
 
     detail: str
 
 
-def parse_key(text: str) -> MintedKey | OwnKey | BadKey:
-    """Return what a key says, or why it is none.
+def parse_key(text: str) -> MintedKey | CallerKey | BadKey:
+    """Return the parsed key, or `BadKey` for a malformed one.
 
-    A caller's own key is kept under its whole text, so ``howrah:7`` and ``7``
-    are two keys.
+    A caller's key is identified by its whole text: ``howrah:7`` and ``7`` differ.
     """
     if text.startswith(MINTED_PREFIX):
         return _parse_minted(text)
     match = _KEY_PATTERN.fullmatch(text)
     if match is None:
         return BadKey(f"a key has 1 to {MAX_KEY_LENGTH} of A-Z a-z 0-9 . _ ~ -")
-    return OwnKey(text, match[1] or "")
+    return CallerKey(text, match[1] or "")
 
 
 def _parse_minted(text: str) -> MintedKey | BadKey:
@@ -74,33 +73,33 @@
         failure_domain=failure_domain,
         incarnation=incarnation,
         number=int(match[1], 16),
-        seal=match[2],
+        mac=match[2],
     )
 
 
 def format_minted(identity: Identity, number: int, secret: bytes) -> str:
-    """Return the minted key with a number, sealed so that it can't be guessed."""
+    """Return the minted key with a number and its authentication code."""
     parts = (
         _encode_address(identity.address),
         identity.failure_domain,
         identity.incarnation,
-        f"{number:x}-{compute_seal(number, secret)}",
+        f"{number:x}-{compute_mac(number, secret)}",
     )
     return MINTED_PREFIX + "~".join(parts)
 
 
-def compute_seal(number: int, secret: bytes) -> str:
-    """Return what proves that the owner of ``secret`` minted a number."""
+def compute_mac(number: int, secret: bytes) -> str:
+    """Return the authentication code of a number under ``secret``."""
     text = str(number).encode()
-    return hashlib.blake2s(text, digest_size=_SEAL_BYTES, key=secret).hexdigest()
+    return hashlib.blake2s(text, digest_size=_MAC_BYTES, key=secret).hexdigest()
 
 
 def check_identity(identity: Identity) -> None:
-    """Raise `ValueError` if keys can't be minted in the name of a node."""
+    """Raise `ValueError` if an identity can't be part of a minted key."""
     for name in (identity.failure_domain, identity.incarnation):
         if not _PART_PATTERN.fullmatch(name):
             raise ValueError(
-                f"{name!r} can't stand in a key: use the characters "
+                f"{name!r} can't be part of a key: use the characters "
                 "A-Z a-z 0-9 . _ - for failure domains and incarnations"
             )
     if len(format_minted(identity, 16**12 - 1, b"")) > MAX_KEY_LENGTH:
@@ -111,7 +110,7 @@
 
 
 def _encode_address(address: str) -> str:
-    # the brackets of IPv6 numbers and colons are not allowed in a key
+    # colons and the brackets of IPv6 addresses are not allowed in a key
     return address.replace(":", "_").replace("[", "-").replace("]", "-")
 
 
--- a/eelgrassmount/util/background.py
+++ b/eelgrassmount/util/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside each other without ending the process when one fails."""
+"""Background tasks whose errors don't end the process."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @define(eq=False)
 class Background:
-    """Starts tasks in a task group and keeps their errors from it.
+    """Starts tasks in a task group without passing their errors to the group.
 
-    A programming error in one task is logged and counted by ``note_error``;
-    the others go on. Once the group is closing, nothing more is started.
+    An exception in a task is logged and counted by ``count_error``; other tasks
+    continue. After `close`, no task is started.
     """
 
     group: TaskGroup
-    note_error: Callable[[], None]
+    count_error: Callable[[], None]
     closed: bool = False
 
     def start_soon(self, function: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Start a task, unless the process is about to end."""
+        """Start a task unless `close` was called."""
         if not self.closed:
             self.group.start_soon(self._run, function, args)
 
@@ -36,9 +36,9 @@
         try:
             await function(*args)
         except Exception:
-            self.note_error()
+            self.count_error()
             logger.exception("a task failed")
 
     def close(self) -> None:
-        """Start nothing from now on."""
+        """Stop starting tasks."""
         self.closed = True
--- a/tests/load/test_dispatcher.py
+++ b/tests/load/test_dispatcher.py
@@ -26,7 +26,7 @@
 @define
 class FixedLimiter:
     limit: int = LIMIT
-    typical_s: float = 0.1
+    mean_run_s: float = 0.1
 
     def record_start(self, in_flight: int, now_s: float) -> None:
         pass
@@ -41,9 +41,9 @@
 @pytest.fixture
 def dispatcher() -> LimitedDispatcher:
     timers = TimerService(ManualClock(), random.Random(1))
-    board = SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
-    board.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
-    return LimitedDispatcher(board, timers, lambda now_s: FixedLimiter())
+    shared_state = SharedNodeState(Identity("127.0.0.1:1", "here", "region", "1"))
+    shared_state.server = LocalServer("proofline", "127.0.0.1:2", ServerState.SERVING)
+    return LimitedDispatcher(shared_state, timers, lambda now_s: FixedLimiter())
 
 
 def make_context(
@@ -165,7 +165,7 @@
     for _ in range(LIMIT):
         offer(dispatcher)
     waiting = offer(dispatcher)
-    dispatcher.board.server.state = state
+    dispatcher.shared_state.server.state = state
     assert offer(dispatcher).refusal == NotRun(reason)
     dispatcher.timers.advance(0.1)
     assert waiting.refusal == NotRun(reason)
@@ -217,7 +217,7 @@
         fractions.append(complete / scenario.capacity_per_s)
         assert sum(second.inversions for second in seconds) == 0
         # Two seconds after the surge, no request is refused.
-        assert not seconds[17].refused_at_entry + seconds[17].refused_at_gate
+        assert not seconds[17].refused_at_ingress + seconds[17].refused_at_dispatcher
     assert sum(fractions) / len(fractions) > 0.9, fractions
 
 
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Requests of stand-in callers, each sent as often as a cell wants."""
+"""Requests of stand-in clients that can be retried."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from attrs import define, field
 
 from standins.client import Answer, UnansweredError
-from standins.records import Sending, judge_answer
+from standins.records import Attempt, classify_answer
 
 if TYPE_CHECKING:
     from standins.client import Client
 
 BOOKING = "/jobdesk/bookings"
 TIMEOUT_S = 3.0
-# how much later than its own deadline an answer may come on a busy machine
-MARGIN_S = 0.6
-PATIENCE_S = 1.0
+# tolerated delay of an answer after its deadline
+MAX_LATENESS_S = 0.6
+EXTRA_CLIENT_WAIT_S = 1.0
 
 
 @define(eq=False)
 class Booking:
-    """One non-idempotent request: one key, any number of sendings."""
+    """A non-idempotent request with one key and any number of attempts."""
 
     key: str
-    expect: str
+    expected_shape: str
     extra: dict[str, object] = field(factory=dict)
     name: str = field(factory=lambda: f"m{uuid.uuid4().hex[:12]}")
-    sendings: list[Sending] = field(factory=list)
+    attempts: list[Attempt] = field(factory=list)
     bodies: set[bytes] = field(factory=set)
 
     @property
-    def told(self) -> list[Sending]:
-        """Return the sendings in the order in which their answers came."""
-        return sorted(self.sendings, key=lambda sending: sending.t_end)
+    def attempts_by_end(self) -> list[Attempt]:
+        """Return the attempts in the order of their completion."""
+        return sorted(self.attempts, key=lambda attempt: attempt.t_end)
 
-    async def send(self, client: Client, node: str) -> Sending:
+    async def send(self, client: Client, node: str) -> Attempt:
         start = time.monotonic()
         headers = {
             "idempotency-key": self.key,
@@ -47,24 +47,24 @@
         content = json.dumps({"request": self.name, **self.extra}).encode()
         try:
             answer = await client.request(
-                node, "POST", BOOKING, headers, content, TIMEOUT_S + PATIENCE_S
+                node, "POST", BOOKING, headers, content, TIMEOUT_S + EXTRA_CLIENT_WAIT_S
             )
         except UnansweredError as error:
             answer = None
             outcome = "unreached" if error.reason == "connect" else "unknown"
             reason = error.reason
         else:
-            outcome = judge_answer(answer, self.name, self.expect)
+            outcome = classify_answer(answer, self.name, self.expected_shape)
             reason = answer.headers.get("eelgrassmount-reason", "")
         end = time.monotonic()
         if outcome == "complete":
             self.bodies.add(answer.body)
-        sending = _make_sending(self.name, node, start, end, outcome, answer, reason)
-        self.sendings.append(sending)
-        return sending
+        attempt = _make_attempt(self.name, node, start, end, outcome, answer, reason)
+        self.attempts.append(attempt)
+        return attempt
 
 
-def _make_sending(
+def _make_attempt(
     name: str,
     node: str,
     start: float,
@@ -72,15 +72,15 @@
     outcome: str,
     answer: Answer | None,
     reason: str,
-) -> Sending:
+) -> Attempt:
     if answer is None:
-        return Sending(name, node, start, end, outcome, "", 0, reason)
+        return Attempt(name, node, start, end, outcome, "", 0, reason)
     verdict = answer.headers.get("eelgrassmount-verdict", "")
-    return Sending(name, node, start, end, outcome, verdict, answer.status, reason)
+    return Attempt(name, node, start, end, outcome, verdict, answer.status, reason)
 
 
 async def fetch_key(client: Client, node: str) -> str:
-    """Return a key that a node has minted."""
+    """Return a key issued by a node."""
     content = json.dumps({"request": "mint"}).encode()
     answer = await client.request(node, "GET", "/ratebook/price", {}, content, 3.0)
     return answer.headers["eelgrassmount-next-key"]
--- a/tests/matrix/promises.py
+++ b/tests/matrix/promises.py
@@ -1,4 +1,4 @@
-"""What must hold for a request, judged by what ran and what was told."""
+"""Checks the promises for a request against its runs and answers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from attrs import frozen
 
-from standins.records import Record, find_doubled, find_false_refusals
-from tests.matrix.callers import MARGIN_S, TIMEOUT_S
+from standins.records import Record, find_duplicate_runs, find_false_refusals
+from tests.matrix.callers import MAX_LATENESS_S, TIMEOUT_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-    from standins.records import Sending
+    from standins.records import Attempt
     from tests.matrix.callers import Booking
 
     Runs = Sequence[Mapping[str, object]]
@@ -21,72 +21,76 @@
 
 @frozen
 class Outage:
-    """A stretch of time in which a node could not be expected to answer."""
+    """A period in which a node can't be expected to answer."""
 
     node: str
     t_start: float
     t_end: float
 
-    def excuses(self, sending: Sending) -> bool:
-        overlaps = sending.t_start <= self.t_end and sending.t_end >= self.t_start
-        return sending.node == self.node and overlaps
+    def excuses(self, attempt: Attempt) -> bool:
+        overlaps = attempt.t_start <= self.t_end and attempt.t_end >= self.t_start
+        return attempt.node == self.node and overlaps
 
 
-def judge_booking(
+def find_broken_promises(
     booking: Booking, runs: Runs, outages: Sequence[Outage], must_answer: bool
 ) -> list[str]:
-    """Return each promise that was broken for one request."""
-    broken = [f"doubled {route}" for _, route in find_doubled(runs)]
-    broken += _find_false_refusals(booking, runs)
-    broken += _find_bad_answers(booking)
-    broken += _find_late(booking.sendings, outages)
+    """Return the broken promises of one request."""
+    violations = [f"doubled {route}" for _, route in find_duplicate_runs(runs)]
+    violations += _find_false_refusals(booking, runs)
+    violations += _find_bad_answers(booking)
+    violations += _find_late_answers(booking.attempts, outages)
     if len(booking.bodies) > 1:
-        broken.append(f"{len(booking.bodies)} different complete answers")
-    if must_answer and booking.told[-1].outcome != "complete":
-        last = booking.told[-1]
-        broken.append(f"not answered in the end: {last.verdict} {last.reason}")
-    return broken
+        violations.append(f"{len(booking.bodies)} different complete answers")
+    if must_answer and booking.attempts_by_end[-1].outcome != "complete":
+        last = booking.attempts_by_end[-1]
+        violations.append(f"no complete answer: {last.verdict} {last.reason}")
+    return violations
 
 
 def _find_false_refusals(booking: Booking, runs: Runs) -> list[str]:
-    record = Record("booking", booking.key, 0.0, sendings=booking.told)
+    record = Record("booking", booking.key, 0.0, sendings=booking.attempts_by_end)
     return [
-        f"false not-run ({sending.reason})"
-        for sending in find_false_refusals([record], runs)
+        f"false not-run ({attempt.reason})"
+        for attempt in find_false_refusals([record], runs)
     ]
 
 
 def _find_bad_answers(booking: Booking) -> list[str]:
     bad = ("partial", "mixed", "failed")
     return [
-        f"{sending.outcome} answer, status {sending.status}"
-        for sending in booking.sendings
-        if sending.outcome in bad
+        f"{attempt.outcome} answer, status {attempt.status}"
+        for attempt in booking.attempts
+        if attempt.outcome in bad
     ]
 
 
-def _find_late(sendings: Iterable[Sending], outages: Sequence[Outage]) -> list[str]:
-    late = []
-    for sending in sendings:
-        took_s = sending.t_end - sending.t_start
-        in_time = sending.status and took_s <= TIMEOUT_S + MARGIN_S
-        if not in_time and not any(outage.excuses(sending) for outage in outages):
-            late.append(f"no answer by the deadline ({sending.reason}, {took_s:.2f} s)")
-    return late
-
-
-def describe_told(booking: Booking) -> str:
-    """Return what the caller was told in the end, and how often what before."""
-    counts = Counter(_describe(sending) for sending in booking.told)
-    last = _describe(booking.told[-1])
+def _find_late_answers(
+    attempts: Iterable[Attempt], outages: Sequence[Outage]
+) -> list[str]:
+    late_answers = []
+    for attempt in attempts:
+        duration_s = attempt.t_end - attempt.t_start
+        in_time = attempt.status and duration_s <= TIMEOUT_S + MAX_LATENESS_S
+        if not in_time and not any(outage.excuses(attempt) for outage in outages):
+            late_answers.append(
+                f"no answer by the deadline ({attempt.reason}, {duration_s:.2f} s)"
+            )
+    return late_answers
+
+
+def describe_outcomes(booking: Booking) -> str:
+    """Return the last outcome that the client received, and counts of all outcomes."""
+    counts = Counter(_describe(attempt) for attempt in booking.attempts_by_end)
+    last = _describe(booking.attempts_by_end[-1])
     listed = ", ".join(f"{count} {what}" for what, count in sorted(counts.items()))
     return f"{last} [{listed}]"
 
 
-def _describe(sending: Sending) -> str:
-    if sending.outcome == "complete":
+def _describe(attempt: Attempt) -> str:
+    if attempt.outcome == "complete":
         return "complete"
-    return f"{sending.verdict or sending.outcome} {sending.reason}".strip()
+    return f"{attempt.verdict or attempt.outcome} {attempt.reason}".strip()
 
 
 def describe_runs(runs: Runs) -> str:
--- a/tests/matrix/testbed.py
+++ b/tests/matrix/testbed.py
@@ -1,4 +1,4 @@
-"""The deployment that cells run on, and how their targets are found."""
+"""The deployment that cells run on, and the search for VMs to inject faults at."""
 
 from __future__ import annotations
 
@@ -27,16 +27,17 @@
     from standins.processes import Process
 
 DOMAINS = ("a", "b")
-# so short that a lost slot comes back soon, far longer than a cell
+# short enough to recover a lost slot soon, longer than a cell
 KEY_WINDOW_S = 30
-WELL_LIMIT_S = 45.0
-END_CHARACTERS = 1500
-TRIES_AT_ONCE = 4
-QUIET_S = 1.2
-START_LIMIT_S = 20.0
-KEYS_TRIED = 400
-BYSTANDERS = ("frontdesk", "ratebook", "proofline")
-IN_USE = "address already in use"
+HEALTHY_TIMEOUT_S = 45.0
+LOG_TAIL_CHARACTERS = 1500
+MAX_CONCURRENT_BOOKINGS = 4
+LOAD_SETTLE_S = 1.2
+SERVER_START_TIMEOUT_S = 20.0
+MAX_KEYS_TRIED = 400
+# services that bookings don't use, or that another server can replace; in this order
+REPLACEABLE_SERVICES = ("frontdesk", "ratebook", "proofline")
+ADDRESS_IN_USE_MESSAGE = "address already in use"
 SERVICE_TIME_MS = 10.0
 
 CONFIGURATION = """failure_domains = ["a", "b"]
@@ -68,7 +69,7 @@
 
 
 def make_spec(without: str = "") -> DeploymentSpec:
-    """Return the deployment of all cells, with a mechanism left out if named."""
+    """Return the deployment of all cells; ``without`` names a mechanism to disable."""
     services = tuple(
         ServiceSpec(
             name, count, service_time_ms=SERVICE_TIME_MS, plans=PLANS.get(name, {})
@@ -87,28 +88,28 @@
 
 
 def make_node_command(without: str) -> tuple[str, ...]:
-    """Return the command of a node with a mechanism left out, if one is named."""
+    """Return the command of a node; ``without`` names a mechanism to disable."""
     if not without:
         return (PYTHON, "-m", "eelgrassmount")
     return (PYTHON, "-m", "tests.matrix.node", f"--without={without}")
 
 
 @define(eq=False)
-class World:
-    """A running deployment and a stand-in caller's connections."""
+class Testbed:
+    """A running deployment and the connections of a stand-in client."""
 
     deployment: Deployment
     client: Client = field(factory=Client)
 
     @property
-    def expect(self) -> str:
+    def expected_shape(self) -> str:
         return self.deployment.spec.expect("POST", BOOKING)
 
     def find_vm(self, name: str) -> VM:
         return next(vm for vm in self.deployment.vms if vm.name == name)
 
     def make_booking(self, key: str, **extra: object) -> Booking:
-        return Booking(key, self.expect, extra)
+        return Booking(key, self.expected_shape, extra)
 
     async def publish(self, text: str) -> None:
         """Publish a configuration and wait until it is in force everywhere."""
@@ -117,9 +118,9 @@
             f"http://{admin}/config?base=0", data=text.encode(), method="POST"
         )
         await asyncio.to_thread(lambda: urllib.request.urlopen(post, timeout=10).read())
-        deadline = time.monotonic() + WELL_LIMIT_S
+        deadline = time.monotonic() + HEALTHY_TIMEOUT_S
         while not all(await asyncio.to_thread(self._read_states, "config_version")):
-            _check_time(deadline, "the configuration")
+            _check_deadline(deadline, "the configuration")
             await asyncio.sleep(0.1)
 
     def _read_states(self, name: str) -> list[object]:
@@ -128,78 +129,84 @@
             for vm in self.deployment.vms
         ]
 
-    async def wait_until_well(self) -> None:
-        """Wait until a booking is answered through every node with every home."""
-        deadline = time.monotonic() + WELL_LIMIT_S
-        left = [(vm, home) for vm in self.deployment.vms for home in DOMAINS]
-        while left:
-            told = await self._try_all(left)
-            bad = [
-                (pair, word)
-                for pair, word in zip(left, told, strict=True)
-                if word != "complete"
+    async def wait_until_healthy(self) -> None:
+        """Wait until each node answers a booking with a key of each failure domain."""
+        deadline = time.monotonic() + HEALTHY_TIMEOUT_S
+        pending = [(vm, home) for vm in self.deployment.vms for home in DOMAINS]
+        while pending:
+            outcomes = await self._send_bookings(pending)
+            failed = [
+                (pair, outcome)
+                for pair, outcome in zip(pending, outcomes, strict=True)
+                if outcome != "complete"
             ]
-            left = [pair for pair, _ in bad]
-            if left:
-                self._start_again()
-                listed = [f"{vm.name} to {home}: {word}" for (vm, home), word in bad]
-                _check_time(deadline, ", ".join(listed) + self._read_ends())
+            pending = [pair for pair, _ in failed]
+            if pending:
+                self._restart_after_port_conflicts()
+                listed = [
+                    f"{vm.name} to {home}: {outcome}" for (vm, home), outcome in failed
+                ]
+                _check_deadline(
+                    deadline, ", ".join(listed) + self._describe_ended_processes()
+                )
                 await asyncio.sleep(0.3)
         await self._wait_for_views(deadline)
-        # what nodes know of each other's load is up to a second old
-        await asyncio.sleep(QUIET_S)
+        # load reports between nodes are up to a second old
+        await asyncio.sleep(LOAD_SETTLE_S)
 
     async def _wait_for_views(self, deadline: float) -> None:
-        """Wait until every slot has a primary and a backup that live."""
+        """Wait until the primary and the backup of every slot are running."""
         while True:
             alive = set(await asyncio.to_thread(self._read_states, "incarnation"))
             views = [view for name in DOMAINS for view in await self.read_views(name)]
-            holders = {
-                holder.incarnation
+            assigned = {
+                node.incarnation
                 for view in views
-                for holder in (view.primary, view.backup)
+                for node in (view.primary, view.backup)
             }
-            if holders <= alive:
+            if assigned <= alive:
                 return
-            _check_time(deadline, "slots are held by nodes that are gone")
+            _check_deadline(deadline, "slots are assigned to stopped nodes")
             await asyncio.sleep(0.3)
 
-    async def _try_all(self, pairs: list[tuple[VM, str]]) -> list[str]:
-        told: list[str] = []
-        for first in range(0, len(pairs), TRIES_AT_ONCE):
-            batch = pairs[first : first + TRIES_AT_ONCE]
-            told += await asyncio.gather(*(self._try(vm, home) for vm, home in batch))
-        return told
-
-    def _start_again(self) -> None:
-        """Start processes anew whose port was taken while they were down."""
-        for process in self._find_ended():
-            if IN_USE in process.read_log()[-END_CHARACTERS:]:
+    async def _send_bookings(self, pairs: list[tuple[VM, str]]) -> list[str]:
+        outcomes: list[str] = []
+        for first in range(0, len(pairs), MAX_CONCURRENT_BOOKINGS):
+            batch = pairs[first : first + MAX_CONCURRENT_BOOKINGS]
+            outcomes += await asyncio.gather(
+                *(self._send_booking(vm, home) for vm, home in batch)
+            )
+        return outcomes
+
+    def _restart_after_port_conflicts(self) -> None:
+        """Restart processes that ended because their port was in use."""
+        for process in self._find_ended_processes():
+            if ADDRESS_IN_USE_MESSAGE in process.read_log()[-LOG_TAIL_CHARACTERS:]:
                 process.start()
 
-    def _find_ended(self) -> list[Process]:
+    def _find_ended_processes(self) -> list[Process]:
         return [
             process
             for process in self.deployment.processes
             if process.log_path.exists() and not process.running
         ]
 
-    def _read_ends(self) -> str:
-        """Return the last lines of processes that ended by themselves."""
+    def _describe_ended_processes(self) -> str:
+        """Return the last log lines of processes that have ended."""
         return "".join(
-            f"; {process.name} ended: {process.read_log()[-END_CHARACTERS:]}"
-            for process in self._find_ended()
+            f"; {process.name} ended: {process.read_log()[-LOG_TAIL_CHARACTERS:]}"
+            for process in self._find_ended_processes()
         )
 
-    async def _try(self, vm: VM, home: str) -> str:
+    async def _send_booking(self, vm: VM, home: str) -> str:
         booking = self.make_booking(f"{home}:{uuid.uuid4().hex}")
-        sending = await booking.send(self.client, vm.caller_address)
-        if sending.outcome == "complete":
-            return sending.outcome
-        return f"{sending.verdict} {sending.reason}"
+        attempt = await booking.send(self.client, vm.caller_address)
+        if attempt.outcome == "complete":
+            return attempt.outcome
+        return f"{attempt.verdict} {attempt.reason}"
 
     async def read_views(self, domain: str) -> list[View]:
-        """Return the views of a failure domain's slots, as the log tells them."""
+        """Return the views of a failure domain's slots according to the log."""
         fold = ViewFold()
         while True:
             path = f"/streams/slots.{domain}/records?from={fold.next}&limit=500"
@@ -214,53 +221,51 @@
                 return fold.views
 
     async def choose_key(self, domain: str, role: str) -> tuple[str, VM]:
-        """Return a caller's own key, and the VM that is its primary or backup.
+        """Return a client-chosen key, and the VM that is its primary or backup.
 
-        It is a VM whose server takes no part in bookings, or else one whose part
-        can be taken by another, so that only the role itself is hit.
+        Choose a VM whose server bookings don't need, or whose service has a second
+        server, so that a fault at the VM affects only its role for the key.
         """
         views = await self.read_views(domain)
         vms = {vm.advertise_address: vm for vm in self.deployment.vms}
         found: dict[str, tuple[str, VM]] = {}
-        for _ in range(KEYS_TRIED):
+        for _ in range(MAX_KEYS_TRIED):
             key = f"{domain}:{uuid.uuid4().hex}"
             vm = vms.get(getattr(views[find_slot(key)], role).address)
-            # after a loss of both holders a slot waits for a whole key window
+            # a slot that lost its primary and backup waits for a key window
             if vm is not None and not views[find_slot(key)].lost:
                 found[vm.service] = (key, vm)
-        for service in BYSTANDERS:
+        for service in REPLACEABLE_SERVICES:
             if service in found:
                 return found[service]
-        raise LookupError(
-            f"no slot of {domain} has a {role} without a part in bookings"
-        )
+        raise LookupError(f"no slot of {domain} has a {role} that bookings don't need")
 
     async def read_runs(self, request: str = "") -> list[dict[str, object]]:
         query = f"request={request}" if request else ""
         return await asyncio.to_thread(self.deployment.get_runs, query)
 
     async def set_servers(self, service: str, **fault: object) -> None:
-        """Set a fault of all running servers of a service."""
+        """Set a fault at all running servers of a service."""
         for vm in self.deployment.find_vms(service):
             if vm.server.running:
                 await self.set_server(vm, **fault)
 
     async def set_server(self, vm: VM, **fault: object) -> None:
-        """Set a fault of one server, once it listens."""
-        deadline = time.monotonic() + START_LIMIT_S
+        """Set a fault at one server as soon as its admin listener answers."""
+        deadline = time.monotonic() + SERVER_START_TIMEOUT_S
         while True:
             try:
                 await asyncio.to_thread(set_fault, vm.server_admin_address, **fault)
                 return
             except OSError:
-                _check_time(deadline, vm.server.name)
+                _check_deadline(deadline, vm.server.name)
                 await asyncio.sleep(0.1)
 
     async def wait_for_run(
-        self, request: str, service: str, outcomes: tuple[str, ...], limit_s: float
+        self, request: str, service: str, outcomes: tuple[str, ...], timeout_s: float
     ) -> VM | None:
-        """Return the VM whose server is at work on a request, per the journal."""
-        deadline = time.monotonic() + limit_s
+        """Return the VM whose server runs or ran a request according to the journal."""
+        deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             for run in await self.read_runs(request):
                 if run["service"] == service and run["outcome"] in outcomes:
@@ -269,6 +274,6 @@
         return None
 
 
-def _check_time(deadline: float, what: str) -> None:
+def _check_deadline(deadline: float, what: str) -> None:
     if time.monotonic() > deadline:
-        raise TimeoutError(f"not well in time: {what}")
+        raise TimeoutError(f"not ready before the deadline: {what}")
--- a/tests/teams/test_keys_at_nodes.py
+++ b/tests/teams/test_keys_at_nodes.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import (
     LOG,
     Deployment,
@@ -179,11 +179,11 @@
     async def scenario(deployment: Deployment) -> None:
         deployment.configure(2, LIST, OPEN, teams=[make_team("press", "k-2"), OFFICE])
         await anyio.sleep(MAX_APPLY_TIME_S)
-        deployment.log.trouble = Trouble.TURNED_AWAY
+        deployment.log.fault = LogFault.UNAVAILABLE
         started = await deployment.add("list", "a")
         # The new node knows no other node and cannot be discovered through the log.
         for vm in deployment.vms[:-1]:
-            vm.node.beliefs.members.put(
+            vm.node.state.members.put(
                 started.settings.name, str(started.settings.peer_address), "a", "list"
             )
         await anyio.sleep(MAX_APPLY_TIME_S)
@@ -197,7 +197,7 @@
 
 def test_unknown_key_is_not_rejected_while_the_log_is_unreachable():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.RESET
+        deployment.log.fault = LogFault.RESET
         asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
         await anyio.sleep(6.0)
         for vm in deployment.vms:
@@ -211,7 +211,7 @@
 
 def test_node_without_a_configuration_refuses_keys_temporarily():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.SILENT
+        deployment.log.fault = LogFault.SILENT
         vm = await deployment.add("other", "c")
         vm.node.ingress.table = type(vm.node.ingress.table)()
         assert await request_with_key(vm, "k-1") == 503
--- a/tests/teams/test_quotas_at_nodes.py
+++ b/tests/teams/test_quotas_at_nodes.py
@@ -10,7 +10,7 @@
 from attrs import asdict
 
 from eelgrassmount.relay.status import collect_status
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import Deployment, Vm, make_rule, make_team, send_as_client
 from tests.relay.virtual import run_virtually
 
@@ -109,7 +109,7 @@
 
 def test_team_below_its_quota_is_served_while_the_log_is_unreachable():
     async def scenario(deployment: Deployment) -> None:
-        deployment.log.trouble = Trouble.RESET
+        deployment.log.fault = LogFault.RESET
         for vm in deployment.vms:
             assert await send_requests(vm, "k-1", 10, 0.2) == [200] * 10
 
@@ -154,7 +154,7 @@
 
 def set_draining(deployment: Deployment, draining: bool) -> None:
     for vm in deployment.vms:
-        vm.node.beliefs.server.draining = draining
+        vm.node.state.server.draining = draining
 
 
 # Guards against charging requests that no backend server accepted.
@@ -166,7 +166,7 @@
         assert set(first) == ({503} if refused else {200})
         set_draining(deployment, False)
         for vm in deployment.vms:
-            vm.node.controllers.report_now()
+            vm.node.control_loop.report_now()
         await anyio.sleep(0.3)
         second = await send_to_all_nodes(deployment, "k-1", 3)
         if refused:
--- a/tests/topics/test_log_restore.py
+++ b/tests/topics/test_log_restore.py
@@ -10,7 +10,7 @@
 
 from eelgrassmount.compose.relay_run import stop_relay
 from eelgrassmount.platform.topic_names import LEARNED_KEY
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import (
     LOG,
     Deployment,
@@ -55,15 +55,15 @@
 async def restore_log(deployment: Deployment, copy: dict, rewrite: bool = True) -> None:
     """Make the log unreachable for a moment, then restore it from a copy."""
     log = deployment.log
-    log.trouble = Trouble.RESET
+    log.fault = LogFault.RESET
     asyncio.get_running_loop().network.reset((LOG.host, LOG.port))
     await anyio.sleep(OUTAGE_S)
-    log.come_back(copy, rewrite)
-    log.trouble = Trouble.NONE
+    log.restore(copy, rewrite)
+    log.fault = LogFault.NONE
 
 
 def list_versions(deployment: Deployment) -> set[int]:
-    return {vm.node.beliefs.table.version for vm in deployment.vms}
+    return {vm.node.state.table.version for vm in deployment.vms}
 
 
 def list_epochs(deployment: Deployment) -> set[int]:
@@ -120,11 +120,11 @@
         topic.records = [one for one in topic.records if one[0] <= "node-3"]
         await restore_log(deployment, copy)
         for vm in deployment.vms:
-            assert names <= vm.node.beliefs.members.by_name.keys()
+            assert names <= vm.node.state.members.by_name.keys()
         await anyio.sleep(6.0)
         assert names <= list_written(deployment)
         for vm in deployment.vms:
-            assert names <= vm.node.beliefs.members.by_name.keys()
+            assert names <= vm.node.state.members.by_name.keys()
             assert (await send_as_client(vm, "/list/1")).status == 200
 
     play(scenario)
@@ -143,10 +143,10 @@
         await restore_log(deployment, copy)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-6" in vm.node.beliefs.members.by_name
+            assert "node-6" in vm.node.state.members.by_name
         await anyio.sleep(10.0)
         for vm in deployment.vms:
-            assert "node-6" not in vm.node.beliefs.members.by_name
+            assert "node-6" not in vm.node.state.members.by_name
 
     play(scenario)
 
@@ -155,7 +155,7 @@
     async def scenario(deployment: Deployment) -> None:
         copy = deployment.log.copy()
         for vm in deployment.vms:
-            vm.node.beliefs.graph.set_calls(
+            vm.node.state.graph.set_calls(
                 "shop.example/list/", {"shop.example/desk/": 2.0}
             )
         await anyio.sleep(15.0)
@@ -221,15 +221,15 @@
 
 def test_node_deletes_its_record_when_its_backend_server_has_left():
     async def scenario(deployment: Deployment) -> None:
-        deployment.vms[5].node.beliefs.server.has_left = True
+        deployment.vms[5].node.state.server.has_left = True
         await stop_node(deployment, 5)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-6" not in vm.node.beliefs.members.by_name
+            assert "node-6" not in vm.node.state.members.by_name
         # A node whose backend server still runs will be restarted.
         await stop_node(deployment, 4)
         await anyio.sleep(2.0)
         for vm in deployment.vms:
-            assert "node-5" in vm.node.beliefs.members.by_name
+            assert "node-5" in vm.node.state.members.by_name
 
     play(scenario)
--- a/tests/topics/test_readers.py
+++ b/tests/topics/test_readers.py
@@ -21,7 +21,7 @@
     LogReaders,
 )
 from eelgrassmount.topics.subscriptions import MAX_NEWS_AGE_S
-from standins.platform_log import Trouble
+from standins.platform_log import LogFault
 from tests.relay.deployment import Deployment, Vm, make_document, make_rule
 from tests.relay.virtual import run_virtually
 
@@ -67,7 +67,7 @@
         return [
             vm.settings.name
             for vm in (self.vms if vms is None else vms)
-            if vm.node.beliefs.table.version < version
+            if vm.node.state.table.version < version
         ]
 
     async def expect_version(self, version: int, vms: list[Vm] | None = None) -> None:
@@ -145,7 +145,7 @@
         names = {vm.settings.name for vm in fleet.vms}
         assert late.settings.name in names
         for vm in fleet.vms:
-            assert vm.node.beliefs.members.by_name.keys() == names
+            assert vm.node.state.members.by_name.keys() == names
 
     play(scenario)
 
@@ -223,7 +223,7 @@
     """Guards against retries of all nodes at short intervals during an outage."""
 
     async def scenario(fleet: Fleet) -> None:
-        fleet.deployment.log.trouble = Trouble.TURNED_AWAY
+        fleet.deployment.log.fault = LogFault.UNAVAILABLE
         # Waiting reads are not ended by the outage, but by a new record.
         fleet.configure(2)
         await anyio.sleep(2.0)
@@ -236,7 +236,7 @@
         assert calls <= SUBSCRIBED_READERS * len(DOMAINS) * per_reader + 2 * others * (
             seconds / OUTAGE_WAIT_RANGE_S[0]
         )
-        fleet.deployment.log.trouble = Trouble.NONE
+        fleet.deployment.log.fault = LogFault.NONE
         fleet.configure(3)
         await fleet.expect_version(3)
 
@@ -247,7 +247,7 @@
     async def scenario(fleet: Fleet) -> None:
         vm = fleet.list_readers("a")[0]
         fleet.stop(vm)
-        fleet.deployment.log.trouble = Trouble.TURNED_AWAY
+        fleet.deployment.log.fault = LogFault.UNAVAILABLE
         # The backend server keeps running; its address is free for the new one.
         vm.server.listener.end()
         await anyio.sleep(1.0)
@@ -266,10 +266,10 @@
         with anyio.fail_after(6.0):
             while not restarted.node.is_ready():
                 await anyio.sleep(0.05)
-        assert restarted.node.beliefs.table.version == 1
+        assert restarted.node.state.table.version == 1
         await anyio.sleep(2.0)
         names = {one.settings.name for one in fleet.vms}
-        assert restarted.node.beliefs.members.by_name.keys() == names
+        assert restarted.node.state.members.by_name.keys() == names
 
     play(scenario)
 
@@ -280,7 +280,7 @@
         await fleet.expect_version(5)
         fleet.configure(3)
         await anyio.sleep(3.0)
-        versions = {vm.node.beliefs.table.version for vm in fleet.vms}
+        versions = {vm.node.state.table.version for vm in fleet.vms}
         assert versions == {5}
 
     play(scenario)
@@ -295,7 +295,7 @@
             vm.node.readers.make_tally = make_tally
         await anyio.sleep(4.0)
         for vm in fleet.vms:
-            counts = vm.node.beliefs.cluster_counts
+            counts = vm.node.state.cluster_counts
             assert counts.nodes == len(fleet.vms)
             assert counts.offered[REQUEST_CLASS] == pytest.approx(2.0 * len(fleet.vms))
 
@@ -308,7 +308,7 @@
             fleet.stop(vm)
         await anyio.sleep(2 * MAX_NEWS_AGE_S + 3.0)
         for vm in fleet.vms:
-            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
+            assert vm.node.state.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -325,7 +325,7 @@
     async def scenario(fleet: Fleet) -> None:
         for vm in fleet.vms:
             # Calls are learned, and no service is overloaded.
-            vm.node.beliefs.graph.set_calls(
+            vm.node.state.graph.set_calls(
                 "shop.example/list/", {"shop.example/part/": 1.0}
             )
         await anyio.sleep(COUNTS_INTERVAL_S)
@@ -337,7 +337,7 @@
             < 1.5 * SUBSCRIBE_INTERVAL_S / COUNTS_INTERVAL_S
         )
         for vm in fleet.vms:
-            assert vm.node.beliefs.cluster_counts.nodes == len(fleet.vms)
+            assert vm.node.state.cluster_counts.nodes == len(fleet.vms)
 
     play(scenario)
 
@@ -347,7 +347,7 @@
         remote = 0
         for vm in fleet.vms:
             domains = {
-                vm.node.beliefs.members.by_name[name].failure_domain
+                vm.node.state.members.by_name[name].failure_domain
                 for name in vm.node.readers.subscriptions
             }
             remote += len(domains - {vm.settings.failure_domain})
