--- a/tests/model/keys.pml
+++ b/tests/model/keys.pml
@@ -330,7 +330,7 @@
 		send(COPY, n, partner(n), node[n].stage, node[n].mark, node[n].runner)
 #endif
 		}
-	/* Follower.ask_peer: a view that another node has received */
+	/* Follower.fetch_views: a view that another node has received */
 	:: atomic { !node[n].stalled && node[n].version < current ->
 		v = node[n].version + 1;
 		adopt(n, v) }
