--- a/eelgrassmount/compose/relay_run.py
+++ b/eelgrassmount/compose/relay_run.py
@@ -256,18 +256,18 @@
 
     Return whether the log holds the record.
     """
-    book = node.readers.record_table
+    record_table = node.readers.record_table
     snapshot = await node.store.read_newest(NODES_TOPIC)
     if isinstance(snapshot, StoreFailure):
         return False
     node.apply_node_records(snapshot.records)
-    book.apply(snapshot.records, snapshot.end)
-    if book.find(local_record.key) == local_record:
+    record_table.apply(snapshot.records, snapshot.end)
+    if record_table.find(local_record.key) == local_record:
         return True
     offset = await node.store.append(NODES_TOPIC, local_record.key, local_record.value)
     if isinstance(offset, StoreFailure):
         return False
-    book.put(evolve(local_record, offset=offset))
+    record_table.put(evolve(local_record, offset=offset))
     return True
 
 
